--- a/src/packets/admission/opening-admission.ts
+++ b/src/packets/admission/opening-admission.ts
@@ -12,8 +12,8 @@
  * Part of a deadline to which the wait has to fall before a route is let in again: without it the
  * reports of the first empty line would let all callers back in at once.
  */
-const READMISSION_SHARE = 0.8;
-const WHOLE_SHARE = 100;
+const READMISSION_DEADLINE_SHARE = 0.8;
+const CREDITS_PER_OPENING = 100;
 
 /** One opening, with what is known when it comes. */
 export interface OpeningRequest {
@@ -27,38 +27,38 @@
 }
 
 /** A route whose openings are refused now. */
-interface ClosedRoute {
+interface RejectedRoute {
   /** Hundredths of an opening that the route has coming of its kept share. */
   credit: number;
 }
 
 /** The admission of one balancer; each concludes by itself from the reports that all hear. */
 export class OpeningAdmission {
-  private readonly closed = new Map<Endpoint, ClosedRoute>();
+  private readonly closed = new Map<Endpoint, RejectedRoute>();
 
   /** @param keptShare openings in a hundred that are let in all the same, so that no route starves */
   constructor(private readonly keptShare: number) {}
 
   /** Routes whose openings are refused now. */
-  get routesClosed(): number {
+  get rejectedRouteCount(): number {
     return this.closed.size;
   }
 
   /** Whether an opening is let in; counts as decided. */
-  takeDecision(request: OpeningRequest): boolean {
+  admit(request: OpeningRequest): boolean {
     const { destination } = request;
     const route = this.closed.get(destination);
-    if (!isHopeless(request, route !== undefined)) {
+    if (!missesDeadline(request, route !== undefined)) {
       this.closed.delete(destination);
       return true;
     }
-    const closed = route ?? { credit: 0 };
-    closed.credit += this.keptShare;
-    this.closed.set(destination, closed);
-    if (closed.credit < WHOLE_SHARE) {
+    const rejected = route ?? { credit: 0 };
+    rejected.credit += this.keptShare;
+    this.closed.set(destination, rejected);
+    if (rejected.credit < CREDITS_PER_OPENING) {
       return false;
     }
-    closed.credit -= WHOLE_SHARE;
+    rejected.credit -= CREDITS_PER_OPENING;
     return true;
   }
 
@@ -69,8 +69,8 @@
 }
 
 /** Whether a request would be answered only after its caller has given up. */
-function isHopeless(request: OpeningRequest, isClosed: boolean): boolean {
+function missesDeadline(request: OpeningRequest, isRejected: boolean): boolean {
   const { deadline, expectedTime, isLessUrgent } = request;
-  const limit = isClosed ? deadline * READMISSION_SHARE : deadline;
+  const limit = isRejected ? deadline * READMISSION_DEADLINE_SHARE : deadline;
   return isLessUrgent && deadline > 0 && expectedTime > limit;
 }
--- a/src/packets/choice/report-alarm.ts
+++ b/src/packets/choice/degradation-detector.ts
@@ -2,17 +2,17 @@
  * When an agent tells all balancers at once that its target has become worse: the next report may be
  * half a second away, in which all of them would go on as before.
  */
-import { SLOW_MARGIN } from './outliers';
+import { SLOW_MARGIN_MS } from './outliers';
 
 /** Points of a hundred by which failures must have risen: two in a row bring less. */
-const FAILURE_STEP = 25;
+const FAILURE_RISE_PERCENT = 25;
 /** Times by which answers must take longer; see `CHANGE_FACTOR` of service-time. */
-const TIME_FACTOR = 2;
+const SLOWDOWN_FACTOR = 2;
 /** Milliseconds between two such reports at least: as often as agents look who is due for one. */
-const ALARM_INTERVAL = 250;
+const MINIMUM_REPORT_INTERVAL_MS = 250;
 
 /** What an agent watches of its target. */
-export interface TargetFigures {
+export interface TargetMetrics {
   readonly answerTime: number;
   /** Answers of late that this time rests on. */
   readonly answers: number;
@@ -21,32 +21,32 @@
 }
 
 /** The alarm of one agent. */
-export class ReportAlarm {
+export class DegradationDetector {
   private failurePercent = 0;
   private answerTime: number | undefined;
-  private raisedAt = -Infinity;
+  private reportedAt = -Infinity;
 
   /**
    * Whether figures are so much worse than those told that a report is due; it counts as sent.
    * @param interval milliseconds between usual reports: of many agents, each may tell less often
    */
-  isDue(
-    { answers, answerTime, failurePercent }: TargetFigures,
+  shouldReport(
+    { answers, answerTime, failurePercent }: TargetMetrics,
     now: number,
-    interval = () => ALARM_INTERVAL,
+    interval = () => MINIMUM_REPORT_INTERVAL_MS,
   ): boolean {
     this.failurePercent = Math.min(this.failurePercent, failurePercent);
     if (answers > 0) {
       this.answerTime = Math.min(this.answerTime ?? answerTime, answerTime);
     }
-    const fails = failurePercent >= this.failurePercent + FAILURE_STEP;
-    if (!fails && !this.hasSlowed(answerTime)) {
+    const hasFailureRise = failurePercent >= this.failurePercent + FAILURE_RISE_PERCENT;
+    if (!hasFailureRise && !this.hasSlowed(answerTime)) {
       return false;
     }
-    if (now - this.raisedAt < Math.max(ALARM_INTERVAL, interval())) {
+    if (now - this.reportedAt < Math.max(MINIMUM_REPORT_INTERVAL_MS, interval())) {
       return false;
     }
-    this.raisedAt = now;
+    this.reportedAt = now;
     this.failurePercent = failurePercent;
     this.answerTime = this.answerTime === undefined ? undefined : answerTime;
     return true;
@@ -54,9 +54,9 @@
 
   /** Whether an answer takes so much longer that targets could be told apart by it. */
   private hasSlowed(answerTime: number): boolean {
-    const told = this.answerTime;
+    const baseline = this.answerTime;
     return (
-      told !== undefined && answerTime >= told * TIME_FACTOR && answerTime >= told + SLOW_MARGIN
+      baseline !== undefined && answerTime >= baseline * SLOWDOWN_FACTOR && answerTime >= baseline + SLOW_MARGIN_MS
     );
   }
 }
--- a/src/packets/choice/expected-wait.ts
+++ b/src/packets/choice/expected-wait.ts
@@ -5,25 +5,25 @@
 import type { AgentEntry } from '../agent-directory';
 import { CANDIDATES } from '../flow-candidates';
 import { TargetState } from '../packet-messages';
-import { fillUp } from './filling';
-import { measureLaterWaits } from './kept-flows';
+import { computeWaterLevel } from './water-filling';
+import { estimateLaterWaits } from './persistent-flows';
 import {
   acceptsNewFlows,
   PlacementClass,
-  placementClassOf,
+  getPlacementClass,
   type Choice,
   type PlacementClassValue,
   type SelectionContext,
 } from './selection';
-import { answerTimeOf, outlookOf, slotsOf, type ServiceOutlook } from './service-outlook';
+import { estimateAnswerTime, computeServiceStatistics, getSlots, type ServiceStatistics } from './service-statistics';
 
 /**
  * Answers of a target, besides those that wait, in whose time what a report says of its queue falls
  * to about a third: a queue that was seen is gone once it has been worked off.
  */
-const ANSWERS_REMEMBERED = 1;
+const REPORT_DECAY_ANSWERS = 1;
 /** Answers in whose time the weight of an opening that no report shows yet falls to a third. */
-const OPENING_ANSWERS = 2;
+const OPENING_DECAY_ANSWERS = 2;
 /** Part of an answer's time by which equal targets are told apart at random. */
 const TIE_SHARE = 0.1;
 /**
@@ -37,14 +37,14 @@
  * Milliseconds that a failed request costs its client: it repeats after a timer of at least 200 ms
  * (the least retransmission timeout in common use, below the second of RFC 6298).
  */
-const FAILURE_COST = 200;
+const MINIMUM_FAILURE_COST_MS = 200;
 /**
  * Answers that a failed request costs at least, where answers take long: the repeat waits its turn as
  * the first try did, so a target that always fails is worth no short queue elsewhere.
  */
-const FAILURE_ANSWERS = 4;
+const FAILURE_COST_ANSWERS = 4;
 /** Answers of waiting at every able target for which a doubtful one is the better choice. */
-const DOUBTFUL_ANSWERS = 5;
+const DOUBTFUL_WAIT_ANSWERS = 5;
 const PERCENT = 100;
 
 /** One agent with what is expected of its target. */
@@ -52,17 +52,17 @@
   readonly entry: AgentEntry;
   readonly placementClass: PlacementClassValue;
   /** Milliseconds of an answer there, for each of its slots: by so much a request delays others. */
-  readonly delay: number;
+  readonly timePerRequest: number;
   /** Milliseconds until the answer to a request there, as of its report. */
   readonly reportedTime: number;
   /** Milliseconds that its failures cost the client of a request in the mean. */
-  readonly failureCost: number;
+  readonly expectedFailureCost: number;
   /** Milliseconds for which requests keep it busy that this balancer sent and no report shows yet. */
-  readonly ownTime: number;
+  readonly unreportedTime: number;
 }
 
 /** A candidate with what a flow of this balancer would have there. */
-interface Offer extends Candidate {
+interface ScoredCandidate extends Candidate {
   /** Milliseconds until its first answer. */
   readonly time: number;
   /** Milliseconds for which its later requests wait, all together. */
@@ -80,28 +80,28 @@
   context: SelectionContext,
 ): Choice | undefined {
   const accepting = ordered.filter((entry) => acceptsNewFlows(entry));
-  const outlook = outlookOf(accepting, context.openingRate);
+  const statistics = computeServiceStatistics(accepting, context.openingRate);
   const trial = findTrial(accepting.slice(0, CANDIDATES), context);
   if (trial) {
-    return choiceOf(offerOf(candidateOf(trial, outlook, context), 0, 0, context), true);
+    return createChoice(scoreCandidate(createCandidate(trial, statistics, context), 0, 0, context), true);
   }
-  const width = widthOf(accepting, context);
-  const offers = createOffers(accepting.slice(0, width), outlook, context);
-  const best = chooseOffer(offers, outlook, context);
-  if (!best || width >= accepting.length || isGoodEnough(best, outlook)) {
-    return best && choiceOf(best, false);
+  const count = chooseCandidateCount(accepting, context);
+  const candidates = scoreCandidates(accepting.slice(0, count), statistics, context);
+  const best = chooseBest(candidates, statistics, context);
+  if (!best || count >= accepting.length || isGoodEnough(best, statistics)) {
+    return best && createChoice(best, false);
   }
-  const more = createOffers(accepting.slice(0, width * 2), outlook, context);
-  const bestOfMore = chooseOffer(more, outlook, context);
-  return bestOfMore && choiceOf(bestOfMore, false);
+  const more = scoreCandidates(accepting.slice(0, count * 2), statistics, context);
+  const bestOfMore = chooseBest(more, statistics, context);
+  return bestOfMore && createChoice(bestOfMore, false);
 }
 
 /** How many agents to consider: ten, or so many more that one of them is able. */
-function widthOf(accepting: readonly AgentEntry[], context: SelectionContext): number {
-  for (let width = CANDIDATES; width < accepting.length; width *= 2) {
-    const added = accepting.slice(width === CANDIDATES ? 0 : width / 2, width);
-    if (added.some((entry) => placementClassOf(entry, context) === PlacementClass.able)) {
-      return width;
+function chooseCandidateCount(accepting: readonly AgentEntry[], context: SelectionContext): number {
+  for (let count = CANDIDATES; count < accepting.length; count *= 2) {
+    const added = accepting.slice(count === CANDIDATES ? 0 : count / 2, count);
+    if (added.some((entry) => getPlacementClass(entry, context) === PlacementClass.healthy)) {
+      return count;
     }
   }
   return accepting.length;
@@ -112,57 +112,57 @@
   context: SelectionContext,
 ): AgentEntry | undefined {
   return entries.find((entry) => {
-    const standing = context.standingOf(entry);
+    const standing = context.getOutlierStatus(entry);
     return standing.kind === 'setAside' && standing.isTrialDue && context.isHeard(entry);
   });
 }
 
 /** Whether more candidates would most likely bring nothing better. */
-function isGoodEnough({ placementClass, time }: Offer, outlook: ServiceOutlook): boolean {
-  const { answerTime, meanWait } = outlook;
+function isGoodEnough({ placementClass, time }: ScoredCandidate, statistics: ServiceStatistics): boolean {
+  const { answerTime, meanWait } = statistics;
   return (
-    placementClass === PlacementClass.able && time <= answerTime + Math.max(answerTime, meanWait)
+    placementClass === PlacementClass.healthy && time <= answerTime + Math.max(answerTime, meanWait)
   );
 }
 
-function createOffers(
+function scoreCandidates(
   entries: readonly AgentEntry[],
-  outlook: ServiceOutlook,
+  statistics: ServiceStatistics,
   context: SelectionContext,
-): Offer[] {
-  const candidates = entries.map((entry) => candidateOf(entry, outlook, context));
-  const { requestsPerFlow, rivalShare } = context;
-  const rivals = (outlook.balancers - 1) * rivalShare;
-  const laterWaits = measureLaterWaits(entries, outlook, { requestsPerFlow, rivals });
+): ScoredCandidate[] {
+  const candidates = entries.map((entry) => createCandidate(entry, statistics, context));
+  const { requestsPerFlow, competingShare: rivalShare } = context;
+  const competitors = (statistics.balancers - 1) * rivalShare;
+  const laterWaits = estimateLaterWaits(entries, statistics, { requestsPerFlow, competitors: competitors });
   return Object.values(PlacementClass).flatMap((wanted) => {
     const ofClass = candidates.filter(({ placementClass }) => placementClass === wanted);
-    const level = levelOf(ofClass, rivals);
+    const level = estimateFilledTime(ofClass, competitors);
     return ofClass.map((candidate) =>
-      offerOf(candidate, level, laterWaits.get(candidate.entry) ?? 0, context),
+      scoreCandidate(candidate, level, laterWaits.get(candidate.entry) ?? 0, context),
     );
   });
 }
 
-function candidateOf(
+function createCandidate(
   entry: AgentEntry,
-  outlook: ServiceOutlook,
+  statistics: ServiceStatistics,
   context: SelectionContext,
 ): Candidate {
   const { report } = entry;
-  const coldTime = (report?.coldLeft ?? 0) > 0 ? outlook.answerTime * COLD_FACTOR : 0;
-  const answerTime = Math.max(coldTime, answerTimeOf(entry, outlook));
-  const delay = answerTime / slotsOf(entry);
-  const wait = delay * requestsAheadOf(entry, answerTime, outlook, context);
-  const doubt = report?.state === TargetState.ready ? 0 : answerTime * UNKNOWN_STATE_SHARE;
-  const failure = Math.max(FAILURE_COST, FAILURE_ANSWERS * outlook.answerTime);
+  const coldTime = (report?.coldLeft ?? 0) > 0 ? statistics.answerTime * COLD_FACTOR : 0;
+  const answerTime = Math.max(coldTime, estimateAnswerTime(entry, statistics));
+  const delay = answerTime / getSlots(entry);
+  const wait = delay * estimateRequestsAhead(entry, answerTime, statistics, context);
+  const unknownStateCost = report?.state === TargetState.ready ? 0 : answerTime * UNKNOWN_STATE_SHARE;
+  const failure = Math.max(MINIMUM_FAILURE_COST_MS, FAILURE_COST_ANSWERS * statistics.answerTime);
   const failureCost = (failure * (report?.failurePercent ?? 0)) / PERCENT;
   return {
     entry,
-    placementClass: placementClassOf(entry, context),
-    delay,
-    reportedTime: answerTime + wait + doubt,
-    failureCost,
-    ownTime: delay * countOwnRequests(entry, answerTime, context.now),
+    placementClass: getPlacementClass(entry, context),
+    timePerRequest: delay,
+    reportedTime: answerTime + wait + unknownStateCost,
+    expectedFailureCost: failureCost,
+    unreportedTime: delay * estimateUnreportedRequests(entry, answerTime, context.now),
   };
 }
 
@@ -171,19 +171,19 @@
  * sent since. The older the report, the nearer to what its open flows bring in the mean; where a
  * flow lasts for one request, those have ended as well and the service's mean is left.
  */
-function requestsAheadOf(
+function estimateRequestsAhead(
   entry: AgentEntry,
   answerTime: number,
-  { usualBusy, meanFlows, flowTime }: ServiceOutlook,
+  { typicalBusyRequests: usualBusy, meanOpenFlows: meanFlows, meanFlowLifetime: flowTime }: ServiceStatistics,
   context: SelectionContext,
 ): number {
   const { report } = entry;
   if (!report) {
     return usualBusy;
   }
-  const age = context.ageOf(entry);
-  const queue = Math.max(report.busyRequests, usualBusy) / slotsOf(entry);
-  const seen = Math.exp(-age / (answerTime * (ANSWERS_REMEMBERED + queue)));
+  const age = context.getReportAge(entry);
+  const queue = Math.max(report.busyRequests, usualBusy) / getSlots(entry);
+  const seen = Math.exp(-age / (answerTime * (REPORT_DECAY_ANSWERS + queue)));
   const busyPerFlow = meanFlows > 0 ? usualBusy / meanFlows : 0;
   const extraFlows = (report.openFlows - meanFlows) * Math.exp(-age / Math.max(1, flowTime));
   const lasting = Math.max(0, usualBusy + extraFlows * busyPerFlow);
@@ -191,10 +191,10 @@
 }
 
 /** Requests of this balancer that no report shows yet and that are not answered by now. */
-function countOwnRequests(entry: AgentEntry, answerTime: number, now: number): number {
+function estimateUnreportedRequests(entry: AgentEntry, answerTime: number, now: number): number {
   let sum = 0;
   for (const at of entry.recentOpenings) {
-    sum += Math.exp(-Math.max(0, now - at) / (OPENING_ANSWERS * answerTime));
+    sum += Math.exp(-Math.max(0, now - at) / (OPENING_DECAY_ANSWERS * answerTime));
   }
   return sum;
 }
@@ -204,73 +204,73 @@
  * reports that all of them have seen. They choose as this one does, so its own openings of late tell
  * how many theirs are, and they go first to where a report shows room: a target that is reported
  * idle is so only for the first of them.
- * @param rivals other balancers that place among the same agents
+ * @param competitors other balancers that place among the same agents
  */
-function levelOf(candidates: readonly Candidate[], rivals: number): number {
+function estimateFilledTime(candidates: readonly Candidate[], competitors: number): number {
   let requests = 0;
-  for (const { delay, ownTime } of candidates) {
-    requests += (ownTime / delay) * rivals;
+  for (const { timePerRequest: delay, unreportedTime: ownTime } of candidates) {
+    requests += (ownTime / delay) * competitors;
   }
-  const places = candidates.map((one) => ({ level: timeOf(one), width: 1 / one.delay }));
-  return fillUp(places, requests);
+  const bins = candidates.map((one) => ({ level: getComparedTime(one), width: 1 / one.timePerRequest }));
+  return computeWaterLevel(bins, requests);
 }
 
 /** Milliseconds by which every balancer compares a candidate, each with its own costs besides. */
-function timeOf({ reportedTime, failureCost }: Candidate): number {
+function getComparedTime({ reportedTime, expectedFailureCost: failureCost }: Candidate): number {
   return reportedTime + failureCost;
 }
 
-function offerOf(
+function scoreCandidate(
   candidate: Candidate,
-  level: number,
+  filledTime: number,
   laterWait: number,
   context: SelectionContext,
-): Offer {
-  const { entry, reportedTime, failureCost, ownTime } = candidate;
-  const answeredAfter = Math.max(reportedTime, level) + ownTime;
-  const time = answeredAfter + failureCost + context.transferCost(entry);
+): ScoredCandidate {
+  const { entry, reportedTime, expectedFailureCost: failureCost, unreportedTime: ownTime } = candidate;
+  const answeredAfter = Math.max(reportedTime, filledTime) + ownTime;
+  const time = answeredAfter + failureCost + context.getTransferCost(entry);
   return { ...candidate, time, laterWait };
 }
 
 /** The best of the best class; a doubtful one where every able one makes flows wait too long. */
-function chooseOffer(
-  offers: readonly Offer[],
-  outlook: ServiceOutlook,
+function chooseBest(
+  candidates: readonly ScoredCandidate[],
+  statistics: ServiceStatistics,
   context: SelectionContext,
-): Offer | undefined {
-  const window = outlook.answerTime * TIE_SHARE;
-  const able = chooseOfClass(offers, PlacementClass.able, window, context);
-  const doubtful = chooseOfClass(offers, PlacementClass.doubtful, window, context);
-  const patience = outlook.answerTime * DOUBTFUL_ANSWERS;
-  if (able && doubtful && able.time > doubtful.time + patience) {
+): ScoredCandidate | undefined {
+  const tieWindow = statistics.answerTime * TIE_SHARE;
+  const able = chooseOfClass(candidates, PlacementClass.healthy, tieWindow, context);
+  const doubtful = chooseOfClass(candidates, PlacementClass.doubtful, tieWindow, context);
+  const waitLimit = statistics.answerTime * DOUBTFUL_WAIT_ANSWERS;
+  if (able && doubtful && able.time > doubtful.time + waitLimit) {
     return doubtful;
   }
-  return able ?? doubtful ?? chooseOfClass(offers, PlacementClass.lastResort, window, context);
+  return able ?? doubtful ?? chooseOfClass(candidates, PlacementClass.lastResort, tieWindow, context);
 }
 
-/** @param window milliseconds by which balancers that know the same tell equal offers apart */
+/** @param tieWindow milliseconds by which balancers that know the same tell equal offers apart */
 function chooseOfClass(
-  offers: readonly Offer[],
+  candidates: readonly ScoredCandidate[],
   wanted: PlacementClassValue,
-  window: number,
+  tieWindow: number,
   context: SelectionContext,
-): Offer | undefined {
-  let best: Offer | undefined;
+): ScoredCandidate | undefined {
+  let best: ScoredCandidate | undefined;
   let bestTime = Infinity;
-  for (const offer of offers) {
-    if (offer.placementClass !== wanted) {
+  for (const candidate of candidates) {
+    if (candidate.placementClass !== wanted) {
       continue;
     }
-    const time = offer.time + offer.laterWait + context.random() * window;
+    const time = candidate.time + candidate.laterWait + context.random() * tieWindow;
     if (time < bestTime) {
-      best = offer;
+      best = candidate;
       bestTime = time;
     }
   }
   return best;
 }
 
-function choiceOf(offer: Offer, isTrial: boolean): Choice {
-  const { entry, placementClass, reportedTime, time } = offer;
+function createChoice(candidate: ScoredCandidate, isTrial: boolean): Choice {
+  const { entry, placementClass, reportedTime, time } = candidate;
   return { entry, placementClass, isTrial, expectedTime: time, reportedTime };
 }
--- a/src/packets/choice/least-load.ts
+++ b/src/packets/choice/least-load.ts
@@ -5,8 +5,8 @@
 import type { AgentEntry } from '../agent-directory';
 import { CANDIDATES } from '../flow-candidates';
 import { TargetState, type ReportMessage } from '../packet-messages';
-import { acceptsNewFlows, placementClassOf, type Choice, type SelectionContext } from './selection';
-import { DEFAULT_ANSWER_TIME, DEFAULT_SLOTS } from './service-outlook';
+import { acceptsNewFlows, getPlacementClass, type Choice, type SelectionContext } from './selection';
+import { DEFAULT_ANSWER_TIME_MS, DEFAULT_SLOTS } from './service-statistics';
 
 /**
  * Answers of a target in whose time what a report says of its queue falls to about a third of its
@@ -14,7 +14,7 @@
  * answer got 15 openings in 100 ms and a queue of 180 ms, at a goal of 211. Of 9,842 requests at
  * 1,230 a second before 41 such targets 386 were late without this, 321 with 40 ms, 372 with 120.
  */
-const ANSWERS_REMEMBERED = 3;
+const REPORT_DECAY_ANSWERS = 3;
 /** Added while the target is slow after its start. */
 const COLD_PENALTY = 0.5;
 /** Added while no heartbeat has confirmed that the target is ready. */
@@ -29,10 +29,10 @@
 const FAILURE_PENALTY = 4;
 
 /** Loads closer than this count as equal; balancers then choose differently. */
-const TIE_BREAK = 0.1;
+const TIE_MARGIN = 0.1;
 
 /** Mean number of busy requests for each open flow of a service. */
-function busyPerFlow(entries: readonly AgentEntry[]): number {
+function computeBusyPerFlow(entries: readonly AgentEntry[]): number {
   let busy = 0;
   let flows = 0;
   for (const { report } of entries) {
@@ -43,12 +43,12 @@
 }
 
 /** Milliseconds for which a report says something of the target's queue. */
-function memoryOf({ answerTime }: ReportMessage): number {
-  return ANSWERS_REMEMBERED * (answerTime || DEFAULT_ANSWER_TIME);
+function computeDecayTime({ answerTime }: ReportMessage): number {
+  return REPORT_DECAY_ANSWERS * (answerTime || DEFAULT_ANSWER_TIME_MS);
 }
 
 /** Mean number of busy requests at the agents that have reported. */
-function meanBusy(entries: readonly AgentEntry[]): number {
+function computeMeanBusy(entries: readonly AgentEntry[]): number {
   const reports = entries.flatMap(({ report }) => (report ? [report] : []));
   const busy = reports.reduce((sum, { busyRequests }) => sum + busyRequests, 0);
   return reports.length > 0 ? busy / reports.length : 0;
@@ -61,7 +61,7 @@
   /** Mean number of busy requests at an agent. */
   readonly meanBusy: number;
   /** Part of the other balancers that choose among the same agents as this one. */
-  readonly echo: number;
+  readonly competingShare: number;
 }
 
 /**
@@ -70,29 +70,29 @@
  * Balancers see the same reports and choose alike, so each opening of this balancer that
  * no report shows yet stands for one of every balancer with the same candidates.
  */
-function expectedUse(
+function estimateUtilization(
   entry: AgentEntry,
-  { busyPerFlow: perFlow, echo, meanBusy }: ServiceLoad,
+  { busyPerFlow: perFlow, competingShare: competingShare, meanBusy }: ServiceLoad,
   context: SelectionContext,
 ): number {
-  const balancers = Math.max(1, (entry.report?.balancerCount ?? 1) * echo);
+  const balancers = Math.max(1, (entry.report?.balancerCount ?? 1) * competingShare);
   const openings = entry.recentOpenings.length * balancers;
   if (!entry.report) {
     return openings / DEFAULT_SLOTS;
   }
   const { busyRequests, openFlows, slots } = entry.report;
-  const weight = Math.exp(-context.ageOf(entry) / memoryOf(entry.report));
-  const queued = meanBusy + (busyRequests - meanBusy) * weight;
+  const reportWeight = Math.exp(-context.getReportAge(entry) / computeDecayTime(entry.report));
+  const queued = meanBusy + (busyRequests - meanBusy) * reportWeight;
   const busy = queued + openFlows * perFlow + openings;
   return busy / (slots || DEFAULT_SLOTS);
 }
 
 /** Load of an agent's target for each of its slots, with what speaks against it; lower is better. */
-function loadOf(entry: AgentEntry, service: ServiceLoad, context: SelectionContext): number {
+function computeLoad(entry: AgentEntry, service: ServiceLoad, context: SelectionContext): number {
   const isCold = entry.report !== undefined && entry.report.coldLeft > 0;
   const isReady = entry.report?.state === TargetState.ready;
-  let load = expectedUse(entry, service, context);
-  load += transferLoad(entry, context);
+  let load = estimateUtilization(entry, service, context);
+  load += computeTransferLoad(entry, context);
   load += isCold ? COLD_PENALTY : 0;
   load += isReady ? 0 : UNKNOWN_STATE_PENALTY;
   load += (FAILURE_PENALTY * (entry.report?.failurePercent ?? 0)) / 100;
@@ -102,11 +102,11 @@
 }
 
 /** The cost of another zone, in answers of the target. */
-function transferLoad(entry: AgentEntry, context: SelectionContext): number {
-  return context.transferCost(entry) / (entry.report?.answerTime || DEFAULT_ANSWER_TIME);
+function computeTransferLoad(entry: AgentEntry, context: SelectionContext): number {
+  return context.getTransferCost(entry) / (entry.report?.answerTime || DEFAULT_ANSWER_TIME_MS);
 }
 
-interface Loaded {
+interface ScoredAgent {
   readonly entry: AgentEntry;
   readonly load: number;
 }
@@ -122,21 +122,21 @@
 ): Choice | undefined {
   const accepting = ordered.filter((entry) => acceptsNewFlows(entry));
   const service: ServiceLoad = {
-    busyPerFlow: busyPerFlow(ordered),
-    meanBusy: meanBusy(accepting),
-    echo: Math.min(1, CANDIDATES / accepting.length),
+    busyPerFlow: computeBusyPerFlow(ordered),
+    meanBusy: computeMeanBusy(accepting),
+    competingShare: Math.min(1, CANDIDATES / accepting.length),
   };
-  for (let width = CANDIDATES; ; width *= 2) {
-    const choice = chooseLeastLoaded(accepting.slice(0, width), service, context);
-    const isGoodEnough = choice && choice.load < 1 + transferLoad(choice.entry, context);
-    if (width >= accepting.length || isGoodEnough) {
-      return choice && choiceOf(choice.entry, context);
+  for (let count = CANDIDATES; ; count *= 2) {
+    const choice = chooseLeastLoaded(accepting.slice(0, count), service, context);
+    const isGoodEnough = choice && choice.load < 1 + computeTransferLoad(choice.entry, context);
+    if (count >= accepting.length || isGoodEnough) {
+      return choice && createChoice(choice.entry, context);
     }
   }
 }
 
-function choiceOf(entry: AgentEntry, context: SelectionContext): Choice {
-  const placementClass = placementClassOf(entry, context);
+function createChoice(entry: AgentEntry, context: SelectionContext): Choice {
+  const placementClass = getPlacementClass(entry, context);
   return { entry, placementClass, isTrial: false, expectedTime: 0, reportedTime: 0 };
 }
 
@@ -144,10 +144,10 @@
   entries: readonly AgentEntry[],
   service: ServiceLoad,
   context: SelectionContext,
-): Loaded | undefined {
-  let best: Loaded | undefined;
+): ScoredAgent | undefined {
+  let best: ScoredAgent | undefined;
   for (const entry of entries) {
-    const load = loadOf(entry, service, context) + context.random() * TIE_BREAK;
+    const load = computeLoad(entry, service, context) + context.random() * TIE_MARGIN;
     if (!best || load < best.load) {
       best = { entry, load };
     }
--- a/src/packets/choice/set-aside-targets.ts
+++ b/src/packets/choice/outlier-ejection.ts
@@ -8,31 +8,31 @@
 import type { Environment } from '../../environment';
 import { Events } from '../../logging/events';
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
-import { ENOUGH_ANSWERS, findOutliers, type ComparedTarget, type OutlierReason } from './outliers';
+import { MINIMUM_ANSWERS, findOutliers, type ComparedTarget, type OutlierReason } from './outliers';
 import { reportInterval } from '../report-interval';
-import { acceptsNewFlows, type Standing } from './selection';
+import { acceptsNewFlows, type OutlierStatus } from './selection';
 
 /**
  * Comparisons of a service for each report of an agent: every 50 ms with the shortest interval, which
  * is a flow or two of a busy balancer; less often in large fleets, where each has more to compare.
  */
-const REVIEWS_PER_REPORT = 5;
+const COMPARISONS_PER_REPORT = 5;
 /**
  * Milliseconds between two trials of a target by all balancers together: what fails for good spoils
  * one flow a second, and three answers show that it is well again.
  */
-const TRIAL_INTERVAL = 1_000;
+const TRIAL_INTERVAL_MS = 1_000;
 /** Milliseconds for which a target that is no longer set aside counts as doubtful. */
-const RESTORING_TIME = 1_000;
+const RESTORED_TIME_MS = 1_000;
 /**
  * Milliseconds for which a target stays set aside whose agent has restarted and knows nothing of it:
  * as long as an agent remembers the latest failures.
  */
-const LONGEST_MEMORY = 10_000;
+const MAXIMUM_EJECTION_WITHOUT_REPORT_MS = 10_000;
 
 /** A target that is not as usual. */
-type Exception =
-  | SetAside
+type OutlierState =
+  | Ejected
   /** Worse, and not yet for as long as all others need to report what may have befallen them too. */
   | Suspected
   | { readonly kind: 'restored'; readonly until: number };
@@ -44,7 +44,7 @@
   readonly doubtfulUntil: number;
 }
 
-interface SetAside {
+interface Ejected {
   readonly kind: 'setAside';
   /** When, and by which figure, it was last seen to be worse. */
   confirmedAt: number;
@@ -55,11 +55,11 @@
   trialAt: number;
 }
 
-const USUAL: Standing = { kind: 'usual' };
-const RESTORED: Standing = { kind: 'restored' };
+const USUAL: OutlierStatus = { kind: 'usual' };
+const RESTORED: OutlierStatus = { kind: 'restored' };
 
 /** What the judgement works with. */
-export interface SetAsideDependencies {
+export interface OutlierEjectionDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
   /** Targets of a service, in percent, that may be set aside at most; 0 for none. */
@@ -67,112 +67,112 @@
 }
 
 /** The judgement of one balancer. */
-export class SetAsideTargets {
-  private readonly exceptions = new Map<AgentEntry, Exception>();
+export class OutlierEjection {
+  private readonly states = new Map<AgentEntry, OutlierState>();
   /** When each service was last compared. */
-  private readonly reviewedAt = new Map<string, number>();
+  private readonly comparedAt = new Map<string, number>();
 
-  constructor(private readonly dependencies: SetAsideDependencies) {}
+  constructor(private readonly dependencies: OutlierEjectionDependencies) {}
 
   /** Targets that are set aside now. */
-  get count(): number {
-    let count = 0;
-    for (const { kind } of this.exceptions.values()) {
-      count += kind === 'setAside' ? 1 : 0;
+  get ejectedCount(): number {
+    let ejected = 0;
+    for (const { kind } of this.states.values()) {
+      ejected += kind === 'setAside' ? 1 : 0;
     }
-    return count;
+    return ejected;
   }
 
   /** Compares the targets of a service, unless it was done a moment ago. */
-  review(service: string, now: number): void {
+  compareTargets(service: string, now: number): void {
     const { directory, share } = this.dependencies;
-    const interval = reportInterval(directory.size) / REVIEWS_PER_REPORT;
-    if (share === 0 || now - (this.reviewedAt.get(service) ?? -Infinity) < interval) {
+    const interval = reportInterval(directory.size) / COMPARISONS_PER_REPORT;
+    if (share === 0 || now - (this.comparedAt.get(service) ?? -Infinity) < interval) {
       return;
     }
-    this.reviewedAt.set(service, now);
+    this.comparedAt.set(service, now);
     const entries = directory
       .ofServices([service])
       .filter((entry) => acceptsNewFlows(entry) && directory.isHeard(entry, now));
     entries.forEach((entry) => this.forgetReplaced(entry));
     const outliers = findOutliers(
-      entries.map((entry) => this.readFigures(entry, now)),
+      entries.map((entry) => this.readMetrics(entry, now)),
       share,
     );
     for (const entry of entries) {
-      this.conclude(entry, outliers.get(entry), now);
+      this.updateState(entry, outliers.get(entry), now);
     }
   }
 
   /** @param mayTry whether a flow is at hand that may be used for a trial */
-  standingOf(entry: AgentEntry, mayTry: boolean, now: number): Standing {
-    const exception = this.exceptions.get(entry);
-    switch (exception?.kind) {
+  getStatus(entry: AgentEntry, mayTry: boolean, now: number): OutlierStatus {
+    const state = this.states.get(entry);
+    switch (state?.kind) {
       case undefined:
         return USUAL;
       case 'suspected':
-        return now < exception.doubtfulUntil ? RESTORED : USUAL;
+        return now < state.doubtfulUntil ? RESTORED : USUAL;
       case 'setAside':
-        return { kind: 'setAside', isTrialDue: mayTry && now >= exception.trialAt };
+        return { kind: 'setAside', isTrialDue: mayTry && now >= state.trialAt };
       case 'restored':
-        return now < exception.until ? RESTORED : USUAL;
+        return now < state.until ? RESTORED : USUAL;
     }
   }
 
   /** A flow goes to a target that is set aside: the next trial is due a while later. */
-  noteTrial(entry: AgentEntry, now: number): void {
-    const exception = this.exceptions.get(entry);
-    if (exception?.kind === 'setAside') {
-      const spread = 0.5 + this.dependencies.environment.random();
-      exception.trialAt = now + trialIntervalOf(entry) * spread;
+  recordTrial(entry: AgentEntry, now: number): void {
+    const state = this.states.get(entry);
+    if (state?.kind === 'setAside') {
+      const jitter = 0.5 + this.dependencies.environment.random();
+      state.trialAt = now + computeTrialInterval(entry) * jitter;
     }
   }
 
   /** Forgets agents that have left, and what is over. */
   expire(now: number): void {
     const { directory } = this.dependencies;
-    this.reviewedAt.forEach((at, service) => {
-      if (now - at > LONGEST_MEMORY) {
-        this.reviewedAt.delete(service);
+    this.comparedAt.forEach((at, service) => {
+      if (now - at > MAXIMUM_EJECTION_WITHOUT_REPORT_MS) {
+        this.comparedAt.delete(service);
       }
     });
-    for (const [entry, exception] of this.exceptions) {
-      if (this.isOver(entry, exception, now) || directory.find(entry.address) !== entry) {
-        this.exceptions.delete(entry);
+    for (const [entry, state] of this.states) {
+      if (this.isExpired(entry, state, now) || directory.find(entry.address) !== entry) {
+        this.states.delete(entry);
       }
     }
   }
 
   /** What is suspected of a silent agent has to be seen anew; `review` ends what is set aside. */
-  private isOver(entry: AgentEntry, exception: Exception, now: number): boolean {
-    switch (exception.kind) {
+  private isExpired(entry: AgentEntry, state: OutlierState, now: number): boolean {
+    switch (state.kind) {
       case 'setAside':
         return false;
       case 'suspected':
         return !this.dependencies.directory.isHeard(entry, now);
       case 'restored':
-        return now >= exception.until;
+        return now >= state.until;
     }
   }
 
   /** Another target has taken the place of one that was set aside: it begins as usual. */
   private forgetReplaced(entry: AgentEntry): void {
-    const exception = this.exceptions.get(entry);
+    const state = this.states.get(entry);
     const { report } = entry;
-    if (exception?.kind !== 'setAside' || !report) {
+    if (state?.kind !== 'setAside' || !report) {
       return;
     }
-    if (exception.run === report.run && exception.targetChanges !== report.targetChanges) {
-      this.exceptions.delete(entry);
-      this.tellRestored(entry, 'replaced');
+    if (state.run === report.run && state.targetChanges !== report.targetChanges) {
+      this.states.delete(entry);
+      this.reportRestored(entry, 'replaced');
     }
   }
 
-  private readFigures(entry: AgentEntry, now: number): ComparedTarget<AgentEntry> {
-    const exception = this.exceptions.get(entry);
-    const isSetAside = exception?.kind === 'setAside';
+  private readMetrics(entry: AgentEntry, now: number): ComparedTarget<AgentEntry> {
+    const state = this.states.get(entry);
+    const isSetAside = state?.kind === 'setAside';
     const { failurePercent = 0, answerTime = 0, answers = 0, coldLeft = 0 } = entry.report ?? {};
-    const told = {
+    const reported = {
       id: entry,
       failurePercent,
       answerTime,
@@ -180,63 +180,63 @@
       isCold: coldLeft > 0,
       isSetAside,
     };
-    return isSetAside && this.isForgetful(entry, exception, now)
-      ? { ...told, ...figuresOf(exception.reason) }
-      : told;
+    return isSetAside && this.hasLostHistory(entry, state, now)
+      ? { ...reported, ...createEjectionMetrics(state.reason) }
+      : reported;
   }
 
   /** Whether the agent of a target that was set aside has restarted and has nothing to tell of it. */
-  private isForgetful({ report }: AgentEntry, exception: SetAside, now: number): boolean {
-    const hasRestarted = report !== undefined && report.run !== exception.run;
-    const knowsTarget = report !== undefined && report.answers >= ENOUGH_ANSWERS;
-    return hasRestarted && !knowsTarget && now - exception.confirmedAt < LONGEST_MEMORY;
+  private hasLostHistory({ report }: AgentEntry, state: Ejected, now: number): boolean {
+    const hasRestarted = report !== undefined && report.run !== state.run;
+    const knowsTarget = report !== undefined && report.answers >= MINIMUM_ANSWERS;
+    return hasRestarted && !knowsTarget && now - state.confirmedAt < MAXIMUM_EJECTION_WITHOUT_REPORT_MS;
   }
 
-  private conclude(entry: AgentEntry, reason: OutlierReason | undefined, now: number): void {
-    const exception = this.exceptions.get(entry);
-    switch (exception?.kind) {
+  private updateState(entry: AgentEntry, reason: OutlierReason | undefined, now: number): void {
+    const state = this.states.get(entry);
+    switch (state?.kind) {
       case 'setAside':
-        this.concludeSetAside(entry, exception, reason, now);
+        this.updateEjected(entry, state, reason, now);
         return;
       case 'suspected':
         if (!reason) {
-          this.exceptions.delete(entry);
-        } else if (now - exception.since >= reportInterval(this.dependencies.directory.size)) {
-          this.setAside(entry, reason, now);
+          this.states.delete(entry);
+        } else if (now - state.since >= reportInterval(this.dependencies.directory.size)) {
+          this.eject(entry, reason, now);
         }
         return;
       case 'restored':
       case undefined:
         if (reason) {
-          const doubtfulUntil = exception?.until ?? 0;
-          this.exceptions.set(entry, { kind: 'suspected', since: now, doubtfulUntil });
+          const doubtfulUntil = state?.until ?? 0;
+          this.states.set(entry, { kind: 'suspected', since: now, doubtfulUntil });
         }
     }
   }
 
-  private concludeSetAside(
+  private updateEjected(
     entry: AgentEntry,
-    exception: SetAside,
+    state: Ejected,
     reason: OutlierReason | undefined,
     now: number,
   ): void {
     if (!reason) {
-      this.exceptions.set(entry, { kind: 'restored', until: now + RESTORING_TIME });
-      this.tellRestored(entry, 'well');
-    } else if (entry.report && !this.isForgetful(entry, exception, now)) {
-      exception.reason = reason;
-      exception.confirmedAt = now;
-      exception.run = entry.report.run;
-      exception.targetChanges = entry.report.targetChanges;
+      this.states.set(entry, { kind: 'restored', until: now + RESTORED_TIME_MS });
+      this.reportRestored(entry, 'well');
+    } else if (entry.report && !this.hasLostHistory(entry, state, now)) {
+      state.reason = reason;
+      state.confirmedAt = now;
+      state.run = entry.report.run;
+      state.targetChanges = entry.report.targetChanges;
     }
   }
 
-  private setAside(entry: AgentEntry, reason: OutlierReason, now: number): void {
+  private eject(entry: AgentEntry, reason: OutlierReason, now: number): void {
     const { environment } = this.dependencies;
     const { run = 0, targetChanges = 0 } = entry.report ?? {};
-    const trialAt = now + trialIntervalOf(entry) * environment.random();
+    const trialAt = now + computeTrialInterval(entry) * environment.random();
     const confirmedAt = now;
-    this.exceptions.set(entry, {
+    this.states.set(entry, {
       kind: 'setAside',
       confirmedAt,
       reason,
@@ -253,7 +253,7 @@
     });
   }
 
-  private tellRestored(entry: AgentEntry, reason: 'well' | 'replaced'): void {
+  private reportRestored(entry: AgentEntry, reason: 'well' | 'replaced'): void {
     this.dependencies.environment.report(Events.targetRestored, {
       agent: formatEndpoint(entry.address),
       service: entry.service,
@@ -263,16 +263,16 @@
 }
 
 /** Milliseconds between two trials of a target by one of the balancers that its agent reports to. */
-function trialIntervalOf({ report }: AgentEntry): number {
-  return TRIAL_INTERVAL * Math.max(1, report?.balancerCount ?? 1);
+function computeTrialInterval({ report }: AgentEntry): number {
+  return TRIAL_INTERVAL_MS * Math.max(1, report?.balancerCount ?? 1);
 }
 
 /** The figures by which a target was set aside, in place of those that its agent has forgotten. */
-function figuresOf({ kind, figure }: OutlierReason): Partial<ComparedTarget<AgentEntry>> {
+function createEjectionMetrics({ kind, figure }: OutlierReason): Partial<ComparedTarget<AgentEntry>> {
   switch (kind) {
     case 'failing':
       return { failurePercent: figure };
     case 'slow':
-      return { answerTime: figure, answers: ENOUGH_ANSWERS };
+      return { answerTime: figure, answers: MINIMUM_ANSWERS };
   }
 }
--- a/src/packets/choice/outliers.ts
+++ b/src/packets/choice/outliers.ts
@@ -2,26 +2,26 @@
  * Which targets of a service are far worse than the others. A service that is slow or fails as a
  * whole has no such target: each is compared with the median, so load and bad input set nobody aside.
  */
-import { medianOf } from './service-outlook';
+import { computeMedian } from './service-statistics';
 
 /**
  * Points of a hundred by which a target's failures must exceed its service's median: more than a
  * stray failure or two bring with those successes that an agent assumes.
  */
-const FAILURE_MARGIN = 30;
+const FAILURE_MARGIN_PERCENT = 30;
 /** Part of that margin to which they must have come down again. */
-const RESTORE_SHARE = 0.5;
+const RESTORE_MARGIN_SHARE = 0.5;
 /**
  * Times the median that an answer must take: then two requests may wait at any other target and be
  * answered sooner than one at this target while it is idle.
  */
 const SLOW_FACTOR = 3;
 /** Times the median to which it must have come down again. */
-const RESTORE_FACTOR = 2;
+const RESTORE_SLOW_FACTOR = 2;
 /** Milliseconds by which it must exceed the median besides: less is lost among the ways of packets. */
-export const SLOW_MARGIN = 10;
+export const SLOW_MARGIN_MS = 10;
 /** Answers of late that a time must rest on. */
-export const ENOUGH_ANSWERS = 3;
+export const MINIMUM_ANSWERS = 3;
 const PERCENT = 100;
 
 /** What is compared of one target. */
@@ -70,24 +70,24 @@
   targets: readonly ComparedTarget<Id>[],
   share: number,
 ): Map<Id, OutlierReason> {
-  const medians = mediansOf(targets);
+  const medians = computeMedians(targets);
   const outliers = targets.flatMap((target) => findOutlier(target, medians) ?? []);
   outliers.sort((one, other) => other.excess - one.excess);
-  const bound = Math.floor((targets.length * share) / PERCENT);
-  return new Map(outliers.slice(0, bound).map(({ id, reason }) => [id, reason]));
+  const maxCount = Math.floor((targets.length * share) / PERCENT);
+  return new Map(outliers.slice(0, maxCount).map(({ id, reason }) => [id, reason]));
 }
 
-function mediansOf<Id>(targets: readonly ComparedTarget<Id>[]): Medians {
-  const times = targets.filter((target) => hasToldTime(target)).map(({ answerTime }) => answerTime);
+function computeMedians<Id>(targets: readonly ComparedTarget<Id>[]): Medians {
+  const times = targets.filter((target) => isTimed(target)).map(({ answerTime }) => answerTime);
   const isComparable = times.length * 2 > targets.length;
   return {
-    failurePercent: medianOf(targets.map(({ failurePercent }) => failurePercent)) ?? 0,
-    answerTime: isComparable ? medianOf(times) : undefined,
+    failurePercent: computeMedian(targets.map(({ failurePercent }) => failurePercent)) ?? 0,
+    answerTime: isComparable ? computeMedian(times) : undefined,
   };
 }
 
-function hasToldTime<Id>({ answers, isCold }: ComparedTarget<Id>): boolean {
-  return answers >= ENOUGH_ANSWERS && !isCold;
+function isTimed<Id>({ answers, isCold }: ComparedTarget<Id>): boolean {
+  return answers >= MINIMUM_ANSWERS && !isCold;
 }
 
 function findOutlier<Id>(target: ComparedTarget<Id>, medians: Medians): Outlier<Id> | undefined {
@@ -97,9 +97,9 @@
 
 function findFailure<Id>(target: ComparedTarget<Id>, median: number): Outlier<Id> | undefined {
   const { id, failurePercent: figure, isSetAside } = target;
-  const margin = FAILURE_MARGIN * (isSetAside ? RESTORE_SHARE : 1);
+  const margin = FAILURE_MARGIN_PERCENT * (isSetAside ? RESTORE_MARGIN_SHARE : 1);
   const reason = { kind: 'failing', figure, median } as const;
-  const excess = (figure - median) / FAILURE_MARGIN;
+  const excess = (figure - median) / FAILURE_MARGIN_PERCENT;
   return figure - median >= margin ? { id, reason, excess } : undefined;
 }
 
@@ -108,12 +108,12 @@
   median: number | undefined,
 ): Outlier<Id> | undefined {
   const { id, answerTime: figure, isSetAside } = target;
-  const factor = isSetAside ? RESTORE_FACTOR : SLOW_FACTOR;
-  const isTold = isSetAside ? target.answers > 0 : hasToldTime(target);
-  if (median === undefined || !isTold) {
+  const factor = isSetAside ? RESTORE_SLOW_FACTOR : SLOW_FACTOR;
+  const hasEnoughAnswers = isSetAside ? target.answers > 0 : isTimed(target);
+  if (median === undefined || !hasEnoughAnswers) {
     return undefined;
   }
-  if (figure < median * factor || figure < median + SLOW_MARGIN) {
+  if (figure < median * factor || figure < median + SLOW_MARGIN_MS) {
     return undefined;
   }
   const reason = { kind: 'slow', figure, median } as const;
--- a/src/packets/choice/kept-flows.ts
+++ b/src/packets/choice/persistent-flows.ts
@@ -5,30 +5,30 @@
  * what the target can do.
  */
 import type { AgentEntry } from '../agent-directory';
-import { fillUp } from './filling';
-import { slotsOf, sureAnswerTimeOf, type ServiceOutlook } from './service-outlook';
+import { computeWaterLevel } from './water-filling';
+import { getSlots, estimateLongTermAnswerTime, type ServiceStatistics } from './service-statistics';
 
 /**
  * Part of its time for which a service is taken to be busy at least. Flows that open before any request
  * are spread by it; and below it nobody waits, so that a target keeps its part of new flows whatever
  * clients have left open there.
  */
-const LEAST_USE = 0.1;
+const MINIMUM_UTILIZATION = 0.1;
 /** Flows of a target, in the mean, below which their number says little of its use. */
-const FEW_FLOWS = 10;
+const PRIOR_FLOWS = 10;
 /** Use beyond which the wait is taken to rise evenly: a target that is overloaded has no steady one. */
-const HIGHEST_USE = 0.9;
+const MAXIMUM_STEADY_UTILIZATION = 0.9;
 
 /** What decides between targets for a flow that stays. */
-export interface KeptFlowContext {
+export interface PersistentFlowContext {
   /** Requests that the flow is expected to carry; 1 for one that ends with its first. */
   readonly requestsPerFlow: number;
   /** Other balancers that place flows among the same targets. */
-  readonly rivals: number;
+  readonly competitors: number;
 }
 
 /** One target with the flows that it has for what it can do. */
-interface KeptLoad {
+interface PersistentLoad {
   readonly entry: AgentEntry;
   /** Requests that it answers in a millisecond. */
   readonly capacity: number;
@@ -47,45 +47,45 @@
  * What the later requests of a flow wait at each candidate; nothing where it has one request. The wait is that
  * at a target of mean capacity: by its own, quick targets would be filled until they are no quicker.
  */
-export function measureLaterWaits(
+export function estimateLaterWaits(
   candidates: readonly AgentEntry[],
-  outlook: ServiceOutlook,
-  { requestsPerFlow, rivals }: KeptFlowContext,
+  statistics: ServiceStatistics,
+  { requestsPerFlow, competitors: competitors }: PersistentFlowContext,
 ): LaterWaits {
   if (requestsPerFlow <= 1) {
     return NO_WAITS;
   }
-  const loads = candidates.map((entry) => loadOf(entry, outlook));
+  const loads = candidates.map((entry) => computeLoad(entry, statistics));
   const opened = loads.reduce((sum, { capacity, own }) => sum + capacity * own, 0);
-  const filled = fillUp(
+  const waterLevel = computeWaterLevel(
     loads.map(({ level, capacity }) => ({ level, width: capacity })),
-    opened * rivals,
+    opened * competitors,
   );
-  const levels = loads.map(({ level, own }) => Math.max(level, filled) + own);
-  const mean = meanLevelOf(loads, levels);
+  const levels = loads.map(({ level, own }) => Math.max(level, waterLevel) + own);
+  const mean = computeMeanLevel(loads, levels);
   const total = loads.reduce((sum, { capacity }) => sum + capacity, 0);
-  const few = (FEW_FLOWS * loads.length) / total;
-  const use = Math.max(LEAST_USE, outlook.use);
+  const priorLevel = (PRIOR_FLOWS * loads.length) / total;
+  const utilization = Math.max(MINIMUM_UTILIZATION, statistics.utilization);
   return new Map(
     loads.map(({ entry, capacity }, index) => {
       const level = levels[index]! + 1 / capacity;
-      const wait = (measureWait((use * (level + few)) / (mean + few)) * loads.length) / total;
+      const wait = (estimateQueueLength((utilization * (level + priorLevel)) / (mean + priorLevel)) * loads.length) / total;
       return [entry, (requestsPerFlow - 1) * wait];
     }),
   );
 }
 
 /** Requests that wait in the mean before one at a target that is busy for a part of its time. */
-export function measureWait(use: number): number {
-  const steady = Math.min(use, HIGHEST_USE);
-  const slope = 1 / (1 - HIGHEST_USE) ** 2;
-  return steady / (1 - steady) + Math.max(0, use - HIGHEST_USE) * slope;
+export function estimateQueueLength(utilization: number): number {
+  const steady = Math.min(utilization, MAXIMUM_STEADY_UTILIZATION);
+  const slope = 1 / (1 - MAXIMUM_STEADY_UTILIZATION) ** 2;
+  return steady / (1 - steady) + Math.max(0, utilization - MAXIMUM_STEADY_UTILIZATION) * slope;
 }
 
-function loadOf(entry: AgentEntry, outlook: ServiceOutlook): KeptLoad {
+function computeLoad(entry: AgentEntry, statistics: ServiceStatistics): PersistentLoad {
   const { report, recentFlows } = entry;
-  const slots = slotsOf(entry);
-  const capacity = slots / sureAnswerTimeOf(entry, outlook);
+  const slots = getSlots(entry);
+  const capacity = slots / estimateLongTermAnswerTime(entry, statistics);
   // Flows whose first request waits for a slot are not yet known to be open.
   const waiting = Math.max(0, (report?.busyRequests ?? 0) - slots);
   const flows = (report?.openFlows ?? 0) + waiting;
@@ -93,7 +93,7 @@
 }
 
 /** The level at which all candidates would be equally loaded, one more flow included. */
-function meanLevelOf(loads: readonly KeptLoad[], levels: readonly number[]): number {
+function computeMeanLevel(loads: readonly PersistentLoad[], levels: readonly number[]): number {
   let flows = 0;
   let capacity = 0;
   loads.forEach((load, index) => {
--- a/src/packets/choice/selection.ts
+++ b/src/packets/choice/selection.ts
@@ -11,16 +11,16 @@
    * Heard, and as good as its service. Also one of which its agent has had no heartbeat yet: after
    * all agents have restarted, the first that has one would else draw every flow.
    */
-  able: 0,
+  healthy: 0,
   /** Nothing speaks against it, and too little is known: its agent is new, or it was just restored. */
   doubtful: 1,
-  /** Its agent is silent, or it is set aside ({@link Standing}). */
+  /** Its agent is silent, or it is set aside ({@link OutlierStatus}). */
   lastResort: 2,
 } as const;
 export type PlacementClassValue = (typeof PlacementClass)[keyof typeof PlacementClass];
 
 /** How a target stands in comparison with its service. */
-export type Standing =
+export type OutlierStatus =
   | { readonly kind: 'usual' }
   /** It fails or is slow where its service does not; a trial may be due. */
   | { readonly kind: 'setAside'; readonly isTrialDue: boolean }
@@ -38,15 +38,15 @@
   /** Requests that the flow is expected to carry; 1 for one that ends with its first. */
   readonly requestsPerFlow: number;
   /** Part of the other balancers that place among the same agents, 0 to 1. */
-  readonly rivalShare: number;
+  readonly competingShare: number;
   isHeard(entry: AgentEntry): boolean;
   /** Milliseconds since an agent's latest report. */
-  ageOf(entry: AgentEntry): number;
+  getReportAge(entry: AgentEntry): number;
   /** Whether the agent is so new that other balancers may not know it. */
   isSettling(entry: AgentEntry): boolean;
   /** Milliseconds that a flow to an agent costs on the way; at home too where an agent is in doubt. */
-  transferCost(entry: AgentEntry): number;
-  standingOf(entry: AgentEntry): Standing;
+  getTransferCost(entry: AgentEntry): number;
+  getOutlierStatus(entry: AgentEntry): OutlierStatus;
   /** Uniform in [0, 1). */
   random(): number;
 }
@@ -70,15 +70,15 @@
 }
 
 /** How far the target of an agent that takes new flows may be relied upon. */
-export function placementClassOf(
+export function getPlacementClass(
   entry: AgentEntry,
   context: SelectionContext,
 ): PlacementClassValue {
-  const { kind } = context.standingOf(entry);
+  const { kind } = context.getOutlierStatus(entry);
   if (kind === 'setAside' || !context.isHeard(entry)) {
     return PlacementClass.lastResort;
   }
   return kind === 'usual' && !context.isSettling(entry)
-    ? PlacementClass.able
+    ? PlacementClass.healthy
     : PlacementClass.doubtful;
 }
--- a/src/packets/choice/work-clock.ts
+++ b/src/packets/choice/service-time-tracker.ts
@@ -4,7 +4,7 @@
  */
 
 /** Requests of one target, by what identifies them. */
-export class WorkClock<Key> {
+export class ServiceTimeTracker<Key> {
   /** When the target began with each request that has a slot, longest ago first. */
   private readonly startedAt = new Map<Key, number>();
   /** Requests that wait for a slot, in their order. */
@@ -14,8 +14,8 @@
   constructor(private readonly slots: () => number) {}
 
   /** The target has got a request. */
-  begin(key: Key, now: number): void {
-    if (this.hasSlot) {
+  startRequest(key: Key, now: number): void {
+    if (this.hasFreeSlot) {
       this.startedAt.set(key, now);
     } else {
       this.waiting.add(key);
@@ -23,11 +23,11 @@
   }
 
   /** A request has ended: the one that has waited longest begins. */
-  end(key: Key, now: number): void {
+  endRequest(key: Key, now: number): void {
     this.startedAt.delete(key);
     this.waiting.delete(key);
     for (const next of this.waiting) {
-      if (!this.hasSlot) {
+      if (!this.hasFreeSlot) {
         return;
       }
       this.waiting.delete(next);
@@ -36,13 +36,13 @@
   }
 
   /** Milliseconds of work on a request; undefined for one that waits, or is not there. */
-  workTime(key: Key, now: number): number | undefined {
+  getServiceTime(key: Key, now: number): number | undefined {
     const startedAt = this.startedAt.get(key);
     return startedAt === undefined ? undefined : now - startedAt;
   }
 
   /** Milliseconds of work on the request that has a slot for longest; 0 for none. */
-  longestWork(now: number): number {
+  getLongestServiceTime(now: number): number {
     for (const startedAt of this.startedAt.values()) {
       return now - startedAt;
     }
@@ -54,7 +54,7 @@
     this.waiting.clear();
   }
 
-  private get hasSlot(): boolean {
+  private get hasFreeSlot(): boolean {
     const slots = this.slots();
     return slots === 0 || this.startedAt.size < slots;
   }
--- a/src/packets/flow-cache.ts
+++ b/src/packets/flow-cache.ts
@@ -4,7 +4,7 @@
  * flow is dropped first.
  */
 import type { Endpoint } from '../environment';
-import { createFlowUse, type FlowUse } from './choice/route-use';
+import { createFlowRequestCount, type FlowRequestCount } from './choice/route-request-statistics';
 import type { FlowKey } from './flow-packet';
 
 /** What a balancer knows of one flow. */
@@ -18,7 +18,7 @@
   /** Agents that were sent an opening packet and have not refused it. */
   readonly offered: Set<Endpoint>;
   /** Its requests, as far as they have passed here. */
-  readonly use: FlowUse;
+  readonly use: FlowRequestCount;
   usedAt: number;
 }
 
@@ -63,7 +63,7 @@
       return;
     }
     const offered = new Set([agent]);
-    const use = createFlowUse();
+    const use = createFlowRequestCount();
     this.store(key, { agent, confirmed: false, service, offered, use, usedAt: now });
   }
 
@@ -80,7 +80,7 @@
       confirmed: true,
       service: undefined,
       offered: new Set(),
-      use: createFlowUse(),
+      use: createFlowRequestCount(),
       usedAt: now,
     };
     this.store(key, flow);
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -7,9 +7,9 @@
 import { selectAgent, type Choice, type SelectionContext } from './agent-selection';
 import { DEFAULT_CHOICE, type ChoiceSettings } from './choice/choice-settings';
 import { OpeningRates } from './choice/opening-rates';
-import { RouteUse, type FlowUse } from './choice/route-use';
+import { RouteRequestStatistics, type FlowRequestCount } from './choice/route-request-statistics';
 import { PlacementClass } from './choice/selection';
-import { SetAsideTargets } from './choice/set-aside-targets';
+import { OutlierEjection } from './choice/outlier-ejection';
 import type { FlowCache } from './flow-cache';
 import type { FlowPacket } from './flow-packet';
 import type { FlowSearch, FlowSearches } from './flow-search';
@@ -19,8 +19,8 @@
 import type { PacketOutlet } from './packet-outlet';
 import { servicesOf, type Route, type RoutingTable } from './routing-table';
 import { ServiceRotation } from './service-rotation';
-import { findLessUrgentRoutes, termsOf } from './terms/route-terms';
-import { TermsLedger } from './terms/terms-ledger';
+import { findLessUrgentRoutes, getTerms } from './terms/route-terms';
+import { SentTermsTracker } from './terms/sent-terms-tracker';
 
 /** What the placement works with. */
 export interface FlowPlacementDependencies {
@@ -43,10 +43,10 @@
   private readonly rotation = new ServiceRotation();
 
   private readonly openings = new OpeningRates();
-  private readonly routeUse = new RouteUse();
+  private readonly routeUse = new RouteRequestStatistics();
   private readonly choice: ChoiceSettings;
-  private readonly setAside: SetAsideTargets;
-  private readonly ledger = new TermsLedger();
+  private readonly setAside: OutlierEjection;
+  private readonly ledger = new SentTermsTracker();
   private readonly admission: OpeningAdmission;
   private lessUrgent: ReadonlySet<Endpoint> = new Set();
   private routingVersion = 0;
@@ -56,12 +56,12 @@
     this.choice = choice;
     this.admission = new OpeningAdmission(choice.keptShare);
     const share = choice.expectedWait ? choice.setAsideShare : 0;
-    this.setAside = new SetAsideTargets({ environment, directory, share });
+    this.setAside = new OutlierEjection({ environment, directory, share });
   }
 
   /** Targets that get no flows but trials, since they are far worse than their services. */
   get agentsSetAside(): number {
-    return this.setAside.count;
+    return this.setAside.ejectedCount;
   }
 
   /** Drops what is too old to matter. */
@@ -73,9 +73,9 @@
   }
 
   /** A packet of an open flow passes: it tells how many requests flows of its route carry. */
-  notePacket(packet: FlowPacket, use: FlowUse): void {
+  notePacket(packet: FlowPacket, use: FlowRequestCount): void {
     if (this.choice.keptFlows) {
-      this.routeUse.note(packet, use, this.dependencies.environment.now());
+      this.routeUse.recordPacket(packet, use, this.dependencies.environment.now());
     }
   }
 
@@ -123,7 +123,7 @@
       .filter(({ zone, limitedUntil }) => !isEvacuated(zone) && limitedUntil <= now);
     const untried = candidates.filter(({ address }) => !search.refusedBy.has(address));
     const ordered = locality.orderForPlacement(packet.flow, untried);
-    search.services.forEach((one) => this.setAside.review(one, now));
+    search.services.forEach((one) => this.setAside.compareTargets(one, now));
     const context = this.selectionContext(packet, search, now);
     const choice = this.select(ordered, context);
     if (!choice) {
@@ -137,7 +137,7 @@
     const { entry: chosen } = choice;
     this.count(choice, now);
     directory.noteOpening(chosen, context.requestsPerFlow > 1, now);
-    this.openings.note(chosen.service, now);
+    this.openings.recordOpening(chosen.service, now);
     cache.noteOpening(packet.flow, chosen.address, service!, now);
     outlet.counters.flowsPlaced++;
     const spill = locality.notePlaced(chosen, ordered, outlet.counters);
@@ -175,10 +175,10 @@
       return true;
     }
     const { destination } = route;
-    return this.admission.takeDecision({
+    return this.admission.admit({
       destination,
       expectedTime: choice.reportedTime,
-      deadline: termsOf(route).deadline,
+      deadline: getTerms(route).deadline,
       isLessUrgent: this.lessUrgent.has(destination),
     });
   }
@@ -189,19 +189,19 @@
     outlet.counters.openingsRefused++;
     outlet.reset(packet, 'no answer in time', {
       expected: Math.round(reportedTime),
-      deadline: termsOf(search.route).deadline,
+      deadline: getTerms(search.route).deadline,
     });
   }
 
   /** An agent learns what the callers of a route expect before their first requests come. */
   private tellTerms({ address, report }: AgentEntry, route: Route): void {
     const isUnderstood = report !== undefined && report.frameVersion >= TERMS_VERSION;
-    if (isUnderstood && this.ledger.takeTelling(address, report.run, route)) {
+    if (isUnderstood && this.ledger.markSentIfDue(address, report.run, route)) {
       this.dependencies.link.send(address, {
         type: PacketMessageType.routeTerms,
         destination: route.destination,
         version: this.routingVersion,
-        ...termsOf(route),
+        ...getTerms(route),
       });
     }
   }
@@ -234,14 +234,14 @@
   }
 
   private requestsPerFlow({ destination }: FlowPacket, now: number): number {
-    return this.choice.keptFlows ? this.routeUse.requestsPerFlow(destination, now) : 1;
+    return this.choice.keptFlows ? this.routeUse.estimateRequestsPerFlow(destination, now) : 1;
   }
 
   private count({ entry, isTrial, placementClass }: Choice, now: number): void {
     const { counters } = this.dependencies.outlet;
     if (isTrial) {
       counters.trialFlows++;
-      this.setAside.noteTrial(entry, now);
+      this.setAside.recordTrial(entry, now);
       return;
     }
     counters.flowsPlacedDoubtful += placementClass === PlacementClass.doubtful ? 1 : 0;
@@ -253,15 +253,15 @@
     const { directory, environment, locality } = this.dependencies;
     return {
       now,
-      openingRate: this.openings.rate(search.services[0]!, now),
+      openingRate: this.openings.getRate(search.services[0]!, now),
       requestsPerFlow: this.requestsPerFlow(packet, now),
       usesExpectedWait: this.choice.expectedWait,
-      rivalShare: locality.rivalShare,
-      standingOf: (entry) => this.setAside.standingOf(entry, isTrialFlow, now),
-      ageOf: (entry) => now - (entry.heardAt ?? now),
+      competingShare: locality.rivalShare,
+      getOutlierStatus: (entry) => this.setAside.getStatus(entry, isTrialFlow, now),
+      getReportAge: (entry) => now - (entry.heardAt ?? now),
       isHeard: (entry) => directory.isHeard(entry, now),
       isSettling: (entry) => directory.isSettling(entry, now),
-      transferCost: (entry) => locality.costOf(entry, now),
+      getTransferCost: (entry) => locality.costOf(entry, now),
       random: () => environment.random(),
     };
   }
--- a/src/packets/flow-tracker.ts
+++ b/src/packets/flow-tracker.ts
@@ -3,7 +3,7 @@
  * have a request under way, and which balancer last sent a packet of each.
  */
 import type { Endpoint } from '../environment';
-import { WorkClock } from './choice/work-clock';
+import { ServiceTimeTracker } from './choice/service-time-tracker';
 import type { FlowKey, FlowPacket } from './flow-packet';
 import { endOf, measureDistance } from './repair/sequence-numbers';
 
@@ -43,13 +43,13 @@
   private busy = 0;
   private working = 0;
   private held = 0;
-  private readonly clock: WorkClock<TrackedFlow>;
+  private readonly clock: ServiceTimeTracker<TrackedFlow>;
   /** The latest time that the tracker was told. */
   private lastTold = 0;
 
   /** @param slots requests that the target works on at a time; 0 while unknown */
   constructor(slots: () => number = () => 0) {
-    this.clock = new WorkClock(slots);
+    this.clock = new ServiceTimeTracker(slots);
   }
 
   /** Requests that have begun to arrive at the target and have no answer yet. */
@@ -103,12 +103,12 @@
    */
   workTime(key: FlowKey, now: number): number | undefined {
     const flow = this.flows.get(key);
-    return flow && this.clock.workTime(flow, now);
+    return flow && this.clock.getServiceTime(flow, now);
   }
 
   /** Milliseconds for which the target has worked on the request that it began with longest ago. */
   longestWork(now: number): number {
-    return this.clock.longestWork(now);
+    return this.clock.getLongestServiceTime(now);
   }
 
   /** Whether a flow's request has been delivered and its answer has not begun. */
@@ -264,9 +264,9 @@
       flow.working = working;
       this.working += working ? 1 : -1;
       if (working) {
-        this.clock.begin(flow, this.lastTold);
+        this.clock.startRequest(flow, this.lastTold);
       } else {
-        this.clock.end(flow, this.lastTold);
+        this.clock.endRequest(flow, this.lastTold);
       }
     }
   }
--- a/src/packets/load-reporter.ts
+++ b/src/packets/load-reporter.ts
@@ -9,8 +9,8 @@
   type ReportMessage,
   type TargetStateValue,
 } from './packet-messages';
-import { CrowdingAlarm } from './choice/crowding-alarm';
-import { ReportAlarm, type TargetFigures } from './choice/report-alarm';
+import { LoadSpikeDetector } from './choice/load-spike-detector';
+import { DegradationDetector, type TargetMetrics } from './choice/degradation-detector';
 import { Subscribers } from './subscribers';
 import type { TargetHealth } from './target-health';
 import type { TargetLifecycle } from './target-lifecycle';
@@ -46,8 +46,8 @@
   private readonly subscribers = new Subscribers();
   private readonly run: number;
   private reportsSent = 0;
-  private readonly alarm = new ReportAlarm();
-  private readonly crowding = new CrowdingAlarm();
+  private readonly alarm = new DegradationDetector();
+  private readonly crowding = new LoadSpikeDetector();
 
   constructor(private readonly dependencies: LoadReporterDependencies) {
     this.run = Math.floor(dependencies.environment.random() * RUN_RANGE);
@@ -74,7 +74,7 @@
   /** Reports to every subscriber at once if the target has become much worse. */
   reportIfWorse(): void {
     const now = this.dependencies.environment.now();
-    if (this.alarm.isDue(this.figuresAt(now), now, () => this.subscribers.longestInterval)) {
+    if (this.alarm.shouldReport(this.figuresAt(now), now, () => this.subscribers.longestInterval)) {
       this.report();
     }
   }
@@ -83,7 +83,7 @@
   reportIfCrowded(): void {
     const { busyRequests, environment, tracker } = this.dependencies;
     const held = tracker.openFlows + busyRequests();
-    if (this.crowding.isDue(held, environment.now(), this.subscribers.longestInterval)) {
+    if (this.crowding.shouldReport(held, environment.now(), this.subscribers.longestInterval)) {
       this.report();
     }
   }
@@ -125,7 +125,7 @@
     };
   }
 
-  private figuresAt(now: number): TargetFigures {
+  private figuresAt(now: number): TargetMetrics {
     const { answers, answerTime, health } = this.dependencies;
     return {
       answerTime: Math.round(answerTime(now)),
--- a/src/packets/locality/transfer-costs.ts
+++ b/src/packets/locality/transfer-costs.ts
@@ -3,7 +3,7 @@
  * that its client sends before it has the answer, and what the bytes between zones are worth.
  */
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
-import { DEFAULT_ANSWER_TIME } from '../choice/service-outlook';
+import { DEFAULT_ANSWER_TIME_MS } from '../choice/service-statistics';
 import type { FlowTraffic } from './flow-traffic';
 import { DEFAULT_DISTANCE, type ZoneDistances } from './zone-distances';
 
@@ -26,7 +26,7 @@
 const CONSTANT_COST = 0.15;
 
 function answerTimeOf({ report }: AgentEntry): number {
-  return report?.answerTime || DEFAULT_ANSWER_TIME;
+  return report?.answerTime || DEFAULT_ANSWER_TIME_MS;
 }
 
 /** Costs of one balancer. */
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -42,7 +42,7 @@
 import { TargetGuard } from './target-guard';
 import { TargetHealth } from './target-health';
 import { TargetLifecycle, type TargetHeartbeat } from './target-lifecycle';
-import { TermsView } from './terms/terms-view';
+import { RouteTermsCache } from './terms/route-terms-cache';
 
 /** Milliseconds after a change of state at which the report is repeated, against loss. */
 const REPORT_REPEATS = [15, 60] as const;
@@ -74,7 +74,7 @@
   private readonly guard: TargetGuard;
   private readonly answers: AnswerRepair;
   private readonly presence: TargetPresence;
-  private readonly terms = new TermsView();
+  private readonly terms = new RouteTermsCache();
   private readonly death: TargetDeath;
   private restarting = false;
   /** The target has sent a packet of its own in this run. */
@@ -180,7 +180,7 @@
     this.admission.releaseAll();
     this.announce();
     if (this.settings.earlyStart) {
-      this.presence.lookNow(() => this.endStop(done));
+      this.presence.probeBeforeStop(() => this.endStop(done));
     } else {
       this.endStop(done);
     }
@@ -398,7 +398,7 @@
   /** Whether there is nobody to hand a packet to; where nobody was heard yet, it is looked for. */
   private isTargetAbsent(): boolean {
     if (this.settings.earlyStart) {
-      this.presence.ask();
+      this.presence.probeForPacket();
     }
     return this.presence.isAbsent;
   }
@@ -408,7 +408,7 @@
       target: this.target,
       tracker: this.tracker,
       lowerShare: this.settings.lowerPriorityShare,
-      termsOf: (destination) => this.terms.termsOf(destination),
+      termsOf: (destination) => this.terms.getTerms(destination),
       latencyGoal: () => this.guard.latencyGoal,
       handOver: (packet, balancer, searchId) => this.intake.handOver(packet, balancer, searchId),
     });
@@ -447,7 +447,7 @@
       probe: targetProbe,
       heartbeatInterval: this.settings.heartbeatInterval,
       isTargetHeard: () => this.isTargetHeard,
-      missed: () => {
+      onMissing: () => {
         this.registration.withdraw();
         this.announce();
       },
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -28,9 +28,9 @@
 import { RegistryView } from './registry-view';
 import { RegistryUpkeep } from './registry-upkeep';
 import type { RoutingTable } from './routing-table';
-import { LONGEST_BACKLOG, StartupGate } from './startup/startup-gate';
+import { MAXIMUM_BACKLOG_TIME_MS, StartupGate } from './startup/startup-gate';
 import { StartupRelay } from './startup/startup-relay';
-import { ViewSettling } from './startup/view-settling';
+import { ViewConvergence } from './startup/view-convergence';
 import { StoreReading } from './store-reading';
 import { TableInForce } from './table-in-force';
 import { TrafficRelay, type BalancerStatus } from './traffic-relay';
@@ -68,7 +68,7 @@
   private wasRelaying = false;
   private readonly gate: StartupGate;
   private readonly startupRelay: StartupRelay;
-  private readonly settling = new ViewSettling();
+  private readonly settling = new ViewConvergence();
   /** The store's era that agents have been told. */
   private eraTold = 0;
   private packetsRelayed = 0;
@@ -211,7 +211,7 @@
 
   /** A datagram of a client. */
   clientDatagram(bytes: Buffer): void {
-    if (!this.gate.keep(bytes)) {
+    if (!this.gate.handlePacket(bytes)) {
       this.routeDatagram(bytes);
     }
   }
@@ -250,7 +250,7 @@
   }
 
   private get eras(): SubscriptionEras {
-    const isAsking = this.settling.isOpen(this.dependencies.environment.now());
+    const isAsking = this.settling.shouldQueryAgents(this.dependencies.environment.now());
     return { storeEra: this.view.position.era, asksEra: isAsking ? 1 : 0 };
   }
 
@@ -274,7 +274,7 @@
     if (this.relay.isPossible(now)) {
       return true;
     }
-    const maySeeNone = this.directory.size === 0 && now - this.startedAt > LONGEST_BACKLOG;
+    const maySeeNone = this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
     return this.hasView && (maySeeNone || this.directory.hearsAny(now));
   }
 
@@ -289,10 +289,10 @@
       canServe: () => this.canServe,
       isRelaying: () => this.relay.isPossible(environment.now()),
       relay: this.settings.earlyStart && !this.relay.isWanted ? this.startupRelay : undefined,
-      clusterSize: () => this.peers.clusterSize,
-      handOn: (to, bytes) => this.dependencies.relay(to, bytes),
-      table: () => this.table.current,
-      routeOf: (packet) => this.router.routeOf(packet),
+      getClusterSize: () => this.peers.clusterSize,
+      forward: (to, bytes) => this.dependencies.relay(to, bytes),
+      getTable: () => this.table.current,
+      findRoute: (packet) => this.router.routeOf(packet),
       route: (bytes) => this.routeDatagram(bytes),
     });
   }
@@ -330,7 +330,7 @@
         this.locality.takeReply(from, message);
         return;
       case PacketMessageType.eraSeen:
-        this.settling.noteSeen(message.era);
+        this.settling.recordObservedEra(message.era);
         return;
       default:
         this.refuseMessage(message);
@@ -358,7 +358,7 @@
       hops,
       sendToClient: (client, packet) => dependencies.sendToClient(client, packet),
       isEvacuated: (zone) => this.evacuations.isEvacuated(zone),
-      isViewSettled: () => this.settling.isSettled(this.view.position.era, environment.now()),
+      isViewSettled: () => this.settling.isConverged(this.view.position.era, environment.now()),
       detours,
     });
   }
@@ -430,7 +430,7 @@
 
   private learnStatus(peer: Endpoint, status: BalancerStatus): void {
     this.startupRelay.learn(peer, status, this.dependencies.environment.now());
-    this.gate.run();
+    this.gate.processBacklog();
   }
 
   /** A balancer that starts first asks others; those that others ask first read at once. */
@@ -533,7 +533,7 @@
   }
 
   private maintain(): void {
-    this.gate.run();
+    this.gate.processBacklog();
     this.router.expire(this.dependencies.environment.now());
     this.hops.expire(this.dependencies.environment.now());
     this.upkeep.run(this.reading.isReading);
@@ -543,7 +543,7 @@
 
   private updateReadiness(): void {
     const ready = this.isReady;
-    this.gate.run();
+    this.gate.processBacklog();
     if (ready !== this.wasReady) {
       this.wasReady = ready;
       const { routingVersion, agentsKnown, agentsHeard } = this.figures;
--- a/src/packets/packet-messages.ts
+++ b/src/packets/packet-messages.ts
@@ -2,7 +2,7 @@
 import type { Endpoint } from '../environment';
 import type { ServiceProfiles } from './routing-table';
 import type { StoreReader } from './store-readers';
-import type { ToldTerms } from './terms/route-terms';
+import type { AnnouncedTerms } from './terms/route-terms';
 import type { ToldEvacuations } from './zone-evacuations';
 
 /** Numeric message types as sent. */
@@ -231,7 +231,7 @@
 }
 
 /** Balancer to agent: what callers of a route expect, ahead of the first flows of that route. */
-export interface RouteTermsMessage extends ToldTerms {
+export interface RouteTermsMessage extends AnnouncedTerms {
   readonly type: typeof PacketMessageType.routeTerms;
 }
 
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -19,7 +19,7 @@
 } from './packet-message-schema';
 import type { ListedAgent } from './packet-messages';
 import type { Route, RoutingTable, WeightedService } from './routing-table';
-import { packTerms, unpackTerms, type PositionedTerms } from './terms/packed-terms';
+import { packTerms, unpackTerms, type TermsLookup } from './terms/packed-terms';
 
 /** State that a starting or lagging balancer can take over. */
 export interface PeerSnapshot {
@@ -110,7 +110,7 @@
   value: unknown,
   profiles: unknown,
   repeatable: readonly number[],
-  positioned: PositionedTerms,
+  positioned: TermsLookup,
 ): RoutingTable {
   const [version, idleTimeout, routes] = tuple(value, 3);
   const isRepeatable = new Set(repeatable);
--- a/src/packets/queue/lane-shares.ts
+++ b/src/packets/queue/priority-shares.ts
@@ -5,10 +5,10 @@
  */
 
 /** Credit of a whole turn: shares are in hundredths, and whole numbers add up exactly. */
-const WHOLE_TURN = 100;
+const CREDITS_PER_TURN = 100;
 
 /** The shares of the priorities of one queue. */
-export class LaneShares {
+export class PriorityShares {
   /** Hundredths of a turn that each lower priority has coming, while it waits. */
   private readonly credits = new Map<number, number>();
 
@@ -19,26 +19,26 @@
    * The priority whose turn it is.
    * @param waiting priorities of which requests wait, the most urgent first; at least one
    */
-  takeTurn(waiting: readonly number[]): number {
+  selectPriority(waiting: readonly number[]): number {
     const [first, ...lower] = waiting;
-    this.forgetOthers(lower);
+    this.resetIdleCredits(lower);
     for (const priority of lower) {
-      this.credits.set(priority, this.creditOf(priority) + this.sharePercent);
+      this.credits.set(priority, this.getCredit(priority) + this.sharePercent);
     }
-    const owed = lower.find((priority) => this.creditOf(priority) >= WHOLE_TURN);
+    const owed = lower.find((priority) => this.getCredit(priority) >= CREDITS_PER_TURN);
     if (owed === undefined) {
       return first!;
     }
-    this.credits.set(owed, this.creditOf(owed) - WHOLE_TURN);
+    this.credits.set(owed, this.getCredit(owed) - CREDITS_PER_TURN);
     return owed;
   }
 
-  private creditOf(priority: number): number {
+  private getCredit(priority: number): number {
     return this.credits.get(priority) ?? 0;
   }
 
   /** A priority that does not wait behind another saves nothing up. */
-  private forgetOthers(lower: readonly number[]): void {
+  private resetIdleCredits(lower: readonly number[]): void {
     for (const priority of this.credits.keys()) {
       if (!lower.includes(priority)) {
         this.credits.delete(priority);
--- a/src/packets/queue/turn-order.ts
+++ b/src/packets/queue/request-order.ts
@@ -15,15 +15,15 @@
  * first; only when there is none, the newest of the others, which is least late (in the manner of
  * adaptive LIFO; B. Maurer, "Fail at Scale", ACM Queue 13/8, 2015).
  */
-export function findNext<T extends QueuedRequest>(
+export function selectNext<T extends QueuedRequest>(
   requests: Iterable<T>,
   now: number,
 ): T | undefined {
   let firstDue: T | undefined;
   let newest: T | undefined;
   for (const request of requests) {
-    const isInTime = now <= dueAt(request);
-    if (isInTime && (firstDue === undefined || dueAt(request) < dueAt(firstDue))) {
+    const isInTime = now <= getDueTime(request);
+    if (isInTime && (firstDue === undefined || getDueTime(request) < getDueTime(firstDue))) {
       firstDue = request;
     }
     newest = newest === undefined || request.since >= newest.since ? request : newest;
@@ -32,10 +32,10 @@
 }
 
 /** Whether the caller has given up on a request: work on it would serve nobody. */
-export function isGivenUp({ since, deadline }: QueuedRequest, now: number): boolean {
+export function isPastDeadline({ since, deadline }: QueuedRequest, now: number): boolean {
   return deadline > 0 && now - since > deadline;
 }
 
-function dueAt({ since, patience }: QueuedRequest): number {
+function getDueTime({ since, patience }: QueuedRequest): number {
   return since + patience;
 }
--- a/src/packets/queue/request-queue.ts
+++ b/src/packets/queue/request-queue.ts
@@ -9,13 +9,13 @@
 import type { Endpoint } from '../../environment';
 import type { FlowKey, FlowPacket } from '../flow-packet';
 import type { RouteTerms } from '../terms/route-terms';
-import { LaneShares } from './lane-shares';
-import { findNext, isGivenUp, type QueuedRequest } from './turn-order';
+import { PriorityShares } from './priority-shares';
+import { selectNext, isPastDeadline, type QueuedRequest } from './request-order';
 
 /** Requests that wait at once; the oldest is handed over out of turn beyond that. */
 const MAXIMUM_WAITING = 2_000;
 /** Milliseconds after the last copy of a packet at which its client has left: it repeats sooner. */
-const CLIENT_PATIENCE = 2_500;
+const CLIENT_TIMEOUT_MS = 2_500;
 
 /** A request that waits. */
 export interface WaitingRequest {
@@ -31,21 +31,21 @@
 }
 
 /** A waiting request as the order of turns sees it. */
-interface Turn extends QueuedRequest {
+interface SchedulableRequest extends QueuedRequest {
   readonly request: WaitingRequest;
 }
 
 /** Milliseconds of waiting after which a request of some terms is taken to be late. */
-export type PatienceReader = (terms: RouteTerms) => number;
+export type WaitLimitReader = (terms: RouteTerms) => number;
 
 /** Waiting requests of one target, in the order in which they came. */
 export class RequestQueue {
   private readonly waiting = new Map<FlowKey, WaitingRequest>();
-  private readonly shares: LaneShares;
+  private readonly shares: PriorityShares;
 
   /** @param lowerShare turns in a hundred that each lower priority keeps */
   constructor(lowerShare: number) {
-    this.shares = new LaneShares(lowerShare);
+    this.shares = new PriorityShares(lowerShare);
   }
 
   get size(): number {
@@ -61,7 +61,7 @@
     const known = this.waiting.get(flow);
     const since = Math.min(request.since, known?.since ?? Infinity);
     this.waiting.set(flow, { ...request, since });
-    return this.waiting.size > MAXIMUM_WAITING ? this.takeFirst() : undefined;
+    return this.waiting.size > MAXIMUM_WAITING ? this.takeOldest() : undefined;
   }
 
   /** A request no longer waits: its flow has ended, or it was handed over. */
@@ -70,14 +70,14 @@
   }
 
   /** Takes the request whose turn it is; one that its caller has given up on has none. */
-  take(now: number, patienceOf: PatienceReader): WaitingRequest | undefined {
-    const lanes = this.groupByPriority(now, patienceOf);
-    if (lanes.size === 0) {
+  take(now: number, getWaitLimit: WaitLimitReader): WaitingRequest | undefined {
+    const requestsByPriority = this.groupByPriority(now, getWaitLimit);
+    if (requestsByPriority.size === 0) {
       return undefined;
     }
-    const priorities = [...lanes.keys()].sort((one, other) => one - other);
-    const lane = lanes.get(this.shares.takeTurn(priorities))!;
-    const { request } = findNext(lane, now)!;
+    const priorities = [...requestsByPriority.keys()].sort((one, other) => one - other);
+    const candidates = requestsByPriority.get(this.shares.selectPriority(priorities))!;
+    const { request } = selectNext(candidates, now)!;
     this.waiting.delete(request.packet.flow);
     return request;
   }
@@ -97,8 +97,8 @@
     const dropped: WaitingRequest[] = [];
     for (const [flow, request] of this.waiting) {
       const { seenAt, since, terms } = request;
-      const hasLeft = now - seenAt > CLIENT_PATIENCE;
-      if (hasLeft || isGivenUp({ since, deadline: terms.deadline, patience: 0 }, now)) {
+      const hasLeft = now - seenAt > CLIENT_TIMEOUT_MS;
+      if (hasLeft || isPastDeadline({ since, deadline: terms.deadline, patience: 0 }, now)) {
         this.waiting.delete(flow);
         dropped.push(request);
       }
@@ -106,27 +106,27 @@
     return dropped;
   }
 
-  private groupByPriority(now: number, patienceOf: PatienceReader): Map<number, Turn[]> {
-    const lanes = new Map<number, Turn[]>();
+  private groupByPriority(now: number, getWaitLimit: WaitLimitReader): Map<number, SchedulableRequest[]> {
+    const requestsByPriority = new Map<number, SchedulableRequest[]>();
     for (const request of this.waiting.values()) {
       const { since, terms } = request;
-      const turn = { request, since, deadline: terms.deadline, patience: patienceOf(terms) };
-      if (isGivenUp(turn, now)) {
+      const schedulable = { request, since, deadline: terms.deadline, patience: getWaitLimit(terms) };
+      if (isPastDeadline(schedulable, now)) {
         continue;
       }
-      const lane = lanes.get(terms.priority);
-      if (lane) {
-        lane.push(turn);
+      const samePriority = requestsByPriority.get(terms.priority);
+      if (samePriority) {
+        samePriority.push(schedulable);
       } else {
-        lanes.set(terms.priority, [turn]);
+        requestsByPriority.set(terms.priority, [schedulable]);
       }
     }
-    return lanes;
+    return requestsByPriority;
   }
 
-  private takeFirst(): WaitingRequest | undefined {
-    const [first] = this.waiting.values();
-    this.waiting.delete(first!.packet.flow);
-    return first;
+  private takeOldest(): WaitingRequest | undefined {
+    const [oldest] = this.waiting.values();
+    this.waiting.delete(oldest!.packet.flow);
+    return oldest;
   }
 }
--- a/src/packets/startup/startup-backlog.ts
+++ b/src/packets/startup/startup-backlog.ts
@@ -7,19 +7,19 @@
  * that has come in the dark, one behind the other.
  */
 import type { FlowKey, FlowPacket } from '../flow-packet';
-import { ageOfOpening, OPENING_LIFETIME } from './opening-age';
+import { getOpeningAge, OPENING_LIFETIME_MS } from './opening-age';
 
 /** Flows that wait at most; the oldest is dropped beyond that. */
 const MAXIMUM_FLOWS = 1_024;
 /** Milliseconds after which a packet of an open flow is dropped: its sender has repeated it. */
-const LONGEST_WAIT = 600;
+const MAXIMUM_WAIT_MS = 600;
 
 /** A packet that waits. */
 interface WaitingPacket {
   readonly packet: FlowPacket;
   readonly since: number;
   /** When its flow's first opening packet was sent, as far as this one tells. */
-  readonly begunAt: number;
+  readonly openedAt: number;
 }
 
 /** Opening packets that the same agents can take. */
@@ -58,9 +58,9 @@
 
   /** Keeps a packet in place of an earlier one of its flow. */
   add(packet: FlowPacket, now: number): void {
-    const age = packet.opens ? ageOfOpening(packet.openingCopy) : 0;
+    const age = packet.opens ? getOpeningAge(packet.openingCopy) : 0;
     this.waiting.delete(packet.flow);
-    this.waiting.set(packet.flow, { packet, since: now, begunAt: now - age });
+    this.waiting.set(packet.flow, { packet, since: now, openedAt: now - age });
     if (this.waiting.size > MAXIMUM_FLOWS) {
       const [oldest] = this.waiting.keys();
       this.waiting.delete(oldest!);
@@ -76,15 +76,15 @@
     this.dropStale(now);
     const ordered = this.orderOpenings(now, groupOf);
     const allowances = this.countAllowances(ordered);
-    const taken = ordered.filter(({ group }) => useAllowance(group, allowances));
-    taken.forEach(({ group }) => this.noteReleased(group));
-    return this.takeOut(taken.map(({ waiting }) => waiting));
+    const taken = ordered.filter(({ group }) => consumeAllowance(group, allowances));
+    taken.forEach(({ group }) => this.recordReleased(group));
+    return this.removePackets(taken.map(({ waiting }) => waiting));
   }
 
   /** Takes out all that waits: opening packets first, then those of open flows as they came. */
   takeAll(now: number, groupOf: GroupFinder): FlowPacket[] {
     this.dropStale(now);
-    return this.takeOut(this.orderAll(now, groupOf));
+    return this.removePackets(this.orderAll(now, groupOf));
   }
 
   private orderAll(now: number, groupOf: GroupFinder): WaitingPacket[] {
@@ -93,7 +93,7 @@
     return [...openings, ...others];
   }
 
-  private takeOut(chosen: readonly WaitingPacket[]): FlowPacket[] {
+  private removePackets(chosen: readonly WaitingPacket[]): FlowPacket[] {
     chosen.forEach(({ packet }) => this.waiting.delete(packet.flow));
     return chosen.map(({ packet }) => packet);
   }
@@ -128,37 +128,37 @@
     return allowances;
   }
 
-  private noteReleased(group: OpeningGroup | undefined): void {
+  private recordReleased(group: OpeningGroup | undefined): void {
     if (group) {
       this.released.set(group.name, (this.released.get(group.name) ?? 0) + 1);
     }
   }
 }
 
-function isStale({ packet, since, begunAt }: WaitingPacket, now: number): boolean {
-  return packet.opens ? now - begunAt > OPENING_LIFETIME : now - since > LONGEST_WAIT;
+function isStale({ packet, since, openedAt: begunAt }: WaitingPacket, now: number): boolean {
+  return packet.opens ? now - begunAt > OPENING_LIFETIME_MS : now - since > MAXIMUM_WAIT_MS;
 }
 
 /** Whether a packet may go by the allowance of its group, of which it then takes one. */
-function useAllowance(group: OpeningGroup | undefined, allowances: Map<string, number>): boolean {
+function consumeAllowance(group: OpeningGroup | undefined, allowances: Map<string, number>): boolean {
   if (!group) {
     return true;
   }
-  const left = allowances.get(group.name) ?? 0;
-  allowances.set(group.name, left - 1);
-  return left > 0;
+  const remaining = allowances.get(group.name) ?? 0;
+  allowances.set(group.name, remaining - 1);
+  return remaining > 0;
 }
 
 /** Those that can be answered in time come first; of these and of the others the one due first. */
 function compareByGoal(one: GroupedPacket, other: GroupedPacket, now: number): number {
-  const isOneLate = dueAt(one) < now;
-  const isOtherLate = dueAt(other) < now;
+  const isOneLate = getDueTime(one) < now;
+  const isOtherLate = getDueTime(other) < now;
   return isOneLate === isOtherLate
-    ? dueAt(one) - dueAt(other)
+    ? getDueTime(one) - getDueTime(other)
     : Number(isOneLate) - Number(isOtherLate);
 }
 
-function dueAt({ waiting, group }: GroupedPacket): number {
+function getDueTime({ waiting, group }: GroupedPacket): number {
   const goal = group?.latencyGoal ?? 0;
-  return waiting.begunAt + (goal > 0 ? goal : OPENING_LIFETIME);
+  return waiting.openedAt + (goal > 0 ? goal : OPENING_LIFETIME_MS);
 }
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -16,17 +16,17 @@
  * agent known is asked for a report each {@link KNOCK_INTERVAL} and answers at once: one that has
  * missed two of these questions is down, or starts so late that nothing should wait for it.
  */
-const HEARING_TIME = 1.5 * KNOCK_INTERVAL;
+const AGENT_REPORT_WAIT_MS = 1.5 * KNOCK_INTERVAL;
 /**
  * Milliseconds after the start for which packets of flows that were handed on go the same way: most
  * flows carry one request and are over by then, and those that go on are searched for once.
  */
-const RELAYED_FLOW_TIME = 2_000;
+const RELAYED_FLOW_TIME_MS = 2_000;
 /**
  * Milliseconds after its start from which on a balancer routes with what it has, ready or not,
  * and believes that there are no agents.
  */
-export const LONGEST_BACKLOG = 3_000;
+export const MAXIMUM_BACKLOG_TIME_MS = 3_000;
 
 /** What the gate works with. */
 export interface StartupGateDependencies {
@@ -39,14 +39,14 @@
   canServe(): boolean;
   /** Whether packets are relayed to other balancers, so that no agent need be heard. */
   isRelaying(): boolean;
-  table(): RoutingTable | undefined;
-  routeOf(packet: FlowPacket): Route | undefined;
+  getTable(): RoutingTable | undefined;
+  findRoute(packet: FlowPacket): Route | undefined;
   /** Knows who takes packets meanwhile; undefined where nobody does. */
   readonly relay: StartupRelay | undefined;
   /** Balancers known, this one included. */
-  clusterSize(): number;
+  getClusterSize(): number;
   /** Hands a packet on to where another balancer takes clients' packets. */
-  handOn(to: Endpoint, bytes: Buffer): void;
+  forward(to: Endpoint, bytes: Buffer): void;
   /** Routes a packet, or relays it as a weak balancer does at all times. */
   route(bytes: Buffer): void;
 }
@@ -55,11 +55,11 @@
 export class StartupGate {
   private readonly backlog = new StartupBacklog();
   private readonly startedAt: number;
-  private servesSince: number | undefined;
+  private servingSince: number | undefined;
   private timer: TimerHandle | undefined;
-  private keptPackets = 0;
+  private bufferedPackets = 0;
   private relayedPackets = 0;
-  private isOver = false;
+  private hasEnded = false;
 
   constructor(private readonly dependencies: StartupGateDependencies) {
     this.startedAt = dependencies.environment.now();
@@ -67,7 +67,7 @@
 
   /** Packets that have waited here. */
   get kept(): number {
-    return this.keptPackets;
+    return this.bufferedPackets;
   }
 
   /** Packets that were handed on to other balancers. */
@@ -84,9 +84,9 @@
    * Keeps a client's datagram until it is its turn; false when it is to be routed at once, as packets
    * of open flows are from the moment on at which any flow can be served.
    */
-  keep(bytes: Buffer): boolean {
+  handlePacket(bytes: Buffer): boolean {
     const { environment, format, relay } = this.dependencies;
-    if (this.isOver && !relay?.hasFlows) {
+    if (this.hasEnded && !relay?.hasRelayedFlows) {
       return false;
     }
     const packet = format.decodeFromClient(bytes);
@@ -94,40 +94,40 @@
       return false;
     }
     const now = environment.now();
-    return this.relayed(packet, now) || this.keepPacket(packet, now);
+    return this.relayed(packet, now) || this.bufferPacket(packet, now);
   }
 
   /** Keeps a packet that nobody else takes; false when it is to be routed here at once. */
-  private keepPacket(packet: FlowPacket, now: number): boolean {
-    const isOfOpenFlow = this.servesSince !== undefined && !packet.opens;
-    if (this.isOver || isOfOpenFlow) {
+  private bufferPacket(packet: FlowPacket, now: number): boolean {
+    const isOfOpenFlow = this.servingSince !== undefined && !packet.opens;
+    if (this.hasEnded || isOfOpenFlow) {
       return false;
     }
-    this.keptPackets++;
+    this.bufferedPackets++;
     this.backlog.add(packet, now);
-    this.run();
+    this.processBacklog();
     return true;
   }
 
   /** Lets through what can go now; to be called whenever more is known. */
-  run(): void {
-    if (this.isOver) {
+  processBacklog(): void {
+    if (this.hasEnded) {
       return;
     }
     const { canServe, environment, route } = this.dependencies;
     const now = environment.now();
     this.relayWaiting(now);
     if (!canServe()) {
-      if (now - this.startedAt > LONGEST_BACKLOG) {
+      if (now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS) {
         this.end(now);
       }
       return;
     }
-    if (this.servesSince === undefined) {
-      this.servesSince = now;
-      this.timer = environment.startTimer(HEARING_TIME, () => this.run());
+    if (this.servingSince === undefined) {
+      this.servingSince = now;
+      this.timer = environment.startTimer(AGENT_REPORT_WAIT_MS, () => this.processBacklog());
     }
-    if (this.hasHeardEnough(now)) {
+    if (this.isReadyToEnd(now)) {
       this.end(now);
       return;
     }
@@ -142,8 +142,8 @@
 
   /** Hands a packet on if another balancer takes its flow meanwhile. */
   private relayed({ flow, bytes }: FlowPacket, now: number): boolean {
-    const { clusterSize, handOn, relay } = this.dependencies;
-    const to = this.isOver ? relay?.find(flow, now) : relay?.choose(flow, clusterSize(), now);
+    const { getClusterSize: clusterSize, forward: handOn, relay } = this.dependencies;
+    const to = this.hasEnded ? relay?.findDestination(flow, now) : relay?.chooseDestination(flow, clusterSize(), now);
     if (to === undefined) {
       return false;
     }
@@ -153,8 +153,8 @@
   }
 
   private relayWaiting(now: number): void {
-    const { clusterSize, relay } = this.dependencies;
-    if (!relay?.isPossible(clusterSize(), now)) {
+    const { getClusterSize: clusterSize, relay } = this.dependencies;
+    if (!relay?.canRelay(clusterSize(), now)) {
       return;
     }
     const waiting = this.backlog.takeAll(now, this.createGroupFinder(now));
@@ -162,29 +162,29 @@
   }
 
   private end(now: number): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.timer?.cancel();
     const { directory, environment, relay, route } = this.dependencies;
-    this.timer = environment.startTimer(RELAYED_FLOW_TIME, () => relay?.clear());
+    this.timer = environment.startTimer(RELAYED_FLOW_TIME_MS, () => relay?.clear());
     const waiting = this.backlog.takeAll(now, this.createGroupFinder(now));
     waiting.forEach(({ bytes }) => route(bytes));
     environment.report(Events.startupEnded, {
-      kept: this.keptPackets,
+      kept: this.bufferedPackets,
       relayed: this.relayedPackets,
       dropped: this.backlog.dropped,
       last: waiting.length,
       milliseconds: Math.round(now - this.startedAt),
-      paced: Math.round(now - (this.servesSince ?? now)),
-      heard: Math.round(shareHeard([...directory.all()], directory, now) * directory.size),
+      paced: Math.round(now - (this.servingSince ?? now)),
+      heard: Math.round(computeHeardShare([...directory.all()], directory, now) * directory.size),
       known: directory.size,
     });
   }
 
-  private hasHeardEnough(now: number): boolean {
+  private isReadyToEnd(now: number): boolean {
     const { directory, isPaced, isRelaying } = this.dependencies;
-    const isLate = now - this.servesSince! >= HEARING_TIME;
+    const hasTimedOut = now - this.servingSince! >= AGENT_REPORT_WAIT_MS;
     return (
-      !isPaced || isLate || isRelaying() || shareHeard([...directory.all()], directory, now) === 1
+      !isPaced || hasTimedOut || isRelaying() || computeHeardShare([...directory.all()], directory, now) === 1
     );
   }
 
@@ -192,7 +192,7 @@
   private createGroupFinder(now: number): GroupFinder {
     const groups = new Map<readonly string[], OpeningGroup>();
     return (packet) => {
-      const route = this.dependencies.routeOf(packet);
+      const route = this.dependencies.findRoute(packet);
       if (!route) {
         return undefined;
       }
@@ -204,20 +204,20 @@
   }
 
   private createGroup(services: readonly string[], now: number): OpeningGroup {
-    const { directory, table } = this.dependencies;
+    const { directory, getTable: table } = this.dependencies;
     const goals = (table()?.profiles ?? [])
       .filter(({ service, latencyGoal }) => services.includes(service) && latencyGoal > 0)
       .map(({ latencyGoal }) => latencyGoal);
     return {
       name: services.join(','),
-      share: shareHeard(directory.ofServices(services), directory, now),
+      share: computeHeardShare(directory.ofServices(services), directory, now),
       latencyGoal: goals.length > 0 ? Math.min(...goals) : 0,
     };
   }
 }
 
 /** Part of some agents that are heard; 1 when there are none. */
-function shareHeard(agents: readonly AgentEntry[], directory: AgentDirectory, now: number): number {
+function computeHeardShare(agents: readonly AgentEntry[], directory: AgentDirectory, now: number): number {
   const heard = agents.filter((agent) => directory.isHeard(agent, now)).length;
   return agents.length > 0 ? heard / agents.length : 1;
 }
--- a/src/packets/startup/startup-relay.ts
+++ b/src/packets/startup/startup-relay.ts
@@ -14,19 +14,19 @@
  * Times the own processor time that another balancer must have: what is handed on goes to ever
  * stronger ones, so it cannot go round, and among equals all start at the same pace.
  */
-const ADVANTAGE = 2;
+const MINIMUM_CAPACITY_RATIO = 2;
 /**
  * Times its own processor time whose share of the cluster's traffic a balancer takes for a moment:
  * balancers are planned for a fourth of their processors at most (docs/CAPACITY.md tells the load).
  */
-const SPARE_CAPACITY = 4;
+const BURST_CAPACITY_FACTOR = 4;
 /** Milliseconds after which what another balancer has said of itself is too old; twice its interval. */
-const STATUS_LIFETIME = 1_100;
+const STATUS_LIFETIME_MS = 1_100;
 /**
  * Milliseconds of silence after which flows no longer go on to a balancer: in a large cluster one
  * tells of itself every few seconds only, and no flow is to wait longer for one that has died.
  */
-const LONGEST_SILENCE = 2_000;
+const MAXIMUM_SILENCE_MS = 2_000;
 const MAXIMUM_BALANCERS = 64;
 /** Flows whose balancer is remembered; the oldest is forgotten beyond that. */
 const MAXIMUM_FLOWS = 4_096;
@@ -56,7 +56,7 @@
 
   /** Takes what another balancer says of itself. */
   learn(balancer: Endpoint, status: BalancerStatus, now: number): void {
-    if (status.capacity < ADVANTAGE * this.capacity) {
+    if (status.capacity < MINIMUM_CAPACITY_RATIO * this.capacity) {
       return;
     }
     this.balancers.delete(balancer);
@@ -68,30 +68,30 @@
   }
 
   /** Whether flows are noted that were handed on. */
-  get hasFlows(): boolean {
+  get hasRelayedFlows(): boolean {
     return this.flows.size > 0;
   }
 
   /** Whether packets of any flow can be handed on now. */
-  isPossible(clusterSize: number, now: number): boolean {
-    return this.findPresent(clusterSize, now).length > 0;
+  canRelay(clusterSize: number, now: number): boolean {
+    return this.findAvailable(clusterSize, now).length > 0;
   }
 
   /**
    * Chooses where packets of a flow go; undefined when nobody can take them.
    * @param clusterSize balancers known, this one included
    */
-  choose(flow: FlowKey, clusterSize: number, now: number): Endpoint | undefined {
-    const known = this.find(flow, now);
-    if (known !== undefined) {
-      return known;
+  chooseDestination(flow: FlowKey, clusterSize: number, now: number): Endpoint | undefined {
+    const existing = this.findDestination(flow, now);
+    if (existing !== undefined) {
+      return existing;
     }
-    const chosen = this.chooseAnew(flow, clusterSize, now);
+    const chosen = this.chooseBalancer(flow, clusterSize, now);
     if (chosen === undefined) {
       return undefined;
     }
     const [balancer, { status }] = chosen;
-    this.note(flow, balancer);
+    this.recordFlow(flow, balancer);
     return status.packetAddress;
   }
 
@@ -99,11 +99,11 @@
    * Where the packets of a flow have gone so far; undefined for a flow that was not handed on, or
    * to a balancer that has fallen silent.
    */
-  find(flow: FlowKey, now: number): Endpoint | undefined {
+  findDestination(flow: FlowKey, now: number): Endpoint | undefined {
     const balancer = this.flows.get(flow);
     const known = balancer === undefined ? undefined : this.balancers.get(balancer);
-    const isPresent = known !== undefined && now - known.heardAt <= LONGEST_SILENCE;
-    return isPresent ? known.status.packetAddress : undefined;
+    const isAlive = known !== undefined && now - known.heardAt <= MAXIMUM_SILENCE_MS;
+    return isAlive ? known.status.packetAddress : undefined;
   }
 
   /** Forgets everything: flows that go on are searched for. */
@@ -112,22 +112,22 @@
     this.flows.clear();
   }
 
-  private chooseAnew(flow: FlowKey, clusterSize: number, now: number): Candidate | undefined {
-    const present = this.findPresent(clusterSize, now);
-    const own = present.filter(([, { status }]) => status.zone === this.zone);
-    return chooseByFlow(flow, own.length > 0 ? own : present);
+  private chooseBalancer(flow: FlowKey, clusterSize: number, now: number): Candidate | undefined {
+    const available = this.findAvailable(clusterSize, now);
+    const sameZone = available.filter(([, { status }]) => status.zone === this.zone);
+    return chooseByFlow(flow, sameZone.length > 0 ? sameZone : available);
   }
 
   /** The balancers that take packets, if together they have processor time enough for it. */
-  private findPresent(clusterSize: number, now: number): Candidate[] {
-    const present = [...this.balancers].filter(
-      ([, { status, heardAt }]) => status.isReady && now - heardAt <= STATUS_LIFETIME,
+  private findAvailable(clusterSize: number, now: number): Candidate[] {
+    const available = [...this.balancers].filter(
+      ([, { status, heardAt }]) => status.isReady && now - heardAt <= STATUS_LIFETIME_MS,
     );
-    const capacity = present.reduce((sum, [, { status }]) => sum + status.capacity, 0);
-    return capacity * SPARE_CAPACITY >= clusterSize * this.capacity ? present : [];
+    const capacity = available.reduce((sum, [, { status }]) => sum + status.capacity, 0);
+    return capacity * BURST_CAPACITY_FACTOR >= clusterSize * this.capacity ? available : [];
   }
 
-  private note(flow: FlowKey, balancer: Endpoint): void {
+  private recordFlow(flow: FlowKey, balancer: Endpoint): void {
     this.flows.set(flow, balancer);
     if (this.flows.size > MAXIMUM_FLOWS) {
       const [oldest] = this.flows.keys();
@@ -136,10 +136,10 @@
   }
 }
 
-function chooseByFlow(flow: FlowKey, among: readonly Candidate[]): Candidate | undefined {
+function chooseByFlow(flow: FlowKey, candidates: readonly Candidate[]): Candidate | undefined {
   let best: Candidate | undefined;
   let bestScore = -1;
-  for (const candidate of among) {
+  for (const candidate of candidates) {
     const score = rendezvousScore(flow, String(candidate[1].status.packetAddress));
     if (score > bestScore) {
       bestScore = score;
--- a/src/packets/startup/target-presence.ts
+++ b/src/packets/startup/target-presence.ts
@@ -11,14 +11,14 @@
 import { Events } from '../../logging/events';
 
 /** Heartbeats that may be missed before the target's address is looked at. */
-const HEARTBEATS_MISSED = 2;
+const MISSED_HEARTBEATS_LIMIT = 2;
 /** Milliseconds between two looks that packets ask for: a client repeats its packet after 200. */
-const ASKED_INTERVAL = 100;
+const MINIMUM_PROBE_INTERVAL_MS = 100;
 
 /** Looks whether anybody listens at the target's address. */
 export interface TargetProbePort {
   /** Answers true only if the machine says that nobody does; false for anything else. */
-  isVacant(answer: (isVacant: boolean) => void): void;
+  checkVacant(answer: (isVacant: boolean) => void): void;
 }
 
 /** What the presence is judged with. */
@@ -30,7 +30,7 @@
   /** Whether the target has said or sent anything in this run of the agent. */
   isTargetHeard(): boolean;
   /** There is no target. */
-  missed(): void;
+  onMissing(): void;
 }
 
 /** The presence of one target, in one run of its agent. */
@@ -38,10 +38,10 @@
   private timer: TimerHandle | undefined;
   private isVacant = false;
   /** A look that a packet asked for has found nobody. */
-  private isFoundAbsent = false;
-  private askedAt = -Infinity;
+  private isProbedAbsent = false;
+  private lastProbeAt = -Infinity;
   private isStopped = false;
-  private probes = 0;
+  private sentProbes = 0;
 
   constructor(private readonly dependencies: TargetPresenceDependencies) {}
 
@@ -55,16 +55,16 @@
    * asked for. The agent hands nothing over then, so no flow can open unseen before it hears its target.
    */
   get isAbsent(): boolean {
-    return (this.isVacant || this.isFoundAbsent) && !this.dependencies.isTargetHeard();
+    return (this.isVacant || this.isProbedAbsent) && !this.dependencies.isTargetHeard();
   }
 
   /** Looks taken at the target's address. */
   get looks(): number {
-    return this.probes;
+    return this.sentProbes;
   }
 
   start(): void {
-    this.wait();
+    this.scheduleCheck();
   }
 
   /** Ends the timer; a look under way changes nothing any more. */
@@ -73,25 +73,25 @@
     this.timer?.cancel();
   }
 
-  private wait(): void {
+  private scheduleCheck(): void {
     const { environment, heartbeatInterval } = this.dependencies;
-    this.timer = environment.startTimer(HEARTBEATS_MISSED * heartbeatInterval, () => this.check());
+    this.timer = environment.startTimer(MISSED_HEARTBEATS_LIMIT * heartbeatInterval, () => this.check());
   }
 
   /**
    * A packet is to go to a target that has not been heard: looks whether there is one, so that a search
    * does not end at a machine without a target. The entry stays, since the target may be starting.
    */
-  ask(): void {
+  probeForPacket(): void {
     const { environment, isTargetHeard, probe } = this.dependencies;
     const now = environment.now();
-    if (isTargetHeard() || this.isAbsent || now - this.askedAt < ASKED_INTERVAL) {
+    if (isTargetHeard() || this.isAbsent || now - this.lastProbeAt < MINIMUM_PROBE_INTERVAL_MS) {
       return;
     }
-    this.askedAt = now;
-    this.probes++;
-    probe.isVacant((isVacant) => {
-      this.isFoundAbsent = isVacant;
+    this.lastProbeAt = now;
+    this.sentProbes++;
+    probe.checkVacant((isVacant) => {
+      this.isProbedAbsent = isVacant;
     });
   }
 
@@ -100,47 +100,47 @@
    * keeps balancers from telling that flows are dead.
    * @param done called when it is known, or will not be
    */
-  lookNow(done: () => void): void {
+  probeBeforeStop(done: () => void): void {
     if (this.isVacant || this.dependencies.isTargetHeard()) {
       done();
       return;
     }
     this.timer?.cancel();
-    this.look(done, done);
+    this.sendProbe(done, done);
   }
 
   private check(): void {
     if (!this.dependencies.isTargetHeard()) {
-      this.look(
-        () => this.wait(),
+      this.sendProbe(
+        () => this.scheduleCheck(),
         () => undefined,
       );
     }
   }
 
   /**
-   * @param present called when somebody listens, or the look proves nothing
-   * @param absent called when nobody does
+   * @param onPresent called when somebody listens, or the look proves nothing
+   * @param onAbsent called when nobody does
    */
-  private look(present: () => void, absent: () => void): void {
-    const { environment, isTargetHeard, missed, probe } = this.dependencies;
-    this.probes++;
-    probe.isVacant((isVacant) => {
+  private sendProbe(onPresent: () => void, onAbsent: () => void): void {
+    const { environment, isTargetHeard, onMissing: missed, probe } = this.dependencies;
+    this.sentProbes++;
+    probe.checkVacant((isVacant) => {
       if (this.isStopped) {
         return;
       }
       if (!isVacant || isTargetHeard()) {
-        present();
+        onPresent();
         return;
       }
       if (this.isVacant) {
-        absent();
+        onAbsent();
         return;
       }
       this.isVacant = true;
-      environment.report(Events.targetMissing, { looks: this.probes });
+      environment.report(Events.targetMissing, { looks: this.sentProbes });
       missed();
-      absent();
+      onAbsent();
     });
   }
 }
--- a/src/packets/startup/view-settling.ts
+++ b/src/packets/startup/view-convergence.ts
@@ -13,24 +13,24 @@
 import { REWRITE_TIME } from '../store-position';
 
 /** Milliseconds after the start in which the agents' word comes: several round trips between zones. */
-const WORD_TIME = 100;
+const AGENT_REPLY_WAIT_MS = 100;
 
 /** The settling of one balancer's first view. */
-export class ViewSettling {
+export class ViewConvergence {
   private startedAt = 0;
-  private earliestEra = Infinity;
+  private earliestObservedEra = Infinity;
 
   start(now: number): void {
     this.startedAt = now;
   }
 
   /** An agent has run since an era of the store. */
-  noteSeen(era: number): void {
-    this.earliestEra = Math.min(this.earliestEra, era);
+  recordObservedEra(era: number): void {
+    this.earliestObservedEra = Math.min(this.earliestObservedEra, era);
   }
 
   /** Whether agents are to tell which era they have seen. */
-  isOpen(now: number): boolean {
+  shouldQueryAgents(now: number): boolean {
     return now - this.startedAt <= REWRITE_TIME;
   }
 
@@ -38,8 +38,8 @@
    * Whether nothing can be missing from the view any more for that reason.
    * @param era the store's era as of which the view is known
    */
-  isSettled(era: number, now: number): boolean {
-    const hasReturned = this.earliestEra < era;
-    return now - this.startedAt > (hasReturned ? REWRITE_TIME : WORD_TIME);
+  isConverged(era: number, now: number): boolean {
+    const wasRestored = this.earliestObservedEra < era;
+    return now - this.startedAt > (wasRestored ? REWRITE_TIME : AGENT_REPLY_WAIT_MS);
   }
 }
--- a/src/packets/target-death.ts
+++ b/src/packets/target-death.ts
@@ -43,7 +43,7 @@
     this.isLooking = true;
     this.lookedAt = now;
     const { timesHeard } = this;
-    this.probe.isVacant((isVacant) => {
+    this.probe.checkVacant((isVacant) => {
       this.isLooking = false;
       if (isVacant && timesHeard === this.timesHeard) {
         this.isVacant = true;
--- a/src/packets/terms/packed-terms.ts
+++ b/src/packets/terms/packed-terms.ts
@@ -9,33 +9,33 @@
 const NO_TERMS = 0;
 
 /** The terms of the route at a position of the table; undefined for none. */
-export type PositionedTerms = (position: number) => RouteTerms | undefined;
+export type TermsLookup = (position: number) => RouteTerms | undefined;
 
 /** Packs the terms of routes in their order. */
 export function packTerms(routes: readonly Route[]): unknown[] {
   const sets: RouteTerms[] = [];
-  const places = routes.map(({ terms }) => (terms ? placeOf(sets, terms) : NO_TERMS));
-  const packed = sets.map(({ priority, latencyGoal, deadline }) => [
+  const indexes = routes.map(({ terms }) => (terms ? internTerms(sets, terms) : NO_TERMS));
+  const packedSets = sets.map(({ priority, latencyGoal, deadline }) => [
     priority,
     latencyGoal,
     deadline,
   ]);
-  return [packed, places];
+  return [packedSets, indexes];
 }
 
 /** Checks packed terms; programs of an earlier version send none. Throws a `FieldError` for others. */
-export function unpackTerms(value: unknown): PositionedTerms {
+export function unpackTerms(value: unknown): TermsLookup {
   if (value === undefined) {
     return () => undefined;
   }
-  const [packed, listed] = tuple(value, 2);
-  const sets = listOf(unpackSet)(packed);
-  const places = listOf(integer)(listed);
-  return (position) => sets[(places[position] ?? NO_TERMS) - 1];
+  const [packedSets, packedIndexes] = tuple(value, 2);
+  const sets = listOf(unpackSet)(packedSets);
+  const indexes = listOf(integer)(packedIndexes);
+  return (position) => sets[(indexes[position] ?? NO_TERMS) - 1];
 }
 
 /** The place of a set of terms among those noted, to which it is added when it is new. */
-function placeOf(sets: RouteTerms[], terms: RouteTerms): number {
+function internTerms(sets: RouteTerms[], terms: RouteTerms): number {
   const known = sets.findIndex((one) => hasSameTerms(one, terms));
   return known >= 0 ? known + 1 : sets.push(terms);
 }
--- a/src/packets/terms/terms-view.ts
+++ b/src/packets/terms/route-terms-cache.ts
@@ -1,36 +1,36 @@
 /** The terms of routes as one agent has been told them by balancers. */
 import type { Endpoint } from '../../environment';
-import type { RouteTerms, ToldTerms } from './route-terms';
+import type { RouteTerms, AnnouncedTerms } from './route-terms';
 
 /** Routes noted; the one told longest ago is forgotten beyond that. */
 const MAXIMUM_ROUTES = 4_096;
 
 /** The view of one agent. */
-export class TermsView {
-  private readonly told = new Map<Endpoint, ToldTerms>();
+export class RouteTermsCache {
+  private readonly terms = new Map<Endpoint, AnnouncedTerms>();
 
   /** Routes whose terms are known. */
   get size(): number {
-    return this.told.size;
+    return this.terms.size;
   }
 
   /** Takes what a balancer tells; what it had from an earlier table changes nothing. */
-  learn(terms: ToldTerms): void {
+  learn(terms: AnnouncedTerms): void {
     const { destination, version } = terms;
-    const known = this.told.get(destination);
+    const known = this.terms.get(destination);
     if (known && version < known.version) {
       return;
     }
-    this.told.delete(destination);
-    this.told.set(destination, terms);
-    if (this.told.size > MAXIMUM_ROUTES) {
-      const [oldest] = this.told.keys();
-      this.told.delete(oldest!);
+    this.terms.delete(destination);
+    this.terms.set(destination, terms);
+    if (this.terms.size > MAXIMUM_ROUTES) {
+      const [oldest] = this.terms.keys();
+      this.terms.delete(oldest!);
     }
   }
 
   /** The terms of a route; undefined while nobody has told them. */
-  termsOf(destination: Endpoint): RouteTerms | undefined {
-    return this.told.get(destination);
+  getTerms(destination: Endpoint): RouteTerms | undefined {
+    return this.terms.get(destination);
   }
 }
--- a/src/packets/terms/route-terms.ts
+++ b/src/packets/terms/route-terms.ts
@@ -14,7 +14,7 @@
 
 export const LOWEST_PRIORITY = 9;
 /** A day: beyond it a deadline is a mistake. */
-export const LONGEST_DEADLINE = 24 * 60 * 60 * 1_000;
+export const MAXIMUM_DEADLINE_MS = 24 * 60 * 60 * 1_000;
 
 /** Of a route that says nothing: it goes after those that say they are urgent. */
 export const UNKNOWN_TERMS: RouteTerms = {
@@ -24,7 +24,7 @@
 };
 
 /** The terms of one route, as agents are told them. */
-export interface ToldTerms extends RouteTerms {
+export interface AnnouncedTerms extends RouteTerms {
   readonly destination: Endpoint;
   /** Version of the routing table that says so. */
   readonly version: number;
@@ -52,7 +52,7 @@
 }
 
 /** The terms of a route; {@link UNKNOWN_TERMS} where it has none. */
-export function termsOf(route: Route): RouteTerms {
+export function getTerms(route: Route): RouteTerms {
   return route.terms ?? UNKNOWN_TERMS;
 }
 
@@ -70,14 +70,14 @@
  * request goes first.
  */
 export function findCompetingRoutes(routes: readonly Route[]): ReadonlyMap<Endpoint, Route> {
-  const first = new Map<string, RouteTerms>();
+  const firstTerms = new Map<string, RouteTerms>();
   const contested = new Set<string>();
   for (const route of routes) {
-    const terms = termsOf(route);
+    const terms = getTerms(route);
     for (const { service } of route.services) {
-      const known = first.get(service);
+      const known = firstTerms.get(service);
       if (known === undefined) {
-        first.set(service, terms);
+        firstTerms.set(service, terms);
       } else if (!hasSameTerms(known, terms)) {
         contested.add(service);
       }
@@ -94,14 +94,14 @@
   for (const route of routes) {
     for (const { service } of route.services) {
       const known = mostUrgent.get(service) ?? LOWEST_PRIORITY;
-      mostUrgent.set(service, Math.min(known, termsOf(route).priority));
+      mostUrgent.set(service, Math.min(known, getTerms(route).priority));
     }
   }
   const isLessUrgent = (route: Route): boolean =>
-    route.services.some(({ service }) => mostUrgent.get(service)! < termsOf(route).priority);
+    route.services.some(({ service }) => mostUrgent.get(service)! < getTerms(route).priority);
   return new Set(routes.filter(isLessUrgent).map(({ destination }) => destination));
 }
 
 function isDuration(milliseconds: number): boolean {
-  return milliseconds >= 0 && milliseconds <= LONGEST_DEADLINE;
+  return milliseconds >= 0 && milliseconds <= MAXIMUM_DEADLINE_MS;
 }
--- a/src/packets/terms/terms-ledger.ts
+++ b/src/packets/terms/sent-terms-tracker.ts
@@ -7,26 +7,26 @@
  */
 import type { Endpoint } from '../../environment';
 import type { Route } from '../routing-table';
-import { findCompetingRoutes, hasSameTerms, termsOf, type RouteTerms } from './route-terms';
+import { findCompetingRoutes, hasSameTerms, getTerms, type RouteTerms } from './route-terms';
 
 /** Flows of a route that tell its terms: where one datagram in 500 is lost, both seldom are. */
-const TELLINGS = 2;
+const SENDS_PER_ROUTE = 2;
 
-interface Telling {
+interface SentTerms {
   readonly terms: RouteTerms;
-  tellingsLeft: number;
+  sendsLeft: number;
 }
 
 /** What one run of an agent has been told, by the route's destination. */
-interface ToldAgent {
+interface AgentRecord {
   readonly run: number;
-  readonly routes: Map<Endpoint, Telling>;
+  readonly routes: Map<Endpoint, SentTerms>;
 }
 
 /** The ledger of one balancer. */
-export class TermsLedger {
+export class SentTermsTracker {
   private competing: ReadonlyMap<Endpoint, Route> = new Map();
-  private readonly told = new Map<Endpoint, ToldAgent>();
+  private readonly agents = new Map<Endpoint, AgentRecord>();
 
   /** Another routing table is in force: what agents were told holds where terms are the same. */
   apply(routes: readonly Route[]): void {
@@ -34,29 +34,29 @@
   }
 
   /** Whether an agent must be told a route's terms with a flow; counts as told. */
-  takeTelling(agent: Endpoint, run: number, route: Route): boolean {
+  markSentIfDue(agent: Endpoint, run: number, route: Route): boolean {
     if (!this.competing.has(route.destination)) {
       return false;
     }
-    const terms = termsOf(route);
-    const { routes } = this.toldTo(agent, run);
+    const terms = getTerms(route);
+    const { routes } = this.getAgentRecord(agent, run);
     const known = routes.get(route.destination);
     if (!known || !hasSameTerms(known.terms, terms)) {
-      routes.set(route.destination, { terms, tellingsLeft: TELLINGS - 1 });
+      routes.set(route.destination, { terms, sendsLeft: SENDS_PER_ROUTE - 1 });
       return true;
     }
-    if (known.tellingsLeft === 0) {
+    if (known.sendsLeft === 0) {
       return false;
     }
-    known.tellingsLeft--;
+    known.sendsLeft--;
     return true;
   }
 
   /** Forgets the agents and routes that are no longer known. */
   expire(isKnown: (agent: Endpoint) => boolean): void {
-    for (const [agent, { routes }] of this.told) {
+    for (const [agent, { routes }] of this.agents) {
       if (!isKnown(agent)) {
-        this.told.delete(agent);
+        this.agents.delete(agent);
         continue;
       }
       const ended = [...routes.keys()].filter((destination) => !this.competing.has(destination));
@@ -64,13 +64,13 @@
     }
   }
 
-  private toldTo(agent: Endpoint, run: number): ToldAgent {
-    const known = this.told.get(agent);
+  private getAgentRecord(agent: Endpoint, run: number): AgentRecord {
+    const known = this.agents.get(agent);
     if (known?.run === run) {
       return known;
     }
-    const begun: ToldAgent = { run, routes: new Map() };
-    this.told.set(agent, begun);
-    return begun;
+    const created: AgentRecord = { run, routes: new Map() };
+    this.agents.set(agent, created);
+    return created;
   }
 }
--- a/src/runtime/target-probe.ts
+++ b/src/runtime/target-probe.ts
@@ -12,7 +12,7 @@
 export class TcpTargetProbe implements TargetProbePort {
   constructor(private readonly target: Endpoint) {}
 
-  isVacant(answer: (isVacant: boolean) => void): void {
+  checkVacant(answer: (isVacant: boolean) => void): void {
     const place = { host: endpointAddress(this.target), port: endpointPort(this.target) };
     const connection = connect({ ...place, timeout: TIMEOUT });
     let answered = false;
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -252,7 +252,7 @@
         format: modelPacketFormat,
         registry: this.store.registryPort(process),
         startedAt,
-        targetProbe: { isVacant: (answer) => answer(!(agent.target?.alive ?? false)) },
+        targetProbe: { checkVacant: (answer) => answer(!(agent.target?.alive ?? false)) },
         sendToClient: (client, packet) => this.network.send(process, outbound, client, packet),
         sendToTarget: (packet) => this.deliverToTarget(agent, Buffer.from(packet)),
       },
--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -3,13 +3,13 @@
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
 import { selectAgent } from '../src/packets/agent-selection';
 import { OpeningRates } from '../src/packets/choice/opening-rates';
-import { ReportAlarm } from '../src/packets/choice/report-alarm';
+import { DegradationDetector } from '../src/packets/choice/degradation-detector';
 import {
   PlacementClass,
   type Choice,
   type SelectionContext,
 } from '../src/packets/choice/selection';
-import { WorkClock } from '../src/packets/choice/work-clock';
+import { ServiceTimeTracker } from '../src/packets/choice/service-time-tracker';
 import { TargetState, type ReportMessage } from '../src/packets/packet-messages';
 import { checkPacketSettings } from '../src/packets/packet-settings';
 import { ServiceTime } from '../src/packets/service-time';
@@ -18,13 +18,13 @@
 import { createReport } from './support/reports';
 import { createSelectionContext } from './support/selection-context';
 
-const ANSWER_TIME = 20;
+const ANSWER_TIME_MS = 20;
 
 /** Agents of one-slot targets, each with some fields of its report replaced. */
 function createAgents(reports: readonly Partial<ReportMessage>[]): AgentEntry[] {
   const directory = new AgentDirectory();
   return reports.map((fields, address) => {
-    const report = createReport({ slots: 1, answerTime: ANSWER_TIME, ...fields });
+    const report = createReport({ slots: 1, answerTime: ANSWER_TIME_MS, ...fields });
     return directory.hear(address + 1, report, 0)!;
   });
 }
@@ -38,7 +38,7 @@
   const random = new SeededRandom(3);
   const counts = entries.map(() => 0);
   for (let flow = 0; flow < flows; flow++) {
-    const now = (flow * ANSWER_TIME) / 2;
+    const now = (flow * ANSWER_TIME_MS) / 2;
     const context = createSelectionContext({ now, random: () => random.next(), ...fields });
     const { entry } = selectAgent(entries, context)!;
     entry.recentOpenings.push(now);
@@ -56,16 +56,16 @@
 });
 
 test('a slow target gets its share by time, not by number', (t) => {
-  const entries = createAgents([{ answerTime: 2.5 * ANSWER_TIME }, {}, {}, {}]);
+  const entries = createAgents([{ answerTime: 2.5 * ANSWER_TIME_MS }, {}, {}, {}]);
   // Two flows in an answer's time for each quick target: they queue there.
   const counts = placeFlows(entries, 400, { random: () => 0 });
   t.true(counts[0]! < counts[1]! / 2, counts.join(', '));
   const { entry, expectedTime } = selectAgent(
-    createAgents([{ answerTime: 6 * ANSWER_TIME }, { busyRequests: 2 }]),
+    createAgents([{ answerTime: 6 * ANSWER_TIME_MS }, { busyRequests: 2 }]),
     createSelectionContext(),
   )!;
   t.is(entry.address, 2, 'two requests ahead at a quick target are sooner done');
-  t.true(expectedTime > 2 * ANSWER_TIME && expectedTime < 6 * ANSWER_TIME);
+  t.true(expectedTime > 2 * ANSWER_TIME_MS && expectedTime < 6 * ANSWER_TIME_MS);
 });
 
 test('chance in the times of targets moves no flows: all balancers hear the same figures', (t) => {
@@ -75,7 +75,7 @@
 });
 
 test('a service that is slow or fails as a whole goes on getting flows everywhere', (t) => {
-  const slow = createAgents(Array.from({ length: 4 }, () => ({ answerTime: 6 * ANSWER_TIME })));
+  const slow = createAgents(Array.from({ length: 4 }, () => ({ answerTime: 6 * ANSWER_TIME_MS })));
   const failing = createAgents(Array.from({ length: 4 }, () => ({ failurePercent: 90 })));
   for (const entries of [slow, failing]) {
     const counts = placeFlows(entries, 200);
@@ -88,7 +88,7 @@
   const context = createSelectionContext({
     isHeard: (entry) => entry !== silent,
     isSettling: (entry) => entry === settling,
-    standingOf: (entry) =>
+    getOutlierStatus: (entry) =>
       entry === aside ? { kind: 'setAside', isTrialDue: false } : { kind: 'usual' },
   });
   const choose = (...entries: AgentEntry[]): Choice | undefined => selectAgent(entries, context);
@@ -140,8 +140,8 @@
 
 test('a slow target that has given no answers for a while is tried again', (t) => {
   const [slow, forgotten] = createAgents([
-    { answerTime: 6 * ANSWER_TIME },
-    { answerTime: 6 * ANSWER_TIME, answers: 0 },
+    { answerTime: 6 * ANSWER_TIME_MS },
+    { answerTime: 6 * ANSWER_TIME_MS, answers: 0 },
     {},
     {},
   ]);
@@ -150,8 +150,8 @@
     const isHeard = (one: AgentEntry): boolean => one === entry;
     return selectAgent([entry, ...others], createSelectionContext({ isHeard }))!.expectedTime;
   };
-  t.is(timeOf(slow!) > 4 * ANSWER_TIME, true);
-  t.is(timeOf(forgotten!), ANSWER_TIME);
+  t.is(timeOf(slow!) > 4 * ANSWER_TIME_MS, true);
+  t.is(timeOf(forgotten!), ANSWER_TIME_MS);
 });
 
 test('cold targets come second, and take all where all are cold', (t) => {
@@ -200,7 +200,7 @@
 test('a transfer that costs more than the wait at home keeps a flow at home', (t) => {
   const entries = createAgents([{ zone: 'south' }, { busyRequests: 2 }]);
   const costly = createSelectionContext({
-    transferCost: ({ zone }) => (zone === 'south' ? 90 : 0),
+    getTransferCost: ({ zone }) => (zone === 'south' ? 90 : 0),
   });
   t.is(selectAgent(entries, costly)?.entry, entries[1]);
 });
@@ -249,21 +249,21 @@
 });
 
 test('time that a request waits inside its target is no work', (t) => {
-  const clock = new WorkClock<string>(() => 1);
-  clock.begin('first', 0);
-  clock.begin('second', 5);
-  clock.begin('third', 6);
-  t.is(clock.workTime('second', 10), undefined);
-  t.is(clock.longestWork(15), 15);
-  clock.end('first', 20);
-  t.is(clock.workTime('second', 45), 25);
-  clock.end('third', 46);
-  clock.end('second', 50);
-  t.is(clock.longestWork(60), 0);
-  const unknown = new WorkClock<string>(() => 0);
-  unknown.begin('first', 0);
-  unknown.begin('second', 1);
-  t.is(unknown.workTime('second', 10), 9, 'slots are not known: all are worked on');
+  const clock = new ServiceTimeTracker<string>(() => 1);
+  clock.startRequest('first', 0);
+  clock.startRequest('second', 5);
+  clock.startRequest('third', 6);
+  t.is(clock.getServiceTime('second', 10), undefined);
+  t.is(clock.getLongestServiceTime(15), 15);
+  clock.endRequest('first', 20);
+  t.is(clock.getServiceTime('second', 45), 25);
+  clock.endRequest('third', 46);
+  clock.endRequest('second', 50);
+  t.is(clock.getLongestServiceTime(60), 0);
+  const unknown = new ServiceTimeTracker<string>(() => 0);
+  unknown.startRequest('first', 0);
+  unknown.startRequest('second', 1);
+  t.is(unknown.getServiceTime('second', 10), 9, 'slots are not known: all are worked on');
 });
 
 test('failures in a row tell soon after a thousand successes; a single one is no verdict', (t) => {
@@ -287,36 +287,36 @@
 });
 
 test('an agent tells at once that its target has become worse, and not again for a while', (t) => {
-  const alarm = new ReportAlarm();
+  const alarm = new DegradationDetector();
   const well = { answerTime: 20, answers: 9, failurePercent: 0 };
-  t.false(alarm.isDue(well, 0));
-  t.true(alarm.isDue({ ...well, failurePercent: 36 }, 10));
-  t.false(alarm.isDue({ ...well, failurePercent: 90 }, 20), 'a quarter of a second has not passed');
-  t.true(alarm.isDue({ ...well, failurePercent: 90 }, 300));
-  t.false(alarm.isDue({ ...well, failurePercent: 92 }, 900), 'told before');
-  t.false(alarm.isDue(well, 1_000), 'better can wait');
-  t.true(alarm.isDue({ ...well, answerTime: 60 }, 2_000));
-  const first = new ReportAlarm();
-  t.false(first.isDue({ answerTime: 50, answers: 0, failurePercent: 0 }, 0));
-  t.false(first.isDue({ answerTime: 120, answers: 1, failurePercent: 0 }, 900), 'the first figure');
+  t.false(alarm.shouldReport(well, 0));
+  t.true(alarm.shouldReport({ ...well, failurePercent: 36 }, 10));
+  t.false(alarm.shouldReport({ ...well, failurePercent: 90 }, 20), 'a quarter of a second has not passed');
+  t.true(alarm.shouldReport({ ...well, failurePercent: 90 }, 300));
+  t.false(alarm.shouldReport({ ...well, failurePercent: 92 }, 900), 'told before');
+  t.false(alarm.shouldReport(well, 1_000), 'better can wait');
+  t.true(alarm.shouldReport({ ...well, answerTime: 60 }, 2_000));
+  const first = new DegradationDetector();
+  t.false(first.shouldReport({ answerTime: 50, answers: 0, failurePercent: 0 }, 0));
+  t.false(first.shouldReport({ answerTime: 120, answers: 1, failurePercent: 0 }, 900), 'the first figure');
 });
 
 test('times too short to be told apart raise no alarm', (t) => {
-  const alarm = new ReportAlarm();
+  const alarm = new DegradationDetector();
   const fast = { answerTime: 0, answers: 9, failurePercent: 0 };
-  t.false(alarm.isDue(fast, 0));
-  t.false(alarm.isDue(fast, 1_000), 'under half a millisecond, told as 0');
-  t.false(alarm.isDue({ ...fast, answerTime: 3 }, 2_000));
-  t.true(alarm.isDue({ ...fast, answerTime: 12 }, 3_000));
+  t.false(alarm.shouldReport(fast, 0));
+  t.false(alarm.shouldReport(fast, 1_000), 'under half a millisecond, told as 0');
+  t.false(alarm.shouldReport({ ...fast, answerTime: 3 }, 2_000));
+  t.true(alarm.shouldReport({ ...fast, answerTime: 12 }, 3_000));
 });
 
 test('where balancers want reports seldom, alarms are as seldom', (t) => {
-  const alarm = new ReportAlarm();
+  const alarm = new DegradationDetector();
   const well = { answerTime: 20, answers: 9, failurePercent: 0 };
   const slow = { ...well, answerTime: 60 };
   let raised = 0;
   for (let now = 0; now < 10_000; now += 50) {
-    raised += alarm.isDue(now % 100 === 0 ? well : slow, now, () => 1_000) ? 1 : 0;
+    raised += alarm.shouldReport(now % 100 === 0 ? well : slow, now, () => 1_000) ? 1 : 0;
   }
   t.is(raised, 10);
 });
@@ -327,11 +327,11 @@
   const rates = new OpeningRates();
   for (let now = 1; now <= 5_000; now++) {
     directory.noteOpening(entry, false, now);
-    rates.note(`service-${now}`, now);
+    rates.recordOpening(`service-${now}`, now);
   }
   t.is(entry.recentOpenings.length, 1_000);
   t.is(entry.recentOpenings.at(-1), 5_000, 'the latest are kept');
-  rates.note('map', 60_000);
+  rates.recordOpening('map', 60_000);
   rates.expire(150_000);
   t.is(rates.size, 1);
 });
@@ -339,11 +339,11 @@
 test('rates of openings fade', (t) => {
   const rates = new OpeningRates();
   for (let now = 0; now < 30_000; now += 20) {
-    rates.note('map', now);
+    rates.recordOpening('map', now);
   }
-  t.true(Math.abs(rates.rate('map', 30_000) - 0.05) < 0.001);
-  t.true(rates.rate('map', 60_000) < 0.001);
-  t.is(rates.rate('other', 0), 0);
+  t.true(Math.abs(rates.getRate('map', 30_000) - 0.05) < 0.001);
+  t.true(rates.getRate('map', 60_000) < 0.001);
+  t.is(rates.getRate('other', 0), 0);
 });
 
 test('settings switch the rule and bound the share; wrong ones are errors', (t) => {
@@ -387,5 +387,5 @@
   const entries = createAgents([{ busyRequests: 4 }, ...idle, ...hot]);
   const recent = entries[0]!;
   const ageOf = (entry: AgentEntry): number => (entry === recent ? 0 : 600);
-  t.not(selectAgent(entries, createSelectionContext({ ageOf }))!.entry, recent);
+  t.not(selectAgent(entries, createSelectionContext({ getReportAge: ageOf }))!.entry, recent);
 });
--- a/test/opening-admission.test.ts
+++ b/test/opening-admission.test.ts
@@ -8,37 +8,37 @@
 import { DESTINATION, RouterHarness } from './support/router-harness';
 
 const STREAM = packEndpoint('198.18.0.1', 8_443);
-const DEADLINE = 2_000;
-const KEPT = 10;
+const DEADLINE_MS = 2_000;
+const KEPT_PERCENT = 10;
 const CLIENT = 0x6440_0007_9c41;
 
 function createRequest(expectedTime: number, fields: Partial<OpeningRequest> = {}): OpeningRequest {
-  return { destination: STREAM, expectedTime, deadline: DEADLINE, isLessUrgent: true, ...fields };
+  return { destination: STREAM, expectedTime, deadline: DEADLINE_MS, isLessUrgent: true, ...fields };
 }
 
 test('what comes late is let in, what comes after its caller has given up is refused', (t) => {
-  const admission = new OpeningAdmission(KEPT);
-  t.true(admission.takeDecision(createRequest(DEADLINE)));
-  t.false(admission.takeDecision(createRequest(DEADLINE + 1)));
-  t.is(admission.routesClosed, 1);
+  const admission = new OpeningAdmission(KEPT_PERCENT);
+  t.true(admission.admit(createRequest(DEADLINE_MS)));
+  t.false(admission.admit(createRequest(DEADLINE_MS + 1)));
+  t.is(admission.rejectedRouteCount, 1);
 });
 
 test('the most urgent route of a service, and one without a deadline, is always let in', (t) => {
-  const admission = new OpeningAdmission(KEPT);
-  t.true(admission.takeDecision(createRequest(9_000, { isLessUrgent: false })));
-  t.true(admission.takeDecision(createRequest(9_000, { deadline: 0 })));
+  const admission = new OpeningAdmission(KEPT_PERCENT);
+  t.true(admission.admit(createRequest(9_000, { isLessUrgent: false })));
+  t.true(admission.admit(createRequest(9_000, { deadline: 0 })));
 });
 
 test('a route is let in again once the wait has fallen well below its deadline', (t) => {
   const admission = new OpeningAdmission(0);
-  const decide = (time: number): boolean => admission.takeDecision(createRequest(time));
+  const decide = (time: number): boolean => admission.admit(createRequest(time));
   t.deepEqual([2_100, 1_900, 1_650, 1_600, 1_900].map(decide), [false, false, false, true, true]);
 });
 
 test('a share of the openings is let in all the same', (t) => {
-  const admission = new OpeningAdmission(KEPT);
+  const admission = new OpeningAdmission(KEPT_PERCENT);
   const admitted = Array.from({ length: 200 }, () =>
-    admission.takeDecision(createRequest(5_000)),
+    admission.admit(createRequest(5_000)),
   ).filter((isAdmitted) => isAdmitted);
   t.is(admitted.length, 20);
 });
@@ -61,13 +61,13 @@
 });
 
 /** Routes one opening where every target has so many requests of 50 ms before its five slots. */
-function openBefore(busyRequests: number, priority: number): RouterHarness {
+function openWithBusyTargets(busyRequests: number, priority: number): RouterHarness {
   const harness = new RouterHarness([6, 6, 6, 6, 6, 6]);
   harness.agents.forEach((agent) =>
     harness.directory.hear(agent, createReport({ sequence: 2, busyRequests }), harness.now),
   );
   const services = [{ service: 'map', weight: 1 }];
-  const terms = { latencyGoal: 300, deadline: DEADLINE };
+  const terms = { latencyGoal: 300, deadline: DEADLINE_MS };
   const route = { name: 'stream', destination: DESTINATION, services, isRepeatable: true };
   const check = { ...createRoute(1, 'map', 1), terms: { ...terms, priority: 1 } };
   const routes = [{ ...route, terms: { ...terms, priority } }, check];
@@ -77,17 +77,17 @@
 }
 
 test('a refused opening is reset at once and reaches no agent', (t) => {
-  const harness = openBefore(400, 2);
+  const harness = openWithBusyTargets(400, 2);
   t.is(harness.router.counters.openingsRefused, 1);
   t.is(harness.router.counters.resetsSent, 1);
   t.is(harness.router.counters.flowsPlaced, 0);
   t.is(harness.sent.length, 0);
-  t.is(openBefore(100, 2).router.counters.openingsRefused, 0, 'late, and served');
-  t.is(openBefore(400, 1).router.counters.openingsRefused, 0, 'as urgent as any');
+  t.is(openWithBusyTargets(100, 2).router.counters.openingsRefused, 0, 'late, and served');
+  t.is(openWithBusyTargets(400, 1).router.counters.openingsRefused, 0, 'as urgent as any');
 });
 
 test('a trial at one bad target closes no route', (t) => {
-  const harness = openBefore(100, 2);
+  const harness = openWithBusyTargets(100, 2);
   const [bad] = harness.agents;
   const failing = { sequence: 3, busyRequests: 900, failurePercent: 90 };
   for (let round = 0; round < 60; round++) {
--- a/test/outliers.test.ts
+++ b/test/outliers.test.ts
@@ -8,7 +8,7 @@
 import { selectAgent } from '../src/packets/agent-selection';
 import { findOutliers, type ComparedTarget } from '../src/packets/choice/outliers';
 import { PlacementClass, type Choice } from '../src/packets/choice/selection';
-import { SetAsideTargets } from '../src/packets/choice/set-aside-targets';
+import { OutlierEjection } from '../src/packets/choice/outlier-ejection';
 import type { ReportMessage } from '../src/packets/packet-messages';
 import {
   decodeSnapshot,
@@ -21,9 +21,9 @@
 import { DESTINATION, RouterHarness } from './support/router-harness';
 import { createSelectionContext } from './support/selection-context';
 
-const SHARE = 30;
-const STEP = 50;
-const SECOND = 1_000;
+const SHARE_PERCENT = 30;
+const STEP_MS = 50;
+const SECOND_MS = 1_000;
 const FAILING = { failurePercent: 86 };
 const SLOW = { answerTime: 120 };
 
@@ -40,67 +40,67 @@
   return fields.map((one, id) => ({ id, ...usual, ...one }));
 }
 
-function findIds(fields: readonly Partial<ComparedTarget<number>>[], share = SHARE): number[] {
+function findOutlierIds(fields: readonly Partial<ComparedTarget<number>>[], share = SHARE_PERCENT): number[] {
   return [...findOutliers(createTargets(fields), share).keys()].sort();
 }
 
 const USUAL = [{}, {}, {}, {}, {}, {}, {}, {}];
 
 test('what fails or is slow among others is found; what is merely worse is not', (t) => {
-  t.deepEqual(findIds([FAILING, SLOW, ...USUAL]), [0, 1]);
-  t.deepEqual(findIds([{ failurePercent: 25 }, { answerTime: 45 }, ...USUAL]), []);
-  const found = findOutliers(createTargets([FAILING, SLOW, ...USUAL]), SHARE);
+  t.deepEqual(findOutlierIds([FAILING, SLOW, ...USUAL]), [0, 1]);
+  t.deepEqual(findOutlierIds([{ failurePercent: 25 }, { answerTime: 45 }, ...USUAL]), []);
+  const found = findOutliers(createTargets([FAILING, SLOW, ...USUAL]), SHARE_PERCENT);
   t.deepEqual(found.get(0), { kind: 'failing', figure: 86, median: 0 });
   t.deepEqual(found.get(1), { kind: 'slow', figure: 120, median: 20 });
 });
 
 test('a service that fails or is slow as a whole has no outliers', (t) => {
-  t.deepEqual(findIds(Array.from({ length: 10 }, () => FAILING)), []);
-  t.deepEqual(findIds(Array.from({ length: 10 }, () => SLOW)), []);
+  t.deepEqual(findOutlierIds(Array.from({ length: 10 }, () => FAILING)), []);
+  t.deepEqual(findOutlierIds(Array.from({ length: 10 }, () => SLOW)), []);
   const most = [...Array.from({ length: 6 }, () => FAILING), {}, {}, {}, {}];
-  t.deepEqual(findIds(most), [], 'most of them fail');
+  t.deepEqual(findOutlierIds(most), [], 'most of them fail');
 });
 
 test('few requests are no evidence, and a cold target is slow by right', (t) => {
-  t.deepEqual(findIds([{ ...SLOW, answers: 2 }, { ...SLOW, isCold: true }, ...USUAL]), []);
+  t.deepEqual(findOutlierIds([{ ...SLOW, answers: 2 }, { ...SLOW, isCold: true }, ...USUAL]), []);
   const quiet = Array.from({ length: 8 }, () => ({ answers: 0 }));
-  t.deepEqual(findIds([SLOW, ...quiet]), [], 'hardly any other has told its time');
-  t.deepEqual(findIds([{ answerTime: 6 }, ...USUAL.map(() => ({ answerTime: 1 }))]), []);
+  t.deepEqual(findOutlierIds([SLOW, ...quiet]), [], 'hardly any other has told its time');
+  t.deepEqual(findOutlierIds([{ answerTime: 6 }, ...USUAL.map(() => ({ answerTime: 1 }))]), []);
 });
 
 test('at most a share is set aside, the worst of them', (t) => {
   const failing = [40, 90, 60, 80, 70].map((failurePercent) => ({ failurePercent }));
-  t.deepEqual(findIds([...failing, {}, {}, {}, {}, {}, {}]), [1, 3, 4]);
-  t.deepEqual(findIds([FAILING, {}, {}]), [], 'a third is more than the share');
-  t.deepEqual(findIds([FAILING, ...USUAL], 0), []);
+  t.deepEqual(findOutlierIds([...failing, {}, {}, {}, {}, {}, {}]), [1, 3, 4]);
+  t.deepEqual(findOutlierIds([FAILING, {}, {}]), [], 'a third is more than the share');
+  t.deepEqual(findOutlierIds([FAILING, ...USUAL], 0), []);
 });
 
 test('what is set aside must come well down again', (t) => {
   const improved = { failurePercent: 20, isSetAside: true };
-  t.deepEqual(findIds([improved, ...USUAL]), [0]);
-  t.deepEqual(findIds([{ ...improved, failurePercent: 10 }, ...USUAL]), []);
-  t.deepEqual(findIds([{ answerTime: 45, isSetAside: true }, ...USUAL]), [0]);
-  t.deepEqual(findIds([{ answerTime: 35, isSetAside: true }, ...USUAL]), []);
+  t.deepEqual(findOutlierIds([improved, ...USUAL]), [0]);
+  t.deepEqual(findOutlierIds([{ ...improved, failurePercent: 10 }, ...USUAL]), []);
+  t.deepEqual(findOutlierIds([{ answerTime: 45, isSetAside: true }, ...USUAL]), [0]);
+  t.deepEqual(findOutlierIds([{ answerTime: 35, isSetAside: true }, ...USUAL]), []);
 });
 
 /** A balancer that hears ten agents; each test says what the first of them reports. */
-class Watch {
+class EjectionHarness {
   readonly directory = new AgentDirectory();
   readonly events: { readonly kind: EventKind; readonly fields: EventFields }[] = [];
-  readonly setAside: SetAsideTargets;
+  readonly ejection: OutlierEjection;
   now = 0;
   private readonly random = new SeededRandom(7);
   private sequence = 0;
 
   constructor(
-    share = SHARE,
+    share = SHARE_PERCENT,
     private readonly balancers = 1,
   ) {
     const environment = {
       random: () => this.random.next(),
       report: (kind: EventKind, fields: EventFields) => this.events.push({ kind, fields }),
     } as unknown as Environment;
-    this.setAside = new SetAsideTargets({ environment, directory: this.directory, share });
+    this.ejection = new OutlierEjection({ environment, directory: this.directory, share });
   }
 
   /** Lets all agents report, every 50 ms. */
@@ -109,12 +109,12 @@
     first: Partial<ReportMessage>,
     others: Partial<ReportMessage> = {},
   ): void {
-    for (const end = this.now + milliseconds; this.now < end; this.now += STEP) {
+    for (const end = this.now + milliseconds; this.now < end; this.now += STEP_MS) {
       for (let address = 1; address <= 10; address++) {
         this.hear(address, address === 1 ? first : others);
       }
-      this.setAside.review('map', this.now);
-      this.setAside.expire(this.now);
+      this.ejection.compareTargets('map', this.now);
+      this.ejection.expire(this.now);
     }
   }
 
@@ -132,21 +132,21 @@
     return this.events.map(({ kind }) => kind);
   }
 
-  get standing(): string {
-    return this.setAside.standingOf(this.first, false, this.now).kind;
+  get status(): string {
+    return this.ejection.getStatus(this.first, false, this.now).kind;
   }
 
   /** @param mayTry whether the flow's request may be repeated */
   place(mayTry: boolean, entries = [...this.directory.all()]): Choice {
     const context = createSelectionContext({
       now: this.now,
-      standingOf: (entry) => this.setAside.standingOf(entry, mayTry, this.now),
+      getOutlierStatus: (entry) => this.ejection.getStatus(entry, mayTry, this.now),
       isHeard: (entry) => this.directory.isHeard(entry, this.now),
       random: () => this.random.next(),
     });
     const choice = selectAgent(entries, context)!;
     if (choice.isTrial) {
-      this.setAside.noteTrial(choice.entry, this.now);
+      this.ejection.recordTrial(choice.entry, this.now);
     }
     return choice;
   }
@@ -155,7 +155,7 @@
   placeMany(milliseconds: number, mayTry: boolean, first: Partial<ReportMessage>): number {
     let atFirst = 0;
     for (const end = this.now + milliseconds; this.now < end;) {
-      this.run(STEP, first);
+      this.run(STEP_MS, first);
       atFirst += this.place(mayTry).entry === this.first ? 1 : 0;
     }
     return atFirst;
@@ -163,164 +163,164 @@
 }
 
 test('a target is set aside once it stays worse, gets trials, and comes back by degrees', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(100, FAILING);
-  t.is(watch.standing, 'usual', 'the others may not have reported yet');
+  t.is(watch.status, 'usual', 'the others may not have reported yet');
   watch.run(300, FAILING);
-  t.is(watch.standing, 'setAside');
-  t.is(watch.setAside.count, 1);
+  t.is(watch.status, 'setAside');
+  t.is(watch.ejection.ejectedCount, 1);
   t.deepEqual(watch.kinds, [Events.targetSetAside]);
   t.like(watch.events[0]!.fields, { service: 'map', reason: 'failing', figure: 86, median: 0 });
-  const trials = watch.placeMany(10 * SECOND, true, FAILING);
+  const trials = watch.placeMany(10 * SECOND_MS, true, FAILING);
   t.true(trials >= 5 && trials <= 20, `${trials} trials in ten seconds`);
-  watch.run(2 * STEP, { failurePercent: 5 });
-  t.is(watch.standing, 'restored');
+  watch.run(2 * STEP_MS, { failurePercent: 5 });
+  t.is(watch.status, 'restored');
   t.deepEqual(watch.kinds, [Events.targetSetAside, Events.targetRestored]);
   t.is(watch.place(true, [watch.first]).placementClass, PlacementClass.doubtful);
-  watch.run(SECOND, { failurePercent: 2 });
-  t.is(watch.standing, 'usual');
-  t.is(watch.setAside.count, 0);
+  watch.run(SECOND_MS, { failurePercent: 2 });
+  t.is(watch.status, 'usual');
+  t.is(watch.ejection.ejectedCount, 0);
 });
 
 test('trials of all balancers together are about one a second', (t) => {
-  const watch = new Watch(SHARE, 20);
+  const watch = new EjectionHarness(SHARE_PERCENT, 20);
   watch.run(400, FAILING);
-  const trials = watch.placeMany(40 * SECOND, true, { ...FAILING });
+  const trials = watch.placeMany(40 * SECOND_MS, true, { ...FAILING });
   t.true(trials >= 1 && trials <= 4, `${trials} trials of one of twenty balancers in 40 s`);
 });
 
 test('flows whose requests must not run twice are no trials', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, FAILING);
-  t.is(watch.placeMany(10 * SECOND, false, FAILING), 0);
+  t.is(watch.placeMany(10 * SECOND_MS, false, FAILING), 0);
   t.is(watch.place(false, [watch.first]).entry, watch.first, 'unless no other takes them');
 });
 
 test('a slow target is set aside and restored likewise', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, SLOW);
-  t.is(watch.standing, 'setAside');
+  t.is(watch.status, 'setAside');
   t.like(watch.events[0]!.fields, { reason: 'slow', figure: 120, median: 20 });
-  watch.run(2 * STEP, { answerTime: 30 });
-  t.is(watch.standing, 'restored');
+  watch.run(2 * STEP_MS, { answerTime: 30 });
+  t.is(watch.status, 'restored');
 });
 
 test('a restored target that is worse again stays doubtful until it is set aside', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, FAILING);
-  watch.run(2 * STEP, {});
-  t.is(watch.standing, 'restored');
-  watch.run(2 * STEP, FAILING);
-  t.is(watch.standing, 'restored', 'suspected, and not able for that');
+  watch.run(2 * STEP_MS, {});
+  t.is(watch.status, 'restored');
+  watch.run(2 * STEP_MS, FAILING);
+  t.is(watch.status, 'restored', 'suspected, and not able for that');
   watch.run(300, FAILING);
-  t.is(watch.standing, 'setAside');
+  t.is(watch.status, 'setAside');
 });
 
 test('a suspicion does not outlast the silence of its agent', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(100, FAILING);
-  watch.now += 5 * SECOND;
-  watch.setAside.expire(watch.now);
-  watch.run(STEP, FAILING);
-  t.is(watch.standing, 'usual', 'compared for the first time since');
+  watch.now += 5 * SECOND_MS;
+  watch.ejection.expire(watch.now);
+  watch.run(STEP_MS, FAILING);
+  t.is(watch.status, 'usual', 'compared for the first time since');
   watch.run(400, FAILING);
-  t.is(watch.standing, 'setAside');
+  t.is(watch.status, 'setAside');
 });
 
 test('a large fleet is compared less often, as its reports come less often', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   let comparisons = 0;
   const find = watch.directory.ofServices.bind(watch.directory);
   watch.directory.ofServices = (services) => {
     comparisons++;
     return find(services);
   };
-  watch.run(SECOND, {});
+  watch.run(SECOND_MS, {});
   t.is(comparisons, 20);
   for (let address = 11; address <= 400; address++) {
     watch.hear(address, {});
   }
   comparisons = 0;
-  watch.run(SECOND, {});
+  watch.run(SECOND_MS, {});
   t.is(comparisons, 5);
 });
 
 test('trouble that befalls all, one a moment before the others, sets nobody aside', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(200, FAILING);
-  watch.run(2 * SECOND, FAILING, FAILING);
-  t.is(watch.setAside.count, 0);
+  watch.run(2 * SECOND_MS, FAILING, FAILING);
+  t.is(watch.ejection.ejectedCount, 0);
 });
 
 test('an agent that restarts and knows nothing keeps its target aside until it does', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, SLOW);
   const blank = { run: 2, answers: 0, answerTime: 50, failurePercent: 0 };
-  watch.run(5 * SECOND, blank);
-  t.is(watch.standing, 'setAside');
-  watch.run(2 * STEP, { ...blank, answers: 3, answerTime: 21 });
-  t.is(watch.standing, 'restored');
-  const silent = new Watch();
+  watch.run(5 * SECOND_MS, blank);
+  t.is(watch.status, 'setAside');
+  watch.run(2 * STEP_MS, { ...blank, answers: 3, answerTime: 21 });
+  t.is(watch.status, 'restored');
+  const silent = new EjectionHarness();
   silent.run(400, FAILING);
-  silent.run(11 * SECOND, blank);
-  t.is(silent.standing, 'usual', 'nothing is heard against it for long');
+  silent.run(11 * SECOND_MS, blank);
+  t.is(silent.status, 'usual', 'nothing is heard against it for long');
 });
 
 test('another target at the same address begins as usual', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, FAILING);
-  watch.run(STEP, { targetChanges: 1, answers: 0, answerTime: 50 });
-  t.is(watch.standing, 'usual');
+  watch.run(STEP_MS, { targetChanges: 1, answers: 0, answerTime: 50 });
+  t.is(watch.status, 'usual');
   t.like(watch.events[1], { kind: Events.targetRestored, fields: { reason: 'replaced' } });
 });
 
 test('an agent that leaves, or serves another service, takes its standing with it', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, FAILING);
   watch.hear(1, { service: 'tiles' });
-  t.is(watch.standing, 'usual');
-  watch.setAside.expire(watch.now);
-  t.is(watch.setAside.count, 0);
+  t.is(watch.status, 'usual');
+  watch.ejection.expire(watch.now);
+  t.is(watch.ejection.ejectedCount, 0);
 });
 
 test('agents of a version before are compared by their failures alone', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   const old = { answers: 0, targetChanges: 0 };
-  watch.run(SECOND, { ...old, ...SLOW }, old);
-  t.is(watch.setAside.count, 0);
-  watch.run(SECOND, { ...old, ...FAILING }, old);
-  t.is(watch.standing, 'setAside');
+  watch.run(SECOND_MS, { ...old, ...SLOW }, old);
+  t.is(watch.ejection.ejectedCount, 0);
+  watch.run(SECOND_MS, { ...old, ...FAILING }, old);
+  t.is(watch.status, 'setAside');
 });
 
 test('a share of 0 sets nothing aside', (t) => {
-  const watch = new Watch(0);
-  watch.run(2 * SECOND, FAILING);
-  t.is(watch.setAside.count, 0);
+  const watch = new EjectionHarness(0);
+  watch.run(2 * SECOND_MS, FAILING);
+  t.is(watch.ejection.ejectedCount, 0);
 });
 
 test('a silent zone is neither compared nor forgotten', (t) => {
-  const watch = new Watch();
+  const watch = new EjectionHarness();
   watch.run(400, FAILING);
-  for (const end = watch.now + 3 * SECOND; watch.now < end; watch.now += STEP) {
+  for (const end = watch.now + 3 * SECOND_MS; watch.now < end; watch.now += STEP_MS) {
     for (let address = 2; address <= 10; address++) {
       watch.hear(address, {});
     }
-    watch.setAside.review('map', watch.now);
+    watch.ejection.compareTargets('map', watch.now);
   }
-  t.is(watch.standing, 'setAside');
+  t.is(watch.status, 'setAside');
   t.not(watch.place(true).entry, watch.first, 'no trial at a silent agent');
 });
 
 /** Routes an opening every 50 ms for ten seconds, while the first of eight targets fails. */
-function openAtHarness(openingCopy: number): RouterHarness {
+function runOpenings(openingCopy: number): RouterHarness {
   const harness = new RouterHarness([4, 4, 4, 4, 4, 4, 4, 4]);
   const services = [{ service: 'map', weight: 1 }];
   const route = { name: 'map', destination: DESTINATION, services, isRepeatable: true };
   harness.router.apply({ version: 2, idleTimeout: 60_000, profiles: [], routes: [route] });
   // Agents that are heard for the first time are doubtful for a while.
-  harness.pass(2 * SECOND);
+  harness.pass(2 * SECOND_MS);
   for (let round = 0; round < 200; round++) {
-    harness.pass(STEP);
+    harness.pass(STEP_MS);
     harness.agents.forEach((agent, index) => {
       const fields = index === 0 ? FAILING : { busyRequests: 2 };
       const report = createReport({ ...fields, sequence: round + 2 });
@@ -332,7 +332,7 @@
 }
 
 test('a balancer places, tries and counts by its own judgement', (t) => {
-  const { router, sent, agents } = openAtHarness(0);
+  const { router, sent, agents } = runOpenings(0);
   const { flowsPlaced, flowsPlacedDoubtful, flowsPlacedLastResort, trialFlows } = router.counters;
   t.is(flowsPlaced, 200);
   t.is(router.agentsSetAside, 1);
@@ -342,7 +342,7 @@
 });
 
 test('a copy of an opening is no trial: its client has lost time already', (t) => {
-  const { router, sent, agents } = openAtHarness(1);
+  const { router, sent, agents } = runOpenings(1);
   t.is(router.counters.trialFlows, 0);
   t.is(sent.filter(({ to }) => to === agents[0]).length, 0);
 });
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -14,7 +14,7 @@
 import { PacketWorld } from '../src/simulation/packets/packet-world';
 import { encodePacket, Flag } from './support/packet-cluster';
 
-const PATIENCE = (): number => 100;
+const getWaitLimit = (): number => 100;
 const CLIENT = ['100.64.0.7', 40_001] as const;
 const ROUTE = ['198.18.0.1', 443] as const;
 
@@ -26,16 +26,16 @@
 test('requests are served in order while waits are short, and the newest first beyond that', (t) => {
   const queue = new RequestQueue(10);
   ['a', 'b', 'c'].forEach((flow, index) => queue.add(createRequest(flow, index * 10)));
-  t.is(queue.take(50, PATIENCE)!.packet.flow, 'a');
-  t.is(queue.take(150, PATIENCE)!.packet.flow, 'c');
-  t.is(queue.take(150, PATIENCE)!.packet.flow, 'b');
-  t.is(queue.take(150, PATIENCE), undefined);
+  t.is(queue.take(50, getWaitLimit)!.packet.flow, 'a');
+  t.is(queue.take(150, getWaitLimit)!.packet.flow, 'c');
+  t.is(queue.take(150, getWaitLimit)!.packet.flow, 'b');
+  t.is(queue.take(150, getWaitLimit), undefined);
 });
 
 test('what can still be answered in time goes before what is late, the oldest of it first', (t) => {
   const queue = new RequestQueue(10);
   ['a', 'b', 'c', 'd'].forEach((flow, index) => queue.add(createRequest(flow, index * 30)));
-  const order = Array.from({ length: 4 }, () => queue.take(135, PATIENCE)!.packet.flow);
+  const order = Array.from({ length: 4 }, () => queue.take(135, getWaitLimit)!.packet.flow);
   t.deepEqual(order, ['c', 'd', 'b', 'a']);
 });
 
@@ -47,7 +47,7 @@
   t.is(queue.size, 2);
   queue.expire(2_600);
   t.is(queue.size, 1);
-  t.is(queue.take(2_600, PATIENCE)!.since, 0);
+  t.is(queue.take(2_600, getWaitLimit)!.since, 0);
 });
 
 test('a queue is bounded: what came first no longer waits', (t) => {
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -223,7 +223,7 @@
     const far = entryWith(1, { busyRequests: 0, slots: 1, answerTime: 10 }, 'south');
     const near = entryWith(2, { busyRequests: 1, slots: 1, answerTime: 10 });
     const choose = (age: number): AgentEntry | undefined => {
-      const context = createSelectionContext({ usesExpectedWait, ageOf: () => age });
+      const context = createSelectionContext({ usesExpectedWait, getReportAge: () => age });
       return selectAgent([far, near], context)?.entry;
     };
     t.is(choose(5), far);
--- a/test/kept-flows.test.ts
+++ b/test/persistent-flows.test.ts
@@ -3,9 +3,9 @@
 import { packEndpoint } from '../src/core/endpoint';
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
 import { selectAgent } from '../src/packets/agent-selection';
-import { fillUp } from '../src/packets/choice/filling';
-import { measureWait } from '../src/packets/choice/kept-flows';
-import { createFlowUse, RouteUse } from '../src/packets/choice/route-use';
+import { computeWaterLevel } from '../src/packets/choice/water-filling';
+import { estimateQueueLength } from '../src/packets/choice/persistent-flows';
+import { createFlowRequestCount, RouteRequestStatistics } from '../src/packets/choice/route-request-statistics';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import type { ReportMessage } from '../src/packets/packet-messages';
 import { SeededRandom } from '../src/simulation/seeded-random';
@@ -21,28 +21,28 @@
 }
 
 test('a route whose flows go on is known by the second request of its first flows', (t) => {
-  const use = new RouteUse();
-  t.is(use.requestsPerFlow(STREAM, 0), 2, 'nothing seen');
+  const use = new RouteRequestStatistics();
+  t.is(use.estimateRequestsPerFlow(STREAM, 0), 2, 'nothing seen');
   for (let flow = 0; flow < 20; flow++) {
-    const seen = createFlowUse();
-    use.note(createPacket(STREAM, { payloadLength: 10 }), seen, 0);
-    use.note(createPacket(STREAM, { payloadLength: 10 }), seen, 200);
+    const seen = createFlowRequestCount();
+    use.recordPacket(createPacket(STREAM, { payloadLength: 10 }), seen, 0);
+    use.recordPacket(createPacket(STREAM, { payloadLength: 10 }), seen, 200);
     t.is(seen.requests, 1, 'a copy is no request');
-    use.note(createPacket(STREAM, { payloadLength: 10, sequence: 11 }), seen, 3_000);
+    use.recordPacket(createPacket(STREAM, { payloadLength: 10, sequence: 11 }), seen, 3_000);
   }
-  t.true(use.requestsPerFlow(STREAM, 3_000) > 5);
+  t.true(use.estimateRequestsPerFlow(STREAM, 3_000) > 5);
 });
 
 test('a route whose flows end with their first request is known by their ends', (t) => {
-  const use = new RouteUse();
+  const use = new RouteRequestStatistics();
   for (let flow = 0; flow < 30; flow++) {
-    const seen = createFlowUse();
-    use.note(createPacket(CHECK, { payloadLength: 10 }), seen, flow);
-    use.note(createPacket(CHECK, { ends: true }), seen, flow);
-    use.note(createPacket(CHECK, { ends: true }), seen, flow);
+    const seen = createFlowRequestCount();
+    use.recordPacket(createPacket(CHECK, { payloadLength: 10 }), seen, flow);
+    use.recordPacket(createPacket(CHECK, { ends: true }), seen, flow);
+    use.recordPacket(createPacket(CHECK, { ends: true }), seen, flow);
   }
-  t.is(use.requestsPerFlow(CHECK, 30), 1);
-  t.is(use.requestsPerFlow(STREAM, 30), 2);
+  t.is(use.estimateRequestsPerFlow(CHECK, 30), 1);
+  t.is(use.estimateRequestsPerFlow(STREAM, 30), 2);
 });
 
 test('load is poured over the lowest places first', (t) => {
@@ -51,29 +51,29 @@
     { level: 4, width: 2 },
     { level: 5, width: 1 },
   ];
-  t.is(fillUp(places, 0), 0);
-  t.is(fillUp(places, 1), 4.5);
-  t.is(fillUp(places, 2), 5);
-  t.is(fillUp(places, 5), 6);
-  t.is(fillUp([], 5), 0);
+  t.is(computeWaterLevel(places, 0), 0);
+  t.is(computeWaterLevel(places, 1), 4.5);
+  t.is(computeWaterLevel(places, 2), 5);
+  t.is(computeWaterLevel(places, 5), 6);
+  t.is(computeWaterLevel([], 5), 0);
 });
 
 test('the wait rises with use, and evenly where a target is overloaded', (t) => {
-  t.is(measureWait(0.5), 1);
-  t.true(Math.abs(measureWait(0.9) - 9) < 1e-9);
-  t.true(Math.abs(measureWait(1) - 19) < 1e-9);
+  t.is(estimateQueueLength(0.5), 1);
+  t.true(Math.abs(estimateQueueLength(0.9) - 9) < 1e-9);
+  t.true(Math.abs(estimateQueueLength(1) - 19) < 1e-9);
 });
 
 const TARGETS = 48;
 const ZONES = 4;
 const BALANCERS = 24;
-const REPORT_INTERVAL = 500;
-const QUICK = 15;
+const REPORT_INTERVAL_MS = 500;
+const FAST_ANSWER_TIME_MS = 15;
 /** One target in four takes more than twice as long as the others. */
-const SLOW = 34;
+const SLOW_ANSWER_TIME_MS = 34;
 
-function answerTimeOf(target: number): number {
-  return target % 4 === 0 ? SLOW : QUICK;
+function getAnswerTime(target: number): number {
+  return target % 4 === 0 ? SLOW_ANSWER_TIME_MS : FAST_ANSWER_TIME_MS;
 }
 
 /**
@@ -81,7 +81,7 @@
  * target looks idle in them, as it does between the requests of such flows.
  * @returns how busy each target is, in terms of the mean
  */
-function openFlows(
+function simulateOpenings(
   flows: number,
   spacing: number,
   requestsPerFlow: number,
@@ -95,13 +95,13 @@
   let sequence = 0;
   for (let flow = 0; flow < flows; flow++) {
     const now = flow * spacing;
-    if (now - reportedAt >= REPORT_INTERVAL) {
+    if (now - reportedAt >= REPORT_INTERVAL_MS) {
       reportedAt = now;
       sequence++;
       directories.forEach((directory, index) => {
         entries[index] = open.map((openFlows, target) => {
           const zone = `z${target % ZONES}`;
-          const answerTime = answerTimeOf(target);
+          const answerTime = getAnswerTime(target);
           const figures = { slots: 1, answerTime, openFlows, balancerCount: BALANCERS };
           const told = figuresOf(target, now);
           const report = createReport({ zone, sequence, ...figures, ...told });
@@ -120,25 +120,25 @@
     const context = createSelectionContext({
       now,
       requestsPerFlow,
-      rivalShare: 1 / ZONES,
+      competingShare: 1 / ZONES,
       openingRate: 1 / (spacing * BALANCERS),
-      ageOf: () => now - reportedAt,
-      transferCost: ({ zone }) => (zone === home ? 0 : 5),
+      getReportAge: () => now - reportedAt,
+      getTransferCost: ({ zone }) => (zone === home ? 0 : 5),
       random: () => random.next(),
     });
     const { entry } = selectAgent(ordered, context)!;
     directories[balancer]!.noteOpening(entry, requestsPerFlow > 1, now);
     open[entry.address - 1]!++;
   }
-  const uses = open.map((count, target) => count * answerTimeOf(target));
+  const uses = open.map((count, target) => count * getAnswerTime(target));
   const mean = uses.reduce((sum, use) => sum + use, 0) / TARGETS;
   return uses.map((use) => use / mean);
 }
 
 test('many flows that open at once are spread by what targets can do, before any is busy', (t) => {
-  const spread = Math.max(...openFlows(1_700, 1, 5));
+  const spread = Math.max(...simulateOpenings(1_700, 1, 5));
   t.true(spread <= 1.25, `the busiest target has ${spread.toFixed(2)} times the mean`);
-  const unspread = Math.max(...openFlows(1_700, 1, 1));
+  const unspread = Math.max(...simulateOpenings(1_700, 1, 1));
   t.true(unspread > spread, `${unspread.toFixed(2)} where each flow has one request`);
 });
 
@@ -149,7 +149,7 @@
     const answerTime = firstTimes[target] ?? 0;
     return now > 0 ? {} : { answers: answerTime > 0 ? 2 : 0, answerTime };
   };
-  const uses = openFlows(1_700, 1, 5, figuresOf);
+  const uses = simulateOpenings(1_700, 1, 5, figuresOf);
   [1, 2].forEach((target) => t.true(uses[target]! <= 1.25, `${uses[target]!.toFixed(2)} times`));
 });
 
@@ -167,7 +167,7 @@
 
 test('a target that has not been timed gets no more flows than a slow one', (t) => {
   const directory = new AgentDirectory();
-  const timed = Array.from({ length: 7 }, (_, target) => ({ answerTime: answerTimeOf(target) }));
+  const timed = Array.from({ length: 7 }, (_, target) => ({ answerTime: getAnswerTime(target) }));
   const reports = [...timed, { answers: 0, answerTime: 0 }];
   const entries = reports.map((fields, address) => {
     const report = createReport({ slots: 1, openFlows: 20, ...fields });
--- a/test/request-order.test.ts
+++ b/test/request-order.test.ts
@@ -1,18 +1,18 @@
 /** Requests of several priorities before one target that has more to do than it can. */
 import test from 'ava';
 import type { FlowPacket } from '../src/packets/flow-packet';
-import { LaneShares } from '../src/packets/queue/lane-shares';
+import { PriorityShares } from '../src/packets/queue/priority-shares';
 import { RequestQueue, type WaitingRequest } from '../src/packets/queue/request-queue';
 import { UNKNOWN_TERMS, type RouteTerms } from '../src/packets/terms/route-terms';
 import { SeededRandom } from '../src/simulation/seeded-random';
 
 const CHECK: RouteTerms = { priority: 1, latencyGoal: 300, deadline: 2_500 };
 const STREAM: RouteTerms = { priority: 2, latencyGoal: 250, deadline: 2_000 };
-const SERVICE_TIME = 20;
-const LOWER_SHARE = 10;
+const SERVICE_TIME_MS = 20;
+const LOWER_SHARE_PERCENT = 10;
 
-function patienceOf({ latencyGoal }: RouteTerms): number {
-  return latencyGoal * 0.75 - 2 * SERVICE_TIME;
+function getWaitLimit({ latencyGoal }: RouteTerms): number {
+  return latencyGoal * 0.75 - 2 * SERVICE_TIME_MS;
 }
 
 function createRequest(flow: string, terms: RouteTerms, since: number): WaitingRequest {
@@ -20,42 +20,42 @@
 }
 
 test('an urgent request goes before others that came earlier', (t) => {
-  const queue = new RequestQueue(LOWER_SHARE);
+  const queue = new RequestQueue(LOWER_SHARE_PERCENT);
   queue.add(createRequest('stream', STREAM, 0));
   queue.add(createRequest('check', CHECK, 50));
-  t.is(queue.take(60, patienceOf)!.packet.flow, 'check');
-  t.is(queue.take(60, patienceOf)!.packet.flow, 'stream');
+  t.is(queue.take(60, getWaitLimit)!.packet.flow, 'check');
+  t.is(queue.take(60, getWaitLimit)!.packet.flow, 'stream');
 });
 
 test('of one priority the request that is late first goes first, whichever came first', (t) => {
-  const queue = new RequestQueue(LOWER_SHARE);
+  const queue = new RequestQueue(LOWER_SHARE_PERCENT);
   queue.add(createRequest('patient', { ...STREAM, latencyGoal: 1_000 }, 0));
   queue.add(createRequest('hasty', STREAM, 40));
-  t.is(queue.take(60, patienceOf)!.packet.flow, 'hasty');
+  t.is(queue.take(60, getWaitLimit)!.packet.flow, 'hasty');
 });
 
 test('a lower priority keeps its share of the turns while a more urgent one always waits', (t) => {
-  const shares = new LaneShares(LOWER_SHARE);
-  const turns = Array.from({ length: 1_001 }, () => shares.takeTurn([1, 2, 3]));
+  const shares = new PriorityShares(LOWER_SHARE_PERCENT);
+  const turns = Array.from({ length: 1_001 }, () => shares.selectPriority([1, 2, 3]));
   t.is(turns.filter((turn) => turn === 2).length, 100);
   t.is(turns.filter((turn) => turn === 3).length, 100, 'each a turn after the other');
-  t.is(new LaneShares(0).takeTurn([1, 2]), 1);
+  t.is(new PriorityShares(0).selectPriority([1, 2]), 1);
 });
 
 test('nothing is saved up for a time in which nobody waited', (t) => {
-  const shares = new LaneShares(LOWER_SHARE);
+  const shares = new PriorityShares(LOWER_SHARE_PERCENT);
   for (let turn = 0; turn < 9; turn++) {
-    shares.takeTurn([1, 2]);
+    shares.selectPriority([1, 2]);
   }
-  shares.takeTurn([1]);
-  t.is(shares.takeTurn([1, 2]), 1);
+  shares.selectPriority([1]);
+  t.is(shares.selectPriority([1, 2]), 1);
 });
 
 test('requests whose callers have given up cost no work, and no place', (t) => {
-  const queue = new RequestQueue(LOWER_SHARE);
+  const queue = new RequestQueue(LOWER_SHARE_PERCENT);
   queue.add(createRequest('stream', STREAM, 0));
   queue.add({ ...createRequest('check', CHECK, 0), seenAt: 2_000 });
-  t.is(queue.take(2_501, patienceOf), undefined);
+  t.is(queue.take(2_501, getWaitLimit), undefined);
   t.deepEqual(
     queue.expire(2_501).map(({ packet }) => packet.flow),
     ['stream', 'check'],
@@ -70,7 +70,7 @@
   readonly wasted: number;
 }
 
-interface Kind {
+interface RequestKind {
   readonly name: 'check' | 'stream';
   readonly terms: RouteTerms;
   /** Requests a second. */
@@ -80,35 +80,35 @@
 const SECONDS = 6;
 
 /** What comes of each kind, at random times at its rate. */
-function createArrivals(kinds: readonly Kind[], areKindsKnown: boolean): WaitingRequest[] {
+function createArrivals(kinds: readonly RequestKind[], areTermsKnown: boolean): WaitingRequest[] {
   const random = new SeededRandom(11);
   const arrivals = kinds.flatMap(({ name, terms, rate }) =>
     Array.from({ length: rate * SECONDS }, (_, index) => {
       const since = random.next() * SECONDS * 1_000;
-      return createRequest(`${name}${index}`, areKindsKnown ? terms : UNKNOWN_TERMS, since);
+      return createRequest(`${name}${index}`, areTermsKnown ? terms : UNKNOWN_TERMS, since);
     }),
   );
   return arrivals.sort((one, other) => one.since - other.since);
 }
 
 /** One slot works on what comes for some seconds. */
-function playOverload(kinds: readonly Kind[], areKindsKnown: boolean): Outcome {
-  const arrivals = createArrivals(kinds, areKindsKnown);
-  const queue = new RequestQueue(LOWER_SHARE);
-  const patience = areKindsKnown ? patienceOf : (): number => patienceOf(STREAM);
+function simulateOverload(kinds: readonly RequestKind[], areTermsKnown: boolean): Outcome {
+  const arrivals = createArrivals(kinds, areTermsKnown);
+  const queue = new RequestQueue(LOWER_SHARE_PERCENT);
+  const patience = areTermsKnown ? getWaitLimit : (): number => getWaitLimit(STREAM);
   const answered: { flow: string; time: number }[] = [];
-  for (let now = 0; now < SECONDS * 1_000; now += SERVICE_TIME) {
+  for (let now = 0; now < SECONDS * 1_000; now += SERVICE_TIME_MS) {
     while (arrivals[0] && arrivals[0].since <= now) {
       queue.add(arrivals.shift()!);
     }
     const next = queue.take(now, patience);
     if (next) {
-      answered.push({ flow: next.packet.flow, time: now + SERVICE_TIME - next.since });
+      answered.push({ flow: next.packet.flow, time: now + SERVICE_TIME_MS - next.since });
     }
   }
-  const countOf = ({ name }: Kind, limit: number): number =>
+  const countOf = ({ name }: RequestKind, limit: number): number =>
     answered.filter(({ flow, time }) => flow.startsWith(name) && time <= limit).length;
-  const shareOf = (kind: Kind): number =>
+  const shareOf = (kind: RequestKind): number =>
     countOf(kind, kind.terms.latencyGoal) / (kind.rate * SECONDS);
   const served = kinds.reduce((sum, kind) => sum + countOf(kind, kind.terms.deadline), 0);
   const [check, stream] = kinds.map(shareOf);
@@ -116,12 +116,12 @@
 }
 
 test('with work for 130 of 100, checks are answered in time and streams get the rest', (t) => {
-  const kinds: readonly Kind[] = [
+  const kinds: readonly RequestKind[] = [
     { name: 'check', terms: CHECK, rate: 20 },
     { name: 'stream', terms: STREAM, rate: 45 },
   ];
-  const known = playOverload(kinds, true);
-  const unknown = playOverload(kinds, false);
+  const known = simulateOverload(kinds, true);
+  const unknown = simulateOverload(kinds, false);
   t.true(known.check >= 0.95, `${known.check}`);
   t.true(known.stream >= 0.6, `${known.stream}`);
   t.true(known.wasted < 0.03, `${known.wasted}`);
@@ -132,21 +132,21 @@
   const random = new SeededRandom(5);
   const patience = 100;
   for (let round = 0; round < 200; round++) {
-    const queue = new RequestQueue(LOWER_SHARE);
+    const queue = new RequestQueue(LOWER_SHARE_PERCENT);
     const waiting = Array.from({ length: 12 }, (_, index) => {
       const request = createRequest(`f${index}`, UNKNOWN_TERMS, Math.floor(random.next() * 300));
       queue.add(request);
       return request;
     });
     for (let now = 300; waiting.length > 0; now += 7) {
-      const expected = takeAsBefore(waiting, now, patience);
+      const expected = takeInSinglePriorityOrder(waiting, now, patience);
       t.is(queue.take(now, () => patience)!.packet.flow, expected.packet.flow);
     }
   }
 });
 
 /** The rule for requests of one kind: the oldest that is in time, else the newest. */
-function takeAsBefore(waiting: WaitingRequest[], now: number, patience: number): WaitingRequest {
+function takeInSinglePriorityOrder(waiting: WaitingRequest[], now: number, patience: number): WaitingRequest {
   const inTime = waiting.filter(({ since }) => now - since <= patience);
   const oldest = inTime.reduce<WaitingRequest | undefined>(
     (best, one) => (best === undefined || one.since < best.since ? one : best),
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -27,7 +27,7 @@
 import { waitFor } from './support/packet-cluster';
 
 /** Sends from another process while this one stands still, as it does while it loads a program. */
-function sendMeanwhile(port: number, address: string, text: string): void {
+function sendFromOtherProcess(port: number, address: string, text: string): void {
   const send = `const s = require('dgram').createSocket('udp4');
     s.send('${text}', ${port}, '${address}', () => s.close());`;
   execFileSync(process.execPath, ['-e', send]);
@@ -36,7 +36,7 @@
 test('a datagram that comes before the program binds its socket is received', async (t) => {
   const endpoint = '127.41.1.1:21411';
   bindEarly(endpoint);
-  sendMeanwhile(21_411, '127.41.1.1', 'opening');
+  sendFromOtherProcess(21_411, '127.41.1.1', 'opening');
   const received: string[] = [];
   const bound = await UdpSocket.bindEndpoint(parseEndpoint(endpoint).unwrap(), (bytes) =>
     received.push(bytes.toString()),
@@ -74,7 +74,7 @@
   return { name, share, latencyGoal };
 }
 
-function flowsOf(packets: readonly FlowPacket[]): string[] {
+function getFlows(packets: readonly FlowPacket[]): string[] {
   return packets.map(({ flow }) => flow);
 }
 
@@ -86,7 +86,7 @@
   backlog.add(createOpening('copy', 1), 300);
   backlog.add(createOpening('young'), 350);
   backlog.add(createOpening('older'), 150);
-  const order = flowsOf(backlog.takeAll(390, () => createGroup(1)));
+  const order = getFlows(backlog.takeAll(390, () => createGroup(1)));
   t.deepEqual(order, ['copy', 'older', 'young', 'late copy', 'late', 'data']);
 });
 
@@ -110,7 +110,7 @@
     b: createGroup(0, 300, 'b'),
   };
   const taken = backlog.takeOpenings(10, ({ flow }) => groups[flow[0]!]);
-  t.deepEqual(flowsOf(taken), ['a1', 'none']);
+  t.deepEqual(getFlows(taken), ['a1', 'none']);
   t.is(backlog.size, 3);
 });
 
@@ -118,7 +118,7 @@
   const backlog = new StartupBacklog();
   backlog.add(createOpening('first'), 0);
   backlog.add(createOpening('last copy', 2), 0);
-  t.deepEqual(flowsOf(backlog.takeAll(900, () => createGroup(1))), ['first']);
+  t.deepEqual(getFlows(backlog.takeAll(900, () => createGroup(1))), ['first']);
   t.is(backlog.dropped, 1);
 });
 
@@ -131,30 +131,30 @@
 test('a starting balancer hands packets on to stronger ones only, each flow to one of them', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.3);
   relay.learn(1, createStatus(11, 0.3), 0);
-  t.is(relay.choose('f', 4, 0), undefined, 'an equal one is starting too');
+  t.is(relay.chooseDestination('f', 4, 0), undefined, 'an equal one is starting too');
   relay.learn(2, createStatus(12, 1.35, 'south'), 0);
-  t.is(relay.choose('f', 4, 0), 12);
+  t.is(relay.chooseDestination('f', 4, 0), 12);
   relay.learn(3, createStatus(13, 1.35), 0);
-  t.is(relay.choose('f', 4, 0), 12, 'where its opening went');
-  t.is(relay.choose('g', 4, 0), 13, 'the own zone first');
-  t.is(relay.choose('h', 4, 5_000), undefined, 'nothing heard for too long');
-  t.is(relay.find('g', 1_500), 13, 'as before, while no new flows go there');
-  t.is(relay.find('g', 5_000), undefined, 'nor flows that went to one that is silent');
-  t.is(relay.choose('g', 4, 5_000), undefined);
+  t.is(relay.chooseDestination('f', 4, 0), 12, 'where its opening went');
+  t.is(relay.chooseDestination('g', 4, 0), 13, 'the own zone first');
+  t.is(relay.chooseDestination('h', 4, 5_000), undefined, 'nothing heard for too long');
+  t.is(relay.findDestination('g', 1_500), 13, 'as before, while no new flows go there');
+  t.is(relay.findDestination('g', 5_000), undefined, 'nor flows that went to one that is silent');
+  t.is(relay.chooseDestination('g', 4, 5_000), undefined);
   relay.learn(2, createStatus(12, 1.35, 'south'), 5_000);
-  t.is(relay.choose('g', 4, 5_000), 12, 'another one takes its flows');
+  t.is(relay.chooseDestination('g', 4, 5_000), 12, 'another one takes its flows');
   relay.clear();
-  t.false(relay.hasFlows);
+  t.false(relay.hasRelayedFlows);
 });
 
 test('one strong balancer does not take the traffic of a large cluster', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.324);
   relay.learn(2, createStatus(12, 1.35), 0);
-  t.false(relay.isPossible(24, 0));
+  t.false(relay.canRelay(24, 0));
   relay.learn(3, createStatus(13, 1.35), 0);
-  t.true(relay.isPossible(24, 0));
+  t.true(relay.canRelay(24, 0));
   relay.learn(3, { ...createStatus(13, 1.35), isReady: false }, 10);
-  t.false(relay.isPossible(24, 10));
+  t.false(relay.canRelay(24, 10));
 });
 
 /** Balancers of which the first is strong, and agents, as they start again together. */
@@ -423,10 +423,10 @@
   const count = { missed: 0 };
   const presence = new TargetPresence({
     environment,
-    probe: { isVacant: (answer) => answers.push(answer) },
+    probe: { checkVacant: (answer) => answers.push(answer) },
     heartbeatInterval: 100,
     isTargetHeard: () => false,
-    missed: () => count.missed++,
+    onMissing: () => count.missed++,
   });
   return { answers, clock, count, presence };
 }
@@ -446,7 +446,7 @@
   let done = 0;
   presence.start();
   clock.runUntil(200);
-  presence.lookNow(() => done++);
+  presence.probeBeforeStop(() => done++);
   answers.forEach((answer) => answer(true));
   t.is(answers.length, 2);
   t.is(count.missed, 1);
@@ -455,17 +455,17 @@
 
 test('a look at an address without a listener proves that there is no target', async (t) => {
   const vacant = new TcpTargetProbe(parseEndpoint('127.41.1.1:21414').unwrap());
-  t.true(await new Promise<boolean>((done) => vacant.isVacant(done)));
+  t.true(await new Promise<boolean>((done) => vacant.checkVacant(done)));
   const server = createServer().listen(21_415, '127.41.1.1');
   t.teardown(() => server.close());
   await new Promise((done) => server.once('listening', done));
   const present = new TcpTargetProbe(parseEndpoint('127.41.1.1:21415').unwrap());
-  t.false(await new Promise<boolean>((done) => present.isVacant(done)));
+  t.false(await new Promise<boolean>((done) => present.checkVacant(done)));
 });
 
 test('a look is not taken for unanswered when this process was held up itself', async (t) => {
   const vacant = new TcpTargetProbe(parseEndpoint('127.41.1.1:21416').unwrap());
-  const answer = new Promise<boolean>((done) => vacant.isVacant(done));
+  const answer = new Promise<boolean>((done) => vacant.checkVacant(done));
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 700);
   t.true(await answer);
 });
--- a/test/route-terms.test.ts
+++ b/test/route-terms.test.ts
@@ -9,11 +9,11 @@
 import {
   checkTerms,
   findCompetingRoutes,
-  LONGEST_DEADLINE,
+  MAXIMUM_DEADLINE_MS,
   type RouteTerms,
 } from '../src/packets/terms/route-terms';
-import { TermsLedger } from '../src/packets/terms/terms-ledger';
-import { TermsView } from '../src/packets/terms/terms-view';
+import { SentTermsTracker } from '../src/packets/terms/sent-terms-tracker';
+import { RouteTermsCache } from '../src/packets/terms/route-terms-cache';
 
 const URGENT: RouteTerms = { priority: 1, latencyGoal: 300, deadline: 2_500 };
 const USUAL: RouteTerms = { priority: 2, latencyGoal: 250, deadline: 2_000 };
@@ -38,7 +38,7 @@
   t.is(readTerms({ priority: 10 }), undefined);
   t.is(readTerms({ priority: 1.5 }), undefined);
   t.is(readTerms({ priority: 1, 'timeout-ms': -1 }), undefined);
-  t.is(readTerms({ priority: 1, 'timeout-ms': LONGEST_DEADLINE + 1 }), undefined);
+  t.is(readTerms({ priority: 1, 'timeout-ms': MAXIMUM_DEADLINE_MS + 1 }), undefined);
   t.is(readTerms({ priority: 1, 'slo-ms': 300, 'timeout-ms': 200 }), undefined);
   t.is(checkTerms({ ...URGENT, latencyGoal: 3_000 }), 'goalBeyondDeadline');
 });
@@ -62,11 +62,11 @@
 });
 
 test('an agent is told a route twice in each of its runs, and again when its terms change', (t) => {
-  const ledger = new TermsLedger();
+  const ledger = new SentTermsTracker();
   const check = createRoute(80, 'live', URGENT);
   const stream = createRoute(81, 'live', USUAL);
   ledger.apply([check, stream]);
-  const tell = (run: number, route: Route): boolean => ledger.takeTelling(AGENT, run, route);
+  const tell = (run: number, route: Route): boolean => ledger.markSentIfDue(AGENT, run, route);
   t.deepEqual([tell(1, check), tell(1, check), tell(1, check)], [true, true, false]);
   t.true(tell(1, stream));
   t.true(tell(2, check), 'the agent has restarted');
@@ -82,12 +82,12 @@
 });
 
 test('an agent goes by the later of two tables, whichever balancer tells it last', (t) => {
-  const view = new TermsView();
+  const view = new RouteTermsCache();
   const { destination } = createRoute(80, 'live');
   view.learn({ ...URGENT, destination, version: 7 });
   view.learn({ ...USUAL, destination, version: 6 });
-  t.is(view.termsOf(destination)!.priority, 1);
-  t.is(view.termsOf(destination + 1), undefined);
+  t.is(view.getTerms(destination)!.priority, 1);
+  t.is(view.getTerms(destination + 1), undefined);
 });
 
 test('terms travel in their message and in snapshots; older snapshots have none', (t) => {
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -64,7 +64,7 @@
   const answers: ((isVacant: boolean) => void)[] = [];
   let proved = 0;
   const death = new TargetDeath(
-    { isVacant: (answer) => answers.push(answer) },
+    { checkVacant: (answer) => answers.push(answer) },
     () => void proved++,
   );
   death.check(true, 1_000);
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -15,7 +15,7 @@
 import type { AgentRecord } from '../src/packets/packet-messages';
 import { RegistryView } from '../src/packets/registry-view';
 import type { RoutingTable } from '../src/packets/routing-table';
-import { ViewSettling } from '../src/packets/startup/view-settling';
+import { ViewConvergence } from '../src/packets/startup/view-convergence';
 import {
   isLater,
   placeInEra,
@@ -252,13 +252,13 @@
 });
 
 test('where no agent tells of an earlier era, resets wait only for the agents to be able to', (t) => {
-  const settling = new ViewSettling();
+  const settling = new ViewConvergence();
   settling.start(1_000);
-  t.false(settling.isSettled(2, 1_050));
-  t.true(settling.isSettled(2, 1_101));
-  settling.noteSeen(2);
-  t.true(settling.isSettled(2, 1_101));
-  settling.noteSeen(1);
-  t.false(settling.isSettled(2, 1_101));
-  t.true(settling.isSettled(2, 1_001 + REWRITE_TIME));
+  t.false(settling.isConverged(2, 1_050));
+  t.true(settling.isConverged(2, 1_101));
+  settling.recordObservedEra(2);
+  t.true(settling.isConverged(2, 1_101));
+  settling.recordObservedEra(1);
+  t.false(settling.isConverged(2, 1_101));
+  t.true(settling.isConverged(2, 1_001 + REWRITE_TIME));
 });
--- a/test/support/agent-scene.ts
+++ b/test/support/agent-scene.ts
@@ -56,7 +56,7 @@
         transport: { send: (_to, frame) => this.toNodes.push(CODEC.decode(frame).unwrap()) },
         format: packetFormat,
         registry: { add: () => undefined, remove: () => undefined } as never,
-        targetProbe: { isVacant: () => undefined },
+        targetProbe: { checkVacant: () => undefined },
         sendToClient: (_client, bytes) =>
           this.toClient.push({ at: this.clock.now, bytes: Buffer.from(bytes) }),
         sendToTarget: (bytes) => this.toTarget.push(Buffer.from(bytes)),
