--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -3,10 +3,10 @@
  * its service's flow directory. The same class runs in the real process and in the
  * simulator; everything outside comes in through {@link AgentDependencies}.
  */
-import { bucketOf, serviceSeed } from '../core/hashing';
+import { computeBucket, computeServiceSeed } from '../core/hashing';
 import { chooseTarget } from '../core/placement';
 import type { ServiceTable } from '../core/table';
-import { HEARTBEAT_INTERVAL, HELLO_INTERVAL } from '../core/timing';
+import { HEARTBEAT_INTERVAL_MS, HELLO_INTERVAL_MS } from '../core/timing';
 import type { Endpoint, TimerHandle } from '../environment';
 import { Events } from '../logging/events';
 import { FrameLink } from '../wire/frame-link';
@@ -129,7 +129,7 @@
   start(): void {
     this.running = true;
     const { environment } = this.dependencies;
-    const delay = environment.random() * HEARTBEAT_INTERVAL;
+    const delay = environment.random() * HEARTBEAT_INTERVAL_MS;
     this.heartbeatTimer = environment.startTimer(delay, () => this.heartbeat());
     this.hello();
   }
@@ -262,7 +262,7 @@
 
   private createContext(): AgentContext {
     const { environment, codec, backend, safeguards, place, hostsAnyFlow } = this.dependencies;
-    const seed = serviceSeed(this.settings.service);
+    const seed = computeServiceSeed(this.settings.service);
     return {
       settings: this.settings,
       environment,
@@ -271,7 +271,7 @@
       place: place ?? chooseTarget,
       hostsAnyFlow: hostsAnyFlow ?? false,
       keys: () => codec.keys,
-      bucketOf: (caller) => bucketOf(caller, seed),
+      bucketOf: (caller) => computeBucket(caller, seed),
       send: (to, message) => this.link.send(to, message),
     };
   }
@@ -377,7 +377,7 @@
     this.directory.claimMissing();
     this.directory.checkStrays();
     const { environment } = this.dependencies;
-    this.heartbeatTimer = environment.startTimer(HEARTBEAT_INTERVAL, () => this.heartbeat());
+    this.heartbeatTimer = environment.startTimer(HEARTBEAT_INTERVAL_MS, () => this.heartbeat());
   }
 
   private endIdleFlows(): void {
@@ -406,7 +406,7 @@
     if (balancer !== undefined) {
       this.sendHello(balancer);
     }
-    const interval = this.membership.table ? HELLO_INTERVAL : FIRST_HELLO_INTERVAL;
+    const interval = this.membership.table ? HELLO_INTERVAL_MS : FIRST_HELLO_INTERVAL;
     this.helloTimer = this.dependencies.environment.startTimer(interval, () => this.hello());
   }
 
--- a/src/agent/balancer-contacts.ts
+++ b/src/agent/balancer-contacts.ts
@@ -4,7 +4,7 @@
  * A reply goes through the balancer that last carried the flow while that one is
  * still heard; else through the one heard last. No message of its own is needed.
  */
-import { BALANCER_FRESH_WITHIN } from '../core/timing';
+import { BALANCER_FRESHNESS_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import type { AgentContext } from './agent-context';
 
@@ -54,7 +54,7 @@
 
   private isFresh(balancer: Endpoint): boolean {
     const heard = this.lastHeard.get(balancer);
-    return heard !== undefined && this.context.environment.now() - heard <= BALANCER_FRESH_WITHIN;
+    return heard !== undefined && this.context.environment.now() - heard <= BALANCER_FRESHNESS_MS;
   }
 
   private forgetOldest(): void {
--- a/src/agent/bucket-directory.ts
+++ b/src/agent/bucket-directory.ts
@@ -9,8 +9,8 @@
  */
 import { BucketSet } from '../core/bucket-set';
 import { BUCKET_COUNT } from '../core/hashing';
-import { bucketScore, computeOwners } from '../core/ownership';
-import { CLAIM_REFUSED_PAUSE, CLAIM_RETRY_INTERVAL } from '../core/timing';
+import { computeBucketScore, computeOwners } from '../core/ownership';
+import { CLAIM_REFUSED_DELAY_MS, CLAIM_RETRY_INTERVAL_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import { MessageType, type ClaimAnswerMessage, type ClaimMessage } from '../wire/messages';
@@ -159,7 +159,7 @@
     if (this.ownedCount() === 0 || !this.context.safeguards.has('handshake')) {
       return;
     }
-    for (const bucket of buckets.members()) {
+    for (const bucket of buckets.listBuckets()) {
       this.surrender(bucket);
       this.entries.delete(bucket);
       this.phases[bucket] = 'claiming';
@@ -183,7 +183,7 @@
     this.phases.forEach((phase, bucket) => {
       const owner = this.owners[bucket];
       if (phase === 'owned' && owner !== undefined && owner !== this.context.settings.target) {
-        const buckets = strays.get(owner) ?? BucketSet.empty();
+        const buckets = strays.get(owner) ?? BucketSet.createEmpty();
         buckets.add(bucket);
         strays.set(owner, buckets);
       }
@@ -199,7 +199,7 @@
   /** Claims the buckets that this agent should own and does not. */
   claimMissing(): void {
     const now = this.context.environment.now();
-    const buckets = BucketSet.empty();
+    const buckets = BucketSet.createEmpty();
     let missing = 0;
     this.owners.forEach((owner, bucket) => {
       const wanted = owner === this.context.settings.target && this.phases[bucket] === 'none';
@@ -261,7 +261,7 @@
 
   importState(state: BucketDirectoryState): void {
     this.nextClaimId = state.nextClaimId;
-    for (const bucket of BucketSet.decode(state.owned).members()) {
+    for (const bucket of BucketSet.decode(state.owned).listBuckets()) {
       this.phases[bucket] = 'owned';
     }
     for (const { caller, host } of unpackEntries(state.hosts, state.entries)) {
@@ -282,7 +282,7 @@
   }
 
   private ownedBuckets(): BucketSet {
-    const buckets = BucketSet.empty();
+    const buckets = BucketSet.createEmpty();
     this.phases.forEach((phase, bucket) => phase === 'owned' && buckets.add(bucket));
     return buckets;
   }
@@ -307,7 +307,7 @@
     if (this.completeIfAnswered(claim)) {
       return;
     }
-    this.context.environment.startTimer(CLAIM_RETRY_INTERVAL, () => this.pursue(claim));
+    this.context.environment.startTimer(CLAIM_RETRY_INTERVAL_MS, () => this.pursue(claim));
   }
 
   private askOrSkip(claim: Claim, target: string): void {
@@ -335,7 +335,7 @@
     if (claim.awaiting.size > 0 || !this.claims.delete(claim.id)) {
       return claim.awaiting.size === 0;
     }
-    const gained = claim.buckets.members().filter((bucket) => this.phases[bucket] === 'claiming');
+    const gained = claim.buckets.listBuckets().filter((bucket) => this.phases[bucket] === 'claiming');
     for (const bucket of gained) {
       this.phases[bucket] = 'owned';
     }
@@ -397,8 +397,8 @@
   }
 
   private giveUpRefused(claim: Claim, refused: BucketSet): void {
-    const until = this.context.environment.now() + CLAIM_REFUSED_PAUSE;
-    for (const bucket of refused.members()) {
+    const until = this.context.environment.now() + CLAIM_REFUSED_DELAY_MS;
+    for (const bucket of refused.listBuckets()) {
       if (claim.buckets.has(bucket)) {
         this.refusedUntil[bucket] = until;
         this.surrender(bucket);
@@ -409,9 +409,9 @@
 
   /** Releases buckets to a claimer and returns those kept. */
   private release(asked: BucketSet, message: ClaimMessage): BucketSet {
-    const refused = BucketSet.empty();
+    const refused = BucketSet.createEmpty();
     let released = 0;
-    for (const bucket of asked.members()) {
+    for (const bucket of asked.listBuckets()) {
       if (this.keepsAgainst(bucket, message)) {
         refused.add(bucket);
         asked.remove(bucket);
@@ -436,7 +436,7 @@
     }
     const older = message.tableRevision < this.membership.tableRevision;
     return (
-      older || bucketScore(service, bucket, target) > bucketScore(service, bucket, message.target)
+      older || computeBucketScore(service, bucket, target) > computeBucketScore(service, bucket, message.target)
     );
   }
 
@@ -444,7 +444,7 @@
     const own = this.context.settings.target;
     const hosted = this.hosted.callersIn(buckets).map((caller) => ({ caller, host: own }));
     const known: FlowEntry[] = [];
-    for (const bucket of buckets.members()) {
+    for (const bucket of buckets.listBuckets()) {
       this.entries.get(bucket)?.forEach((host, caller) => {
         if (host !== own) {
           known.push({ caller, host });
@@ -478,7 +478,7 @@
   }
 
   private dropEntries(buckets: BucketSet): void {
-    buckets.members().forEach((bucket) => this.entries.delete(bucket));
+    buckets.listBuckets().forEach((bucket) => this.entries.delete(bucket));
   }
 
   /** Stops admitting in a bucket, and takes it out of claims under way so that none completes it. */
--- a/src/agent/flow-router.ts
+++ b/src/agent/flow-router.ts
@@ -2,7 +2,7 @@
  * What an agent does with a caller's datagram: deliver it, pass it to the flow's
  * host, place a new flow, or pass it to the owner of its bucket.
  */
-import { HOP_LIMIT, PARKED_FRAME_LIFETIME, PEER_UNHEARD_AFTER } from '../core/timing';
+import { HOP_LIMIT, PARKED_FRAME_LIFETIME_MS, PEER_TIMEOUT_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import { AgentState, type ForwardMessage } from '../wire/messages';
@@ -76,7 +76,7 @@
 
   /** Periodic housekeeping. */
   tick(): void {
-    const oldest = this.context.environment.now() - PEER_UNHEARD_AFTER;
+    const oldest = this.context.environment.now() - PEER_TIMEOUT_MS;
     for (const [caller, placedAt] of this.placedAt) {
       if (placedAt < oldest) {
         this.placedAt.delete(caller);
@@ -211,11 +211,11 @@
     // A placement that could not count now must not count later: another may host the flow.
     const unplaced = { ...message, placedBy: '' };
     this.parked.push({ message: unplaced, parkedAt: this.context.environment.now() });
-    this.context.environment.startTimer(PARKED_FRAME_LIFETIME, () => this.refuseOverdue());
+    this.context.environment.startTimer(PARKED_FRAME_LIFETIME_MS, () => this.refuseOverdue());
   }
 
   private refuseOverdue(): void {
-    const oldest = this.context.environment.now() - PARKED_FRAME_LIFETIME;
+    const oldest = this.context.environment.now() - PARKED_FRAME_LIFETIME_MS;
     const overdue = this.parked.filter((frame) => frame.parkedAt <= oldest);
     this.parked = this.parked.filter((frame) => frame.parkedAt > oldest);
     overdue.forEach(({ message }) => this.refuse(message));
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -10,7 +10,7 @@
  */
 import type { PlacementCandidate } from '../core/placement';
 import type { ServiceTable, TableRow } from '../core/table';
-import { HEARTBEAT_INTERVAL, OWNER_LEASE, PEER_UNHEARD_AFTER, WARM_UP } from '../core/timing';
+import { HEARTBEAT_INTERVAL_MS, OWNER_LEASE_MS, PEER_TIMEOUT_MS, WARM_UP_DURATION_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import {
@@ -173,7 +173,7 @@
       reportedFlows: peer.flows,
       placedSince: peer.placedSince,
       reportedLoad: peer.load,
-      warmth: Math.min(1, (now - peer.warmSince) / WARM_UP),
+      warmth: Math.min(1, (now - peer.warmSince) / WARM_UP_DURATION_MS),
     }));
     const own = this.ownCandidate();
     return own ? [...found, own] : found;
@@ -185,7 +185,7 @@
     if (rows.length < SMALLEST_GROUP_WITH_QUORUM) {
       return true;
     }
-    const oldest = this.context.environment.now() - OWNER_LEASE;
+    const oldest = this.context.environment.now() - OWNER_LEASE_MS;
     const echoed = rows.filter((row) => (this.peers.get(row.target)?.echoedAt ?? -1) > oldest);
     const own = this.ownRow ? 1 : 0;
     const held = echoed.length + own >= quorumOf(rows.length);
@@ -290,7 +290,7 @@
       reportedFlows: status.flows,
       placedSince: 0,
       reportedLoad: status.load,
-      warmth: Math.min(1, status.age / WARM_UP),
+      warmth: Math.min(1, status.age / WARM_UP_DURATION_MS),
     };
   }
 
@@ -353,7 +353,7 @@
   /** A long pause between own heartbeats means that this process stood still. */
   private noticeFreeze(): void {
     const now = this.context.environment.now();
-    if (now - this.lastHeartbeatAt > OWNER_LEASE) {
+    if (now - this.lastHeartbeatAt > OWNER_LEASE_MS) {
       this.noteAway();
     }
     this.lastHeartbeatAt = now;
@@ -398,7 +398,7 @@
   }
 
   private isUnheard(peer: Peer): boolean {
-    return this.context.environment.now() - peer.lastHeard > PEER_UNHEARD_AFTER;
+    return this.context.environment.now() - peer.lastHeard > PEER_TIMEOUT_MS;
   }
 
   private judgeDeaths(): void {
@@ -433,7 +433,7 @@
     for (const peer of this.peers.values()) {
       const silent = this.context.environment.now() - peer.lastHeard;
       const gone = peer.dead || peer.state === AgentState.stopped;
-      if (gone && peer.row === undefined && silent > PEER_UNHEARD_AFTER + HEARTBEAT_INTERVAL) {
+      if (gone && peer.row === undefined && silent > PEER_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS) {
         this.peers.delete(peer.target);
       }
     }
--- a/src/agent/permit-office.ts
+++ b/src/agent/permit-office.ts
@@ -1,7 +1,7 @@
 /** Issues and judges permits: the at-most-once part of the agent. */
 import { decodePermit, encodePermit, type Permit } from '../core/permit';
 import { PermitLedger, type LedgerEntry, type StoredEntry } from '../core/permit-ledger';
-import { PERMIT_LIFETIME } from '../core/timing';
+import { PERMIT_LIFETIME_MS } from '../core/timing';
 import { CoapOption, findOption, type CoapMessage } from '../coap/coap-message';
 import type { Endpoint } from '../environment';
 import type { AgentContext } from './agent-context';
@@ -50,7 +50,7 @@
     const permit = {
       incarnation: this.context.settings.incarnation,
       serial: this.nextSerial++,
-      expiresAt: Math.ceil(this.context.environment.now()) + PERMIT_LIFETIME,
+      expiresAt: Math.ceil(this.context.environment.now()) + PERMIT_LIFETIME_MS,
     };
     return encodePermit(permit, caller, this.context.keys()[0]!.secret);
   }
@@ -81,11 +81,11 @@
 
   /** Makes sure nothing runs under a permit of this incarnation; false if something did or may have. */
   burnIfUnused(serial: number, expiresAt: number): boolean {
-    const known = this.ledger.lookup(serial);
+    const known = this.ledger.find(serial);
     if (known) {
       return known.outcome === 'burnt';
     }
-    if (!this.ledger.neverUsed(serial, expiresAt, this.context.environment.now())) {
+    if (!this.ledger.wasNeverUsed(serial, expiresAt, this.context.environment.now())) {
       return false;
     }
     const answer = { code: '4.01', options: [], payload: Buffer.alloc(0) };
@@ -94,7 +94,7 @@
   }
 
   exportState(): PermitOfficeState {
-    return { nextSerial: this.nextSerial, ledger: this.ledger.all() };
+    return { nextSerial: this.nextSerial, ledger: this.ledger.listEntries() };
   }
 
   importState(state: PermitOfficeState): void {
@@ -106,11 +106,11 @@
 
   /** Periodic housekeeping. */
   tick(): void {
-    this.ledger.forgetExpired(this.context.environment.now());
+    this.ledger.removeExpired(this.context.environment.now());
   }
 
   private judgeOwn(permit: Permit): PermitVerdict {
-    const known = this.ledger.lookup(permit.serial);
+    const known = this.ledger.find(permit.serial);
     if (known?.outcome === 'running') {
       return { kind: 'running' };
     }
@@ -129,7 +129,7 @@
     if (!expired) {
       return { kind: 'run', permit };
     }
-    const neverUsed = this.ledger.neverUsed(permit.serial, permit.expiresAt, now);
+    const neverUsed = this.ledger.wasNeverUsed(permit.serial, permit.expiresAt, now);
     return { kind: neverUsed ? 'not-run' : 'unknown' };
   }
 }
--- a/src/agent/request-guard.ts
+++ b/src/agent/request-guard.ts
@@ -21,7 +21,7 @@
   type CoapMessage,
 } from '../coap/coap-message';
 import type { Permit } from '../core/permit';
-import { ANSWER_KEPT_FOR, RETRY_AFTER_SECONDS } from '../core/timing';
+import { ANSWER_RETENTION_MS, RETRY_AFTER_SECONDS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import type { AgentContext } from './agent-context';
@@ -392,7 +392,7 @@
       ? [{ name: CoapOption.echo, value: this.permits.issue(exchange.caller) }]
       : [];
     exchange.answer = encodeAnswer(exchange, answer, echo);
-    exchange.forgetAt = this.context.environment.now() + ANSWER_KEPT_FOR;
+    exchange.forgetAt = this.context.environment.now() + ANSWER_RETENTION_MS;
     this.exchanges.get(exchange.caller)?.unanswered.delete(exchange);
     this.keep(exchange);
     if (!exchange.superseded) {
--- a/src/agent/request-passing.ts
+++ b/src/agent/request-passing.ts
@@ -4,7 +4,7 @@
  */
 import type { CoapMessage } from '../coap/coap-message';
 import { generateCoap, parseCoap } from '../coap/coap-message';
-import { ANSWER_KEPT_FOR } from '../core/timing';
+import { ANSWER_RETENTION_MS } from '../core/timing';
 import type { Endpoint, TimerHandle } from '../environment';
 import {
   AgentState,
@@ -171,7 +171,7 @@
   /** Periodic housekeeping. */
   tick(): void {
     const oldest =
-      this.context.environment.now() - ANSWER_KEPT_FOR - this.context.settings.requestDeadline;
+      this.context.environment.now() - ANSWER_RETENTION_MS - this.context.settings.requestDeadline;
     for (const [key, entry] of this.helped) {
       if (entry.since < oldest) {
         this.helped.delete(key);
--- a/src/balancer/balancer-membership.ts
+++ b/src/balancer/balancer-membership.ts
@@ -3,7 +3,7 @@
  * manner of SWIM. Each interval one member is probed, directly and then through
  * others; news travels with the probes.
  */
-import { PROBE_INTERVAL, PROBE_TIMEOUT, SUSPICION_TIMEOUT } from '../core/timing';
+import { PROBE_INTERVAL_MS, PROBE_TIMEOUT_MS, SUSPICION_TIMEOUT_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events, type EventKind } from '../logging/events';
 import {
@@ -114,7 +114,7 @@
     this.running = true;
     this.join();
     const { environment } = this.context;
-    environment.startTimer(environment.random() * PROBE_INTERVAL, () => this.tick());
+    environment.startTimer(environment.random() * PROBE_INTERVAL_MS, () => this.tick());
   }
 
   stop(): void {
@@ -165,7 +165,7 @@
     this.takeGossip(message, from);
     const sequence = this.nextSequence();
     this.relayed.set(sequence, { requester: from, sequence: message.sequence });
-    this.context.environment.startTimer(PROBE_INTERVAL, () => this.relayed.delete(sequence));
+    this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.relayed.delete(sequence));
     this.context.send(message.subject, { type: MessageType.ping, ...this.gossip(sequence) });
   }
 
@@ -211,7 +211,7 @@
     const seeds = this.seeds();
     const seed = seeds[Math.floor(this.context.environment.random() * seeds.length)]!;
     this.sendJoin(seed);
-    this.context.environment.startTimer(PROBE_TIMEOUT, () => this.join());
+    this.context.environment.startTimer(PROBE_TIMEOUT_MS, () => this.join());
   }
 
   private sendJoin(seed: Endpoint): void {
@@ -234,7 +234,7 @@
     if (this.ticks % FORGET_EVERY === 0) {
       this.list.forgetOld(this.context.environment.now());
     }
-    this.context.environment.startTimer(PROBE_INTERVAL, () => this.tick());
+    this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.tick());
   }
 
   private probeOne(): void {
@@ -247,8 +247,8 @@
     this.probes.set(sequence, probe);
     this.context.send(subject.endpoint, { type: MessageType.ping, ...this.gossip(sequence) });
     const { environment } = this.context;
-    environment.startTimer(PROBE_TIMEOUT, () => this.probeIndirectly(probe, sequence));
-    environment.startTimer(PROBE_INTERVAL, () => this.concludeProbe(probe, sequence));
+    environment.startTimer(PROBE_TIMEOUT_MS, () => this.probeIndirectly(probe, sequence));
+    environment.startTimer(PROBE_INTERVAL_MS, () => this.concludeProbe(probe, sequence));
   }
 
   private probeIndirectly(probe: Probe, sequence: number): void {
@@ -363,7 +363,7 @@
   }
 
   private startSuspicion(record: MemberRecord): void {
-    this.context.environment.startTimer(SUSPICION_TIMEOUT, () => {
+    this.context.environment.startTimer(SUSPICION_TIMEOUT_MS, () => {
       const current = this.list.get(record.name);
       const unrefuted = current?.incarnation === record.incarnation;
       if (unrefuted && current?.state === MemberState.suspect) {
--- a/src/balancer/balancer-node.ts
+++ b/src/balancer/balancer-node.ts
@@ -3,7 +3,7 @@
  * tables and membership, and takes operators' edits. Holds nothing that cannot be
  * rebuilt. The same class runs in the real process and in the simulator.
  */
-import { endpointAddress } from '../core/endpoint';
+import { getEndpointAddress } from '../core/endpoint';
 import type { ServiceTable } from '../core/table';
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import { Events } from '../logging/events';
@@ -102,7 +102,7 @@
       targetRumour: (rumour) => this.applyNotice(rumour.service, rumour),
       membersChanged: () => undefined,
       haveThrough: () => this.distribution.cache.revision,
-      beyond: () => this.distribution.cache.beyondDigest,
+      beyond: () => this.distribution.cache.aheadDigest,
       allTargetRumours: () => this.states.all(),
     });
     this.reader = new StoreReader(this.context, store, {
@@ -323,9 +323,9 @@
     if (leaving.size === 0) {
       return;
     }
-    for (const { service, rows } of this.distribution.cache.all()) {
+    for (const { service, rows } of this.distribution.cache.listTables()) {
       for (const { target, address } of rows) {
-        if (leaving.has(endpointAddress(address))) {
+        if (leaving.has(getEndpointAddress(address))) {
           this.link.send(address, { type: MessageType.drainNotice, service, target });
         }
       }
--- a/src/balancer/flow-routing.ts
+++ b/src/balancer/flow-routing.ts
@@ -1,6 +1,6 @@
 /** To which agent a balancer sends a caller's datagram. */
 import type { Endpoint } from '../environment';
-import { bucketOf, serviceSeed } from '../core/hashing';
+import { computeBucket, computeServiceSeed } from '../core/hashing';
 import { computeOwners } from '../core/ownership';
 import type { ServiceTable } from '../core/table';
 import { LearntHosts, type LearntBudget, type LearntHost } from './learnt-hosts';
@@ -34,7 +34,7 @@
     budget: LearntBudget,
   ) {
     this.learnt = new LearntHosts(budget);
-    this.seed = serviceSeed(service);
+    this.seed = computeServiceSeed(service);
   }
 
   get knownFlows(): number {
@@ -47,7 +47,7 @@
       return host;
     }
     this.owners ??= this.computeOwnerHosts();
-    return this.owners[bucketOf(caller, this.seed)];
+    return this.owners[computeBucket(caller, this.seed)];
   }
 
   learn(caller: Endpoint, target: string, endpoint: Endpoint): void {
--- a/src/balancer/member-list.ts
+++ b/src/balancer/member-list.ts
@@ -1,5 +1,5 @@
 /** Records of all balancers this one knows of, and the rule by which news replaces them. */
-import { DEAD_MEMBER_KEPT_FOR } from '../core/timing';
+import { DEAD_MEMBER_RETENTION_MS } from '../core/timing';
 import { MemberState, type MemberRecord, type MemberStateValue } from '../wire/messages';
 
 const STATE_RANK: Record<MemberStateValue, number> = {
@@ -68,7 +68,7 @@
   /** Forgets members that have long been dead. */
   forgetOld(now: number): void {
     for (const [name, { record, changedAt }] of this.members) {
-      if (!isLive(record) && now - changedAt > DEAD_MEMBER_KEPT_FOR) {
+      if (!isLive(record) && now - changedAt > DEAD_MEMBER_RETENTION_MS) {
         this.members.delete(name);
       }
     }
--- a/src/balancer/store-reader.ts
+++ b/src/balancer/store-reader.ts
@@ -7,7 +7,7 @@
  */
 import { rankByRendezvous } from '../core/hashing';
 import type { TableDelta } from '../core/table-cache';
-import { STORE_READERS } from '../core/timing';
+import { MAXIMUM_STORE_READERS } from '../core/timing';
 import { Events } from '../logging/events';
 import type { MachineRecord, StorePort, WatchHandle } from '../table-store/store-port';
 import type { HallholdError } from '../errors/hallhold-error';
@@ -73,7 +73,7 @@
   private isAmongReaders(): boolean {
     const own = this.context.settings.name;
     const ranked = rankByRendezvous(RENDEZVOUS_KEY, [...this.surroundings.activeNames(), own]);
-    return ranked.indexOf(own) < STORE_READERS;
+    return ranked.indexOf(own) < MAXIMUM_STORE_READERS;
   }
 
   private startReading(): void {
--- a/src/balancer/table-acceptance.ts
+++ b/src/balancer/table-acceptance.ts
@@ -6,7 +6,7 @@
  * of write ids tells what happened. Until then the outcome is said to be unknown.
  */
 import { Err, Ok, type Result } from 'ts-results';
-import { conflictingRows, differingRows, type TableRow, type ServiceTable } from '../core/table';
+import { findConflictingRows, findChangedRows, type TableRow, type ServiceTable } from '../core/table';
 import { formatEndpoint } from '../core/endpoint';
 import { HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
@@ -199,11 +199,11 @@
 function conflictError(edit: TableEdit, stored: StoredTable | undefined): HallholdError {
   const theirs = stored?.table.rows ?? [];
   const revision = stored?.table.revision ?? 0;
-  const colliding = conflictingRows(edit.baseRows, theirs, edit.rows).map(
+  const colliding = findConflictingRows(edit.baseRows, theirs, edit.rows).map(
     (row) =>
       `row ${row.target}: was ${describeRow(row.base)}; now ${describeRow(row.theirs)}; yours ${describeRow(row.ours)}`,
   );
-  const changed = differingRows(edit.baseRows, theirs).map(
+  const changed = findChangedRows(edit.baseRows, theirs).map(
     (row) =>
       `row ${row.target} changed meanwhile to ${describeRow(row.after)}; yours does not collide`,
   );
--- a/src/balancer/table-distribution.ts
+++ b/src/balancer/table-distribution.ts
@@ -67,7 +67,7 @@
 
   /** Takes a delta without pushing it on: the peers have it. */
   adopt(delta: TableDelta): void {
-    const { changed, gap } = this.cache.apply(delta);
+    const { changed, hasGap: gap } = this.cache.apply(delta);
     this.caughtUp = this.caughtUp || !gap;
     this.surroundings.changed(changed);
   }
@@ -77,7 +77,7 @@
    * asks it if it has anything that this node may lack.
    */
   peerHasThrough(revision: number, beyond: number, from: Endpoint): void {
-    const hasOthers = beyond !== 0 && beyond !== this.cache.beyondDigest;
+    const hasOthers = beyond !== 0 && beyond !== this.cache.aheadDigest;
     if (revision > this.cache.revision || hasOthers) {
       this.request(from);
     }
@@ -87,7 +87,7 @@
   }
 
   receiveRequest(message: TableRequestMessage, from: Endpoint): void {
-    const delta = this.cache.since(message.haveThrough);
+    const delta = this.cache.createDelta(message.haveThrough);
     for (const part of splitDelta(delta)) {
       this.context.send(from, { type: MessageType.tableDelta, ...part, pushed: 0, confirmId: 0 });
     }
@@ -132,7 +132,7 @@
 
   /** Applies a delta; returns true when any table in it was new here. */
   private apply(delta: TableDelta, from: Endpoint | undefined): boolean {
-    const { changed, gap } = this.cache.apply(delta);
+    const { changed, hasGap: gap } = this.cache.apply(delta);
     if (!gap) {
       this.caughtUp = true;
     } else if (from !== undefined) {
--- a/src/cli/table-diff-command.ts
+++ b/src/cli/table-diff-command.ts
@@ -1,6 +1,6 @@
 /** `hallhold table diff FILE`: what putting a file would change. */
 import { Option } from 'clipanion';
-import { differingRows, type TableRow } from '../core/table';
+import { findChangedRows, type TableRow } from '../core/table';
 import { rowsFromViews, viewRows } from '../operator/table-rows';
 import { ExitCode, printError } from './output';
 import { readTable, TableCommand } from './table-commands';
@@ -24,7 +24,7 @@
       if (current.err) {
         return printError(this.context, current.val);
       }
-      const changes = differingRows(rowsFromViews(current.val.rows), rows);
+      const changes = findChangedRows(rowsFromViews(current.val.rows), rows);
       this.context.stdout.write(`${service} at revision ${current.val.revision}:\n`);
       for (const { before, after } of changes) {
         this.writeLine(service, '-', before);
--- a/src/core/bucket-set.ts
+++ b/src/core/bucket-set.ts
@@ -10,7 +10,7 @@
 export class BucketSet {
   private constructor(private readonly bits: Uint8Array) {}
 
-  static empty(): BucketSet {
+  static createEmpty(): BucketSet {
     return new BucketSet(new Uint8Array(BUCKET_SET_BYTES));
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** The members in ascending order. */
-  members(): number[] {
+  listBuckets(): number[] {
     const found: number[] = [];
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
       if (this.has(bucket)) {
--- a/src/core/endpoint.ts
+++ b/src/core/endpoint.ts
@@ -37,17 +37,17 @@
 }
 
 /** The dotted IPv4 address of an endpoint. */
-export function endpointAddress(endpoint: Endpoint): string {
+export function getEndpointAddress(endpoint: Endpoint): string {
   const address = Math.floor(endpoint / PORT_RANGE);
   return [address >>> 24, (address >>> 16) & 255, (address >>> 8) & 255, address & 255].join('.');
 }
 
 /** The port of an endpoint. */
-export function endpointPort(endpoint: Endpoint): number {
+export function getEndpointPort(endpoint: Endpoint): number {
   return endpoint % PORT_RANGE;
 }
 
 /** "a.b.c.d:port". */
 export function formatEndpoint(endpoint: Endpoint): string {
-  return `${endpointAddress(endpoint)}:${endpointPort(endpoint)}`;
+  return `${getEndpointAddress(endpoint)}:${getEndpointPort(endpoint)}`;
 }
--- a/src/core/hashing.ts
+++ b/src/core/hashing.ts
@@ -13,25 +13,25 @@
   return murmurhash.v3(Buffer.from(text));
 }
 
-/** The seed that {@link bucketOf} takes for a service; compute it once per service. */
-export function serviceSeed(service: string): number {
+/** The seed that {@link computeBucket} takes for a service; compute it once per service. */
+export function computeServiceSeed(service: string): number {
   return hashText(service);
 }
 
 /** The bucket of a caller's flow: hash(caller, service) mod 256. */
-export function bucketOf(caller: Endpoint, seed: number): number {
+export function computeBucket(caller: Endpoint, seed: number): number {
   scratch.writeUIntBE(caller, 0, ENDPOINT_BYTES);
   return murmurhash.v3(scratch, seed) & (BUCKET_COUNT - 1);
 }
 
 /** Rendezvous score of a candidate for a key; the highest score wins. */
-export function rendezvousScore(key: string, candidate: string): number {
+export function computeRendezvousScore(key: string, candidate: string): number {
   return hashText(`${key}\n${candidate}`);
 }
 
 /** The candidates ordered from the best rendezvous score to the worst. */
 export function rankByRendezvous(key: string, candidates: readonly string[]): string[] {
-  const scored = candidates.map((name) => ({ name, score: rendezvousScore(key, name) }));
+  const scored = candidates.map((name) => ({ name, score: computeRendezvousScore(key, name) }));
   scored.sort((a, b) => b.score - a.score || (a.name < b.name ? -1 : 1));
   return scored.map(({ name }) => name);
 }
--- a/src/core/permit-ledger.ts
+++ b/src/core/permit-ledger.ts
@@ -17,7 +17,7 @@
   | { readonly outcome: 'used' };
 
 /** Milliseconds after expiry for which a permit's use is remembered. */
-export const USE_REMEMBERED_FOR = 3_600_000;
+export const USE_RETENTION_MS = 3_600_000;
 
 /** An entry as kept and as handed to a successor. */
 export interface StoredEntry<Answer> {
@@ -34,7 +34,7 @@
     return this.entries.size;
   }
 
-  lookup(serial: number): LedgerEntry<Answer> | undefined {
+  find(serial: number): LedgerEntry<Answer> | undefined {
     return this.entries.get(serial)?.entry;
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Everything, for a successor. */
-  all(): StoredEntry<Answer>[] {
+  listEntries(): StoredEntry<Answer>[] {
     return [...this.entries.values()];
   }
 
@@ -53,14 +53,14 @@
   }
 
   /** True when an expired permit was certainly never used: its use would still be remembered. */
-  neverUsed(serial: number, expiresAt: number, now: number): boolean {
-    return !this.entries.has(serial) && now - expiresAt < USE_REMEMBERED_FOR;
+  wasNeverUsed(serial: number, expiresAt: number, now: number): boolean {
+    return !this.entries.has(serial) && now - expiresAt < USE_RETENTION_MS;
   }
 
   /** Drops the answers of expired permits, and in time the memory of their use. */
-  forgetExpired(now: number): void {
+  removeExpired(now: number): void {
     for (const [serial, stored] of this.entries) {
-      if (now - stored.expiresAt >= USE_REMEMBERED_FOR) {
+      if (now - stored.expiresAt >= USE_RETENTION_MS) {
         this.entries.delete(serial);
       } else if (stored.expiresAt <= now && stored.entry.outcome !== 'running') {
         stored.entry = { outcome: 'used' };
--- a/src/core/permit.ts
+++ b/src/core/permit.ts
@@ -24,7 +24,7 @@
   readonly expiresAt: number;
 }
 
-function tagOf(body: Buffer, caller: Endpoint, secret: Buffer): Buffer {
+function computeTag(body: Buffer, caller: Endpoint, secret: Buffer): Buffer {
   const tag = createHmac('sha256', secret).update('permit').update(body).update(String(caller));
   return tag.digest().subarray(0, TAG_BYTES);
 }
@@ -35,7 +35,7 @@
   body.writeUIntBE(permit.incarnation, 0, INTEGER_BYTES);
   body.writeUIntBE(permit.serial, INTEGER_BYTES, INTEGER_BYTES);
   body.writeUIntBE(Math.ceil(permit.expiresAt), 2 * INTEGER_BYTES, INTEGER_BYTES);
-  return Buffer.concat([body, tagOf(body, caller, secret)]);
+  return Buffer.concat([body, computeTag(body, caller, secret)]);
 }
 
 /** Decodes a permit issued to this caller under any of the secrets; undefined when forged. */
@@ -49,7 +49,7 @@
   }
   const body = bytes.subarray(0, BODY_BYTES);
   const tag = bytes.subarray(BODY_BYTES);
-  if (!secrets.some((secret) => timingSafeEqual(tagOf(body, caller, secret), tag))) {
+  if (!secrets.some((secret) => timingSafeEqual(computeTag(body, caller, secret), tag))) {
     return undefined;
   }
   return {
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -30,27 +30,27 @@
  * taken to have been placed by every other owner too: one placement is chance, many
  * at once are a burst that all owners see. Chosen by `bench balance` (docs/DESIGN.md).
  */
-const BURST_HALF = 2;
+const HALF_BURST_PLACEMENTS = 2;
 
 /** Among targets that are all cold the emptier one still goes first. */
-const TIE_WEIGHT = 1e-6;
+const TIE_BREAK_WEIGHT = 1e-6;
 
 /** Load weighs less than one flow, so that a lying report cannot shift balance. */
 const LOAD_WEIGHT = 0.5;
 
 /** How many flows stand for one that this owner placed, from 1 up to the number of owners. */
-function placementWeight(candidates: readonly PlacementCandidate[], owners: number): number {
+function computePlacementWeight(candidates: readonly PlacementCandidate[], owners: number): number {
   const placed = candidates.reduce((sum, candidate) => sum + candidate.placedSince, 0);
-  const burst = placed / (placed + BURST_HALF);
+  const burst = placed / (placed + HALF_BURST_PLACEMENTS);
   return 1 + (owners - 1) * burst;
 }
 
-function estimatedFlows(candidate: PlacementCandidate, weight: number): number {
+function estimateFlows(candidate: PlacementCandidate, weight: number): number {
   return candidate.reportedFlows + candidate.placedSince * weight;
 }
 
-function meanFlowsPerShare(candidates: readonly PlacementCandidate[], weight: number): number {
-  const flows = candidates.reduce((sum, candidate) => sum + estimatedFlows(candidate, weight), 0);
+function computeMeanFlowsPerShare(candidates: readonly PlacementCandidate[], weight: number): number {
+  const flows = candidates.reduce((sum, candidate) => sum + estimateFlows(candidate, weight), 0);
   const shares = candidates.reduce((sum, candidate) => sum + candidate.share, 0);
   return flows / shares;
 }
@@ -65,22 +65,22 @@
   owners: number,
   tieBreak: number,
 ): PlacementCandidate | undefined {
-  const open = candidates.filter(
+  const available = candidates.filter(
     (candidate) =>
       candidate.share > 0 &&
       candidate.reportedFlows + candidate.placedSince < candidate.connections,
   );
-  if (open.length === 0) {
+  if (available.length === 0) {
     return undefined;
   }
-  const weight = placementWeight(candidates, owners);
-  const mean = meanFlowsPerShare(open, weight);
-  const start = Math.floor(tieBreak * open.length);
+  const weight = computePlacementWeight(candidates, owners);
+  const mean = computeMeanFlowsPerShare(available, weight);
+  const start = Math.floor(tieBreak * available.length);
   let best: PlacementCandidate | undefined;
   let bestScore = Infinity;
-  for (let step = 0; step < open.length; step++) {
-    const candidate = open[(start + step) % open.length]!;
-    const score = scoreOf(candidate, weight, mean);
+  for (let step = 0; step < available.length; step++) {
+    const candidate = available[(start + step) % available.length]!;
+    const score = computeScore(candidate, weight, mean);
     if (score < bestScore) {
       best = candidate;
       bestScore = score;
@@ -90,9 +90,9 @@
 }
 
 /** Flows per share; a cold target counts as fuller than it is, so that it is not rushed. */
-function scoreOf(candidate: PlacementCandidate, weight: number, mean: number): number {
-  const flows = estimatedFlows(candidate, weight) + LOAD_WEIGHT * candidate.reportedLoad;
+function computeScore(candidate: PlacementCandidate, weight: number, mean: number): number {
+  const flows = estimateFlows(candidate, weight) + LOAD_WEIGHT * candidate.reportedLoad;
   const perShare = flows / candidate.share;
-  const coldFloor = mean * (1 - candidate.warmth);
-  return Math.max(perShare, coldFloor) + TIE_WEIGHT * perShare;
+  const coldMinimum = mean * (1 - candidate.warmth);
+  return Math.max(perShare, coldMinimum) + TIE_BREAK_WEIGHT * perShare;
 }
--- a/src/core/table-cache.ts
+++ b/src/core/table-cache.ts
@@ -19,16 +19,16 @@
   /** Tables that are new in force. */
   readonly changed: readonly ServiceTable[];
   /** True when the delta starts after what this node has, so older changes are missing. */
-  readonly gap: boolean;
+  readonly hasGap: boolean;
 }
 
 const DIGEST_RANGE = 2 ** 32;
 
 /** Deltas kept that arrived before the one they follow. */
-const EARLY_DELTAS_KEPT = 256;
+const MAXIMUM_OUT_OF_ORDER_DELTAS = 256;
 
 /** A stretch of revisions whose tables are known. */
-interface KnownStretch {
+interface RevisionRange {
   readonly fromRevision: number;
   readonly throughRevision: number;
 }
@@ -39,7 +39,7 @@
   private completeThrough = 0;
   private digest: number | undefined;
   /** Stretches known beyond a gap: parts of one transfer overtake each other on the way. */
-  private early: KnownStretch[] = [];
+  private outOfOrder: RevisionRange[] = [];
 
   /** The revision through which no table is missing; 0 before the first full delta. */
   get revision(): number {
@@ -56,55 +56,55 @@
    * store cannot tell what came before it; 0 when there are none. Two nodes with the
    * same revision and different digests have tables to tell each other.
    */
-  get beyondDigest(): number {
+  get aheadDigest(): number {
     this.digest ??= this.computeDigest();
     return this.digest;
   }
 
   /** All tables in force. */
-  all(): Iterable<ServiceTable> {
+  listTables(): Iterable<ServiceTable> {
     return this.tables.values();
   }
 
   /** Applies the newer tables of a delta; advances the revision only without a gap. */
   apply(delta: TableDelta): AppliedDelta {
-    const changed = delta.tables.filter((table) => this.applyOne(table));
+    const changed = delta.tables.filter((table) => this.applyTable(table));
     this.digest = undefined;
-    const gap = delta.fromRevision > this.completeThrough;
-    if (gap) {
+    const hasGap = delta.fromRevision > this.completeThrough;
+    if (hasGap) {
       const { fromRevision, throughRevision } = delta;
-      this.early = [...this.early, { fromRevision, throughRevision }].slice(-EARLY_DELTAS_KEPT);
+      this.outOfOrder = [...this.outOfOrder, { fromRevision, throughRevision }].slice(-MAXIMUM_OUT_OF_ORDER_DELTAS);
     } else {
-      this.advanceThrough(delta.throughRevision);
+      this.advanceTo(delta.throughRevision);
     }
-    return { changed, gap };
+    return { changed, hasGap: hasGap };
   }
 
   /** Everything a node with all through `revision` lacks. */
-  since(revision: number): TableDelta {
+  createDelta(revision: number): TableDelta {
     const tables = [...this.tables.values()].filter((table) => table.revision > revision);
     return { fromRevision: revision, throughRevision: this.completeThrough, tables };
   }
 
   /** Moves the revision forward, over every early stretch that this reaches. */
-  private advanceThrough(revision: number): void {
+  private advanceTo(revision: number): void {
     this.completeThrough = Math.max(this.completeThrough, revision);
-    const reached = this.early.filter((one) => one.fromRevision <= this.completeThrough);
+    const reached = this.outOfOrder.filter((one) => one.fromRevision <= this.completeThrough);
     if (reached.length > 0) {
-      this.early = this.early.filter((one) => one.fromRevision > this.completeThrough);
-      this.advanceThrough(Math.max(...reached.map((one) => one.throughRevision)));
+      this.outOfOrder = this.outOfOrder.filter((one) => one.fromRevision > this.completeThrough);
+      this.advanceTo(Math.max(...reached.map((one) => one.throughRevision)));
     }
   }
 
   private computeDigest(): number {
-    const beyond = [...this.tables.values()].filter(
+    const ahead = [...this.tables.values()].filter(
       (table) => table.revision > this.completeThrough,
     );
-    const hashes = beyond.map(({ service, revision }) => hashText(`${service}/${revision}`));
+    const hashes = ahead.map(({ service, revision }) => hashText(`${service}/${revision}`));
     return hashes.reduce((sum, hash) => (sum + hash) % DIGEST_RANGE, 0);
   }
 
-  private applyOne(table: ServiceTable): boolean {
+  private applyTable(table: ServiceTable): boolean {
     const known = this.tables.get(table.service);
     if (known && known.revision >= table.revision) {
       return false;
--- a/src/core/table.ts
+++ b/src/core/table.ts
@@ -40,7 +40,7 @@
 }
 
 /** Whether two rows (or absences of one) say the same. */
-export function sameRow(a: TableRow | undefined, b: TableRow | undefined): boolean {
+export function areRowsEqual(a: TableRow | undefined, b: TableRow | undefined): boolean {
   if (a === undefined || b === undefined) {
     return a === b;
   }
@@ -53,35 +53,35 @@
   );
 }
 
-function byTarget(rows: readonly TableRow[]): Map<string, TableRow> {
+function indexByTarget(rows: readonly TableRow[]): Map<string, TableRow> {
   return new Map(rows.map((row) => [row.target, row]));
 }
 
 /** The rows that differ, in order of target name. */
-export function differingRows(
+export function findChangedRows(
   before: readonly TableRow[],
   after: readonly TableRow[],
 ): readonly RowChange[] {
-  const old = byTarget(before);
-  const fresh = byTarget(after);
-  const targets = [...new Set([...old.keys(), ...fresh.keys()])].sort();
+  const oldRows = indexByTarget(before);
+  const newRows = indexByTarget(after);
+  const targets = [...new Set([...oldRows.keys(), ...newRows.keys()])].sort();
   return targets
-    .map((target) => ({ target, before: old.get(target), after: fresh.get(target) }))
-    .filter((change) => !sameRow(change.before, change.after));
+    .map((target) => ({ target, before: oldRows.get(target), after: newRows.get(target) }))
+    .filter((change) => !areRowsEqual(change.before, change.after));
 }
 
 /** The rows that both sides changed, and changed differently, since `base`. */
-export function conflictingRows(
+export function findConflictingRows(
   base: readonly TableRow[],
   theirs: readonly TableRow[],
   ours: readonly TableRow[],
 ): readonly RowConflict[] {
   const theirChanges = new Map(
-    differingRows(base, theirs).map((change) => [change.target, change]),
+    findChangedRows(base, theirs).map((change) => [change.target, change]),
   );
-  return differingRows(base, ours).flatMap((mine) => {
+  return findChangedRows(base, ours).flatMap((mine) => {
     const other = theirChanges.get(mine.target);
-    if (!other || sameRow(other.after, mine.after)) {
+    if (!other || areRowsEqual(other.after, mine.after)) {
       return [];
     }
     return [{ target: mine.target, base: mine.before, theirs: other.after, ours: mine.after }];
--- a/src/operator/admin-server.ts
+++ b/src/operator/admin-server.ts
@@ -3,7 +3,7 @@
 import { Module, type DynamicModule, type Type } from '@nestjs/common';
 import { NestFactory } from '@nestjs/core';
 import { FastifyAdapter, type NestFastifyApplication } from '@nestjs/platform-fastify';
-import { endpointAddress, endpointPort, packEndpoint } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort, packEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { HallholdError, messageOf } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
@@ -60,7 +60,7 @@
     await serveOpenApi(application);
   }
   try {
-    await application.listen(endpointPort(options.listen), endpointAddress(options.listen));
+    await application.listen(getEndpointPort(options.listen), getEndpointAddress(options.listen));
   } catch (error) {
     throw new HallholdError(ResultCodes.addressInUse, messageOf(error));
   }
--- a/src/operator/tables-controller.ts
+++ b/src/operator/tables-controller.ts
@@ -47,7 +47,7 @@
   /** Every table in force here. */
   @Get()
   list(): readonly TableView[] {
-    return [...this.balancer.distribution.cache.all()].map(viewTable);
+    return [...this.balancer.distribution.cache.listTables()].map(viewTable);
   }
 
   /** One service's table; 404 with error 1103 when there is none. */
--- a/src/packets/choice/route-request-statistics.ts
+++ b/src/packets/choice/route-request-statistics.ts
@@ -7,7 +7,7 @@
  */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket } from '../flow-packet';
-import { measureDistance } from '../repair/sequence-numbers';
+import { computeDistance } from '../repair/sequence-numbers';
 
 /** Milliseconds in which the weight of what was seen falls to about a third. */
 const DECAY_TIME_MS = 30_000;
@@ -96,6 +96,6 @@
 
 function completesRequest(packet: FlowPacket, { lastSequence }: FlowRequestCount): boolean {
   const { isFull, payloadLength, resets, sequence } = packet;
-  const isNew = lastSequence === undefined || measureDistance(lastSequence, sequence) > 0;
+  const isNew = lastSequence === undefined || computeDistance(lastSequence, sequence) > 0;
   return payloadLength > 0 && !isFull && !resets && isNew;
 }
--- a/src/packets/client-intake.ts
+++ b/src/packets/client-intake.ts
@@ -7,7 +7,7 @@
 import { Events } from '../logging/events';
 import type { FlowPacket, PacketFormat } from './flow-packet';
 import type { FlowTracker } from './flow-tracker';
-import type { FlowBytes } from './locality/flow-bytes';
+import type { MeanFlowBytes } from './locality/mean-flow-bytes';
 import type { PacketAgentCounters } from './packet-agent-contracts';
 import type { PacketLink } from './packet-link';
 import {
@@ -40,7 +40,7 @@
   readonly admission: TargetAdmission;
   readonly answers: AnswerRepair;
   readonly counters: PacketAgentCounters;
-  readonly flowBytes: FlowBytes;
+  readonly flowBytes: MeanFlowBytes;
   readonly guard: TargetGuard;
   readonly health: TargetHealth;
   readonly hops: HopRepair;
@@ -75,7 +75,7 @@
       return;
     }
     noteBalancer(balancer);
-    answers.received(packet);
+    answers.handleClientPacket(packet);
     const refusal = this.refusalOf(packet, message.services);
     if (refusal !== undefined) {
       this.refuse(packet, message.searchId, balancer, refusal);
@@ -93,7 +93,7 @@
       return;
     }
     link.noteCompact(balancer);
-    answers.received(packet);
+    answers.handleClientPacket(packet);
     const isRefused = this.refusalOf(packet, message.services) !== undefined;
     if (isRefused || packet.opens) {
       this.passOn(message);
@@ -129,7 +129,7 @@
       this.dependencies;
     counters.packetsReturned++;
     tracker.returned(packet);
-    answers.drop(packet.flow);
+    answers.removeFlow(packet.flow);
     admission.returned(packet);
     if (packet.opens) {
       health.openingReturned(environment.now());
@@ -223,7 +223,7 @@
     const { counters, environment, flowBytes, format, guard, sendToTarget, tracker } =
       this.dependencies;
     counters.packetsDelivered++;
-    flowBytes.delivered(packet);
+    flowBytes.addClientPacket(packet);
     tracker.delivered(packet, balancer, environment.now());
     if (packet.opens) {
       guard.openingDelivered();
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -140,7 +140,7 @@
     this.openings.recordOpening(chosen.service, now);
     cache.noteOpening(packet.flow, chosen.address, service!, now);
     outlet.counters.flowsPlaced++;
-    const spill = locality.notePlaced(chosen, ordered, outlet.counters);
+    const spill = locality.recordPlacement(chosen, ordered, outlet.counters);
     outlet.report(Events.flowPlaced, packet, {
       agent: formatEndpoint(chosen.address),
       service,
@@ -261,7 +261,7 @@
       getReportAge: (entry) => now - (entry.heardAt ?? now),
       isHeard: (entry) => directory.isHeard(entry, now),
       isSettling: (entry) => directory.isSettling(entry, now),
-      getTransferCost: (entry) => locality.costOf(entry, now),
+      getTransferCost: (entry) => locality.computeCost(entry, now),
       random: () => environment.random(),
     };
   }
--- a/src/packets/flow-tracker.ts
+++ b/src/packets/flow-tracker.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '../environment';
 import { ServiceTimeTracker } from './choice/service-time-tracker';
 import type { FlowKey, FlowPacket } from './flow-packet';
-import { endOf, measureDistance } from './repair/sequence-numbers';
+import { computeEndSequence, computeDistance } from './repair/sequence-numbers';
 
 /** Flows tracked at once; the least recently used one is dropped beyond that. */
 const MAXIMUM_FLOWS = 20_000;
@@ -307,7 +307,7 @@
 
 /** Whether a 32-bit sequence number lies after another, allowing for its wrapping. */
 function isNewer(sequence: number, previous: number | undefined): boolean {
-  return previous === undefined || measureDistance(previous, sequence) > 0;
+  return previous === undefined || computeDistance(previous, sequence) > 0;
 }
 
 /** Whether a client's packet acknowledges the target's answer to its opening packet. */
@@ -321,7 +321,7 @@
 
 /** The sequence number behind all that a target has sent, with a packet of its own that it sends now. */
 function findEndOfSent(packet: FlowPacket, sentUntil: number | undefined): number {
-  const end = endOf(packet);
+  const end = computeEndSequence(packet);
   return packet.opens || sentUntil === undefined || isNewer(end, sentUntil) ? end : sentUntil;
 }
 
@@ -333,6 +333,6 @@
   if (openingSequence === undefined || sentUntil === undefined) {
     return false;
   }
-  const acknowledged = measureDistance(openingSequence, acknowledgement);
-  return acknowledged > 0 && acknowledged <= measureDistance(openingSequence, sentUntil);
+  const acknowledged = computeDistance(openingSequence, acknowledgement);
+  return acknowledged > 0 && acknowledged <= computeDistance(openingSequence, sentUntil);
 }
--- a/src/packets/locality/candidate-order.ts
+++ b/src/packets/locality/candidate-order.ts
@@ -19,7 +19,7 @@
 const INDEX_RANGE = 2 ** 20;
 
 /** Milliseconds there and back to a zone. */
-export type DistanceReader = (zone: string) => number;
+export type DistanceLookup = (zone: string) => number;
 
 /** What the order of a search depends on. */
 export interface SearchCandidate extends Candidate {
@@ -38,19 +38,19 @@
   flow: FlowKey,
   agents: readonly T[],
   home: string,
-  distanceOf: DistanceReader,
+  getDistance: DistanceLookup,
 ): T[] {
   const seed = hashText(flow);
   const byZone = groupByScore(seed, agents);
   const own = byZone.get(home) ?? [];
   const zones = orderZones(seed, byZone).filter((zone) => zone !== home);
   // Whole milliseconds: zones that differ by less take turns by the flow's hash.
-  const near = zones.map((zone) => ({ zone, distance: Math.round(distanceOf(zone)) }));
-  near.sort((one, other) => one.distance - other.distance);
-  const others = takeInTurn(near.map(({ zone }) => byZone.get(zone)!));
+  const nearestFirst = zones.map((zone) => ({ zone, distance: Math.round(getDistance(zone)) }));
+  nearestFirst.sort((one, other) => one.distance - other.distance);
+  const others = interleave(nearestFirst.map(({ zone }) => byZone.get(zone)!));
   const first = own.slice(0, HOME_CANDIDATES);
-  const places = CANDIDATES - first.length;
-  return first.concat(others.slice(0, places), own.slice(HOME_CANDIDATES), others.slice(places));
+  const otherCount = CANDIDATES - first.length;
+  return first.concat(others.slice(0, otherCount), own.slice(HOME_CANDIDATES), others.slice(otherCount));
 }
 
 /**
@@ -66,11 +66,11 @@
   const seed = hashText(flow);
   const byZone = groupByScore(seed, agents);
   const zones = orderZones(seed, byZone).map((zone) => byZone.get(zone)!);
-  const share = shareOf(zones.length, countServices(agents));
+  const perService = computeLikelyPerService(zones.length, countServices(agents));
   const likely: T[] = [];
   const rest: T[] = [];
   for (const zone of zones) {
-    splitOff(zone, share, likely, rest);
+    splitLikely(zone, perService, likely, rest);
   }
   return { agents: likely.concat(rest), likely: Math.min(likely.length, GROUP_LENGTH) };
 }
@@ -84,23 +84,23 @@
 }
 
 /** Likely agents of a service in a zone: all candidates in the only zone, fewer in each of many. */
-function shareOf(zones: number, services: number): number {
+function computeLikelyPerService(zones: number, services: number): number {
   const wanted = zones <= 1 ? CANDIDATES : HOME_CANDIDATES;
   return Math.max(1, Math.min(wanted, Math.floor(GROUP_LENGTH / (zones * services))));
 }
 
 /** Adds the first few of each service to the likely agents and the others to the rest. */
-function splitOff<T extends SearchCandidate>(
+function splitLikely<T extends SearchCandidate>(
   agents: readonly T[],
-  share: number,
+  perService: number,
   likely: T[],
   rest: T[],
 ): void {
-  const taken = new Map<string, number>();
+  const countByService = new Map<string, number>();
   for (const agent of agents) {
-    const rank = taken.get(agent.service) ?? 0;
-    if (rank < share) {
-      taken.set(agent.service, rank + 1);
+    const rank = countByService.get(agent.service) ?? 0;
+    if (rank < perService) {
+      countByService.set(agent.service, rank + 1);
       likely.push(agent);
     } else {
       rest.push(agent);
@@ -111,8 +111,8 @@
 /** The zones in an order that belongs to a flow: by name, beginning with another for each hash. */
 function orderZones<T>(seed: number, byZone: AgentsByZone<T>): string[] {
   const names = [...byZone.keys()].sort();
-  const begin = names.length > 0 ? seed % names.length : 0;
-  return [...names.slice(begin), ...names.slice(0, begin)];
+  const start = names.length > 0 ? seed % names.length : 0;
+  return [...names.slice(start), ...names.slice(0, start)];
 }
 
 /** Sorts numbers that hold score and index: each score is computed once, without a comparator. */
@@ -136,17 +136,17 @@
 }
 
 /** The first of each group, then the second of each, and so on. */
-function takeInTurn<T>(groups: readonly (readonly T[])[]): T[] {
-  const taken: T[] = [];
-  let isOver = false;
-  for (let index = 0; !isOver; index++) {
-    isOver = true;
+function interleave<T>(groups: readonly (readonly T[])[]): T[] {
+  const interleaved: T[] = [];
+  let isExhausted = false;
+  for (let index = 0; !isExhausted; index++) {
+    isExhausted = true;
     for (const group of groups) {
       if (index < group.length) {
-        taken.push(group[index]!);
-        isOver = false;
+        interleaved.push(group[index]!);
+        isExhausted = false;
       }
     }
   }
-  return taken;
+  return interleaved;
 }
--- a/src/packets/locality/distance-probes.ts
+++ b/src/packets/locality/distance-probes.ts
@@ -10,27 +10,27 @@
 import type { ZoneDistances } from './zone-distances';
 
 /** Milliseconds between two probes of a zone: distances change with routes, not with load. */
-const PROBE_INTERVAL = 2_000;
+const PROBE_INTERVAL_MS = 2_000;
 /**
  * Milliseconds between two probes of a zone with few samples, and how often to call `run`: three
  * of them take less than a second of a balancer's start.
  */
-export const FIRST_PROBES_INTERVAL = 250;
+export const INITIAL_PROBE_INTERVAL_MS = 250;
 /** Timers fire a little early or late. */
-const TOLERANCE = 1;
+const TIMER_TOLERANCE_MS = 1;
 
 /** Sends a probe to an agent. */
-export type ProbeSender = (agent: Endpoint, probe: DistanceProbeMessage) => void;
+export type SendProbe = (agent: Endpoint, probe: DistanceProbeMessage) => void;
 
 /** The probing of one zone. */
 interface ZoneProbe {
   /** Probes sent; by it agents take turns. */
-  sent: number;
+  sentCount: number;
   agent: Endpoint;
   sentAt: number;
   isAnswered: boolean;
   /** Probes in a row before this one that had no reply before the next went out. */
-  readonly unanswered: number;
+  readonly unansweredInRow: number;
 }
 
 /** Probes of one balancer. */
@@ -40,61 +40,61 @@
   constructor(
     private readonly directory: AgentDirectory,
     private readonly distances: ZoneDistances,
-    private readonly send: ProbeSender,
+    private readonly send: SendProbe,
   ) {}
 
   /** Probes each zone where it is due; agents of an earlier version are left out. */
-  run(now: number): void {
-    for (const [zone, agents] of this.groupAgents(now)) {
+  sendDueProbes(now: number): void {
+    for (const [zone, agents] of this.groupProbeableAgents(now)) {
       const last = this.probes.get(zone);
-      if (!last || now - last.sentAt >= this.intervalAfter(last, zone) - TOLERANCE) {
-        this.probe(zone, agents, last, now);
+      if (!last || now - last.sentAt >= this.computeInterval(last, zone) - TIMER_TOLERANCE_MS) {
+        this.sendProbe(zone, agents, last, now);
       }
     }
   }
 
   /** Takes a reply. Only that to the latest probe of a zone counts: others may be of an earlier run. */
-  take(from: Endpoint, { sentAt }: DistanceReplyMessage, now: number): void {
-    for (const [zone, probe] of this.probes) {
-      if (!probe.isAnswered && probe.agent === from && probe.sentAt === sentAt) {
-        probe.isAnswered = true;
-        this.distances.add(zone, now - sentAt, now);
+  handleReply(from: Endpoint, { sentAt }: DistanceReplyMessage, now: number): void {
+    for (const [zone, last] of this.probes) {
+      if (!last.isAnswered && last.agent === from && last.sentAt === sentAt) {
+        last.isAnswered = true;
+        this.distances.addSample(zone, now - sentAt, now);
         return;
       }
     }
   }
 
-  private probe(
+  private sendProbe(
     zone: string,
     agents: readonly AgentEntry[],
     last: ZoneProbe | undefined,
     now: number,
   ): void {
-    const sent = last?.sent ?? 0;
-    const { address } = agents[sent % agents.length]!;
+    const sentCount = last?.sentCount ?? 0;
+    const { address } = agents[sentCount % agents.length]!;
     this.probes.set(zone, {
-      sent: sent + 1,
+      sentCount: sentCount + 1,
       agent: address,
       sentAt: now,
       isAnswered: false,
-      unanswered: last && !last.isAnswered ? last.unanswered + 1 : 0,
+      unansweredInRow: last && !last.isAnswered ? last.unansweredInRow + 1 : 0,
     });
     this.send(address, { type: PacketMessageType.distanceProbe, sentAt: now });
   }
 
   /** Doubled for each probe without a reply: a round trip may take longer than the first interval. */
-  private intervalAfter({ unanswered }: ZoneProbe, zone: string): number {
+  private computeInterval({ unansweredInRow: unanswered }: ZoneProbe, zone: string): number {
     return this.distances.lacksSamples(zone)
-      ? Math.min(PROBE_INTERVAL, FIRST_PROBES_INTERVAL * 2 ** unanswered)
-      : PROBE_INTERVAL;
+      ? Math.min(PROBE_INTERVAL_MS, INITIAL_PROBE_INTERVAL_MS * 2 ** unanswered)
+      : PROBE_INTERVAL_MS;
   }
 
   /** The agents by zone that are heard and understand probes. */
-  private groupAgents(now: number): Map<string, AgentEntry[]> {
+  private groupProbeableAgents(now: number): Map<string, AgentEntry[]> {
     const groups = new Map<string, AgentEntry[]>();
     for (const entry of this.directory.all()) {
-      const understands = (entry.report?.frameVersion ?? 0) >= REPAIR_VERSION;
-      if (!understands || !this.directory.isHeard(entry, now)) {
+      const supportsProbes = (entry.report?.frameVersion ?? 0) >= REPAIR_VERSION;
+      if (!supportsProbes || !this.directory.isHeard(entry, now)) {
         continue;
       }
       const group = groups.get(entry.zone);
--- a/src/packets/locality/locality.ts
+++ b/src/packets/locality/locality.ts
@@ -10,11 +10,11 @@
 import type { DistanceReplyMessage } from '../packet-messages';
 import type { SearchOrder } from '../search-order';
 import { orderForPlacement, orderForSearch } from './candidate-order';
-import { DistanceProbes, type ProbeSender } from './distance-probes';
-import { FlowTraffic } from './flow-traffic';
-import { judgePlacement, orderSecondChoice, SpillReason, type SpillReasonValue } from './spill';
-import { SpillWatch } from './spill-watch';
-import { ConstantCosts, CostsWithDoubt, MeasuredCosts, type TransferCosts } from './transfer-costs';
+import { DistanceProbes, type SendProbe } from './distance-probes';
+import { ServiceFlowBytes } from './service-flow-bytes';
+import { classifyPlacement, orderSecondChoice, SpillReason, type SpillReasonValue } from './spill';
+import { SpillMonitor } from './spill-monitor';
+import { ConstantCosts, PenalizedCosts, MeasuredCosts, type TransferCosts } from './transfer-costs';
 import { ZoneDistances } from './zone-distances';
 
 /** Settings of locality. */
@@ -47,35 +47,35 @@
   private readonly distances: ZoneDistances;
   private readonly probes: DistanceProbes;
   private readonly costs: TransferCosts;
-  private readonly watch = new SpillWatch();
+  private readonly spillMonitor = new SpillMonitor();
 
   constructor(
     private readonly settings: LocalitySettings,
     private readonly environment: Environment,
     private readonly directory: AgentDirectory,
-    sendProbe: ProbeSender,
+    sendProbe: SendProbe,
   ) {
     const { transferCost, zone } = settings;
     this.distances = new ZoneDistances(zone);
     this.probes = new DistanceProbes(directory, this.distances, sendProbe);
-    this.costs = this.isOn ? this.createCosts(transferCost) : new ConstantCosts(zone);
+    this.costs = this.isEnabled ? this.createCosts(transferCost) : new ConstantCosts(zone);
   }
 
   /** Measures distances where it is due; to be called at every `FIRST_PROBES_INTERVAL`. */
-  measure(): void {
-    if (this.isOn) {
-      this.probes.run(this.environment.now());
+  sendDueProbes(): void {
+    if (this.isEnabled) {
+      this.probes.sendDueProbes(this.environment.now());
     }
   }
 
   /** Takes an agent's reply to a probe. */
-  takeReply(from: Endpoint, reply: DistanceReplyMessage): void {
-    this.probes.take(from, reply, this.environment.now());
+  handleProbeReply(from: Endpoint, reply: DistanceReplyMessage): void {
+    this.probes.handleReply(from, reply, this.environment.now());
   }
 
   /** Milliseconds of waiting at home that a flow at an agent is worth. */
-  costOf(entry: AgentEntry, now: number): number {
-    return this.costs.costOf(entry, now);
+  computeCost(entry: AgentEntry, now: number): number {
+    return this.costs.computeCost(entry, now);
   }
 
   /**
@@ -83,20 +83,20 @@
    * several, as far as flows stay in their zones.
    */
   get rivalShare(): number {
-    return this.isOn ? 1 / Math.max(1, this.distances.zonesMeasured) : 1;
+    return this.isEnabled ? 1 / Math.max(1, this.distances.zonesMeasured) : 1;
   }
 
   /** All agents in the order in which a new flow is offered to them. */
   orderForPlacement(flow: FlowKey, agents: readonly AgentEntry[]): AgentEntry[] {
     const { zone } = this.settings;
-    return this.isOn
-      ? orderForPlacement(flow, agents, zone, (other) => this.distances.distanceOf(other))
+    return this.isEnabled
+      ? orderForPlacement(flow, agents, zone, (other) => this.distances.getDistance(other))
       : orderCandidates(flow, agents, zone);
   }
 
   /** All agents in the order in which a flow's holder is searched for. */
   orderForSearch(flow: FlowKey, agents: readonly AgentEntry[]): SearchOrder<AgentEntry> {
-    if (this.isOn) {
+    if (this.isEnabled) {
       return orderForSearch(flow, agents);
     }
     return { agents: orderCandidates(flow, agents, this.settings.zone), likely: CANDIDATES };
@@ -104,7 +104,7 @@
 
   /** The order for a second choice before a flow leaves the zone; undefined when none is needed. */
   orderSecondChoice(chosen: AgentEntry, ordered: readonly AgentEntry[]): AgentEntry[] | undefined {
-    return this.isOn ? orderSecondChoice(chosen, ordered, this.settings.zone) : undefined;
+    return this.isEnabled ? orderSecondChoice(chosen, ordered, this.settings.zone) : undefined;
   }
 
   /**
@@ -112,17 +112,17 @@
    * @param candidates the agents that it could have gone to
    * @returns why it has left the zone; undefined when it has not
    */
-  notePlaced(
+  recordPlacement(
     chosen: AgentEntry,
     candidates: readonly AgentEntry[],
     counters: SpillCounters,
   ): SpillReasonValue | undefined {
     const now = this.environment.now();
     const isHeard = (entry: AgentEntry): boolean => this.directory.isHeard(entry, now);
-    const placed = judgePlacement(chosen, candidates, this.settings.zone, isHeard);
-    const reason = placed.kind === 'spilled' ? placed.reason : undefined;
-    countFlow(reason, counters);
-    const change = this.watch.note(chosen.service, reason, now);
+    const placement = classifyPlacement(chosen, candidates, this.settings.zone, isHeard);
+    const reason = placement.kind === 'spilled' ? placement.reason : undefined;
+    countPlacement(reason, counters);
+    const change = this.spillMonitor.recordFlow(chosen.service, reason, now);
     if (change) {
       this.environment.report(Events.zoneSpillChanged, { ...change });
     }
@@ -130,23 +130,23 @@
   }
 
   get figures(): LocalityFigures {
-    const { largest, zonesMeasured } = this.distances;
+    const { largestDistance: largest, zonesMeasured } = this.distances;
     return { zonesMeasured, largestZoneDistance: largest };
   }
 
   private createCosts(transferCost: number): TransferCosts {
-    const traffic = new FlowTraffic(this.directory);
+    const flowBytes = new ServiceFlowBytes(this.directory);
     const { zone } = this.settings;
-    const measured = new MeasuredCosts(zone, transferCost, this.distances, traffic);
-    return new CostsWithDoubt(measured, this.directory);
+    const measured = new MeasuredCosts(zone, transferCost, this.distances, flowBytes);
+    return new PenalizedCosts(measured, this.directory);
   }
 
-  private get isOn(): boolean {
+  private get isEnabled(): boolean {
     return this.settings.locality;
   }
 }
 
-function countFlow(reason: SpillReasonValue | undefined, counters: SpillCounters): void {
+function countPlacement(reason: SpillReasonValue | undefined, counters: SpillCounters): void {
   switch (reason) {
     case undefined:
       counters.flowsPlacedAtHome++;
--- a/src/packets/locality/flow-bytes.ts
+++ b/src/packets/locality/mean-flow-bytes.ts
@@ -2,27 +2,27 @@
 import type { FlowPacket } from '../flow-packet';
 
 /** Flows below which the mean says little: the first ones have not had their answers yet. */
-const FLOWS_NEEDED = 4;
+const MINIMUM_FLOWS = 4;
 /** Flows after which those before weigh half: some hundred follow a change of the work. */
-const FLOWS_REMEMBERED = 64;
+const HALVING_FLOWS = 64;
 
 /** Fading mean of one target. */
-export class FlowBytes {
+export class MeanFlowBytes {
   private bytes = 0;
   private flows = 0;
 
   /** A client's packet goes to the target. */
-  delivered({ bytes }: FlowPacket): void {
+  addClientPacket({ bytes }: FlowPacket): void {
     this.bytes += bytes.length;
   }
 
   /** The target has sent a packet; with its answer to an opening one a flow begins. */
-  sent({ bytes, opens }: FlowPacket): void {
+  addTargetPacket({ bytes, opens }: FlowPacket): void {
     this.bytes += bytes.length;
     if (opens) {
       this.flows++;
     }
-    if (this.flows >= 2 * FLOWS_REMEMBERED) {
+    if (this.flows >= 2 * HALVING_FLOWS) {
       this.flows /= 2;
       this.bytes /= 2;
     }
@@ -36,6 +36,6 @@
 
   /** Mean bytes of a flow of late, heads of packets included; 0 while unknown. */
   get mean(): number {
-    return this.flows < FLOWS_NEEDED ? 0 : Math.round(this.bytes / this.flows);
+    return this.flows < MINIMUM_FLOWS ? 0 : Math.round(this.bytes / this.flows);
   }
 }
--- a/src/packets/locality/spill-watch.ts
+++ b/src/packets/locality/spill-monitor.ts
@@ -2,11 +2,11 @@
 import type { SpillReasonValue } from './spill';
 
 /** Part of a service's new flows above which it counts as spilling. */
-const SPILLING_SHARE = 0.1;
+const SPILL_THRESHOLD = 0.1;
 /** Milliseconds between two looks at a service, and between two changes told at least. */
-const WATCH_INTERVAL = 1_000;
+const EVALUATION_INTERVAL_MS = 1_000;
 /** New flows below which a share says little. */
-const FLOWS_NEEDED = 20;
+const MINIMUM_FLOWS = 20;
 
 /** A service has begun or ended to spill. */
 export interface SpillChange {
@@ -20,7 +20,7 @@
 }
 
 /** What is counted of one service. */
-interface ServiceSpill {
+interface SpillCounts {
   isSpilling: boolean;
   since: number;
   flows: number;
@@ -29,47 +29,47 @@
 }
 
 /** The watch of one balancer. */
-export class SpillWatch {
-  private readonly services = new Map<string, ServiceSpill>();
-  private toldAt = -Infinity;
+export class SpillMonitor {
+  private readonly services = new Map<string, SpillCounts>();
+  private reportedAt = -Infinity;
 
   /**
    * Counts a new flow.
    * @param reason undefined when it stays in its zone
    * @returns a change that is to be told
    */
-  note(
+  recordFlow(
     service: string,
     reason: SpillReasonValue | undefined,
     now: number,
   ): SpillChange | undefined {
-    const counted = this.services.get(service) ?? createCounts(now, false);
-    this.services.set(service, counted);
-    counted.flows++;
-    counted.spilled += reason === undefined ? 0 : 1;
-    counted.reason = reason ?? counted.reason;
-    if (counted.flows < FLOWS_NEEDED || now - counted.since < WATCH_INTERVAL) {
+    const counts = this.services.get(service) ?? createCounts(now, false);
+    this.services.set(service, counts);
+    counts.flows++;
+    counts.spilled += reason === undefined ? 0 : 1;
+    counts.reason = reason ?? counts.reason;
+    if (counts.flows < MINIMUM_FLOWS || now - counts.since < EVALUATION_INTERVAL_MS) {
       return undefined;
     }
-    return this.conclude(service, counted, now);
+    return this.evaluate(service, counts, now);
   }
 
-  private conclude(service: string, counted: ServiceSpill, now: number): SpillChange | undefined {
-    const { flows, spilled, reason } = counted;
-    const isSpilling = spilled > SPILLING_SHARE * flows;
-    const hasChanged = isSpilling !== counted.isSpilling;
-    if (hasChanged && now - this.toldAt < WATCH_INTERVAL) {
+  private evaluate(service: string, counts: SpillCounts, now: number): SpillChange | undefined {
+    const { flows, spilled, reason } = counts;
+    const isSpilling = spilled > SPILL_THRESHOLD * flows;
+    const hasChanged = isSpilling !== counts.isSpilling;
+    if (hasChanged && now - this.reportedAt < EVALUATION_INTERVAL_MS) {
       return undefined;
     }
     this.services.set(service, createCounts(now, isSpilling));
     if (!hasChanged) {
       return undefined;
     }
-    this.toldAt = now;
+    this.reportedAt = now;
     return { service, isSpilling, flows, spilled, reason };
   }
 }
 
-function createCounts(since: number, isSpilling: boolean): ServiceSpill {
+function createCounts(since: number, isSpilling: boolean): SpillCounts {
   return { isSpilling, since, flows: 0, spilled: 0, reason: undefined };
 }
--- a/src/packets/locality/spill.ts
+++ b/src/packets/locality/spill.ts
@@ -15,7 +15,7 @@
 export type SpillReasonValue = (typeof SpillReason)[keyof typeof SpillReason];
 
 /** Where a flow has been placed. */
-export type PlacedFlow =
+export type PlacementResult =
   { readonly kind: 'home' } | { readonly kind: 'spilled'; readonly reason: SpillReasonValue };
 
 /**
@@ -23,20 +23,20 @@
  * @param candidates the agents that it could have gone to; none of a zone out of service
  * @param isHeard whether an agent has been heard lately
  */
-export function judgePlacement(
+export function classifyPlacement(
   chosen: AgentEntry,
   candidates: readonly AgentEntry[],
   home: string,
   isHeard: (entry: AgentEntry) => boolean,
-): PlacedFlow {
+): PlacementResult {
   if (chosen.zone === home) {
     return { kind: 'home' };
   }
-  const atHome = candidates.filter((entry) => entry.zone === home && acceptsNewFlows(entry));
-  if (atHome.length === 0) {
+  const acceptingAtHome = candidates.filter((entry) => entry.zone === home && acceptsNewFlows(entry));
+  if (acceptingAtHome.length === 0) {
     return { kind: 'spilled', reason: SpillReason.noTarget };
   }
-  const reason = atHome.some(isHeard) ? SpillReason.wait : SpillReason.homeUnknown;
+  const reason = acceptingAtHome.some(isHeard) ? SpillReason.wait : SpillReason.homeUnknown;
   return { kind: 'spilled', reason };
 }
 
@@ -57,10 +57,10 @@
     return undefined;
   }
   const accepting = ordered.filter((entry) => acceptsNewFlows(entry));
-  const rest = accepting.slice(CANDIDATES).filter(({ zone }) => zone === home);
-  if (rest.length === 0) {
+  const remainingHome = accepting.slice(CANDIDATES).filter(({ zone }) => zone === home);
+  if (remainingHome.length === 0) {
     return undefined;
   }
-  const front = new Set([chosen, ...rest]);
+  const front = new Set([chosen, ...remainingHome]);
   return [...front, ...ordered.filter((entry) => !front.has(entry))];
 }
--- a/src/packets/locality/zone-distances.ts
+++ b/src/packets/locality/zone-distances.ts
@@ -11,25 +11,25 @@
  * Milliseconds for which a sample counts: long enough for some fifteen of them at a probe every
  * two seconds, short enough that another route shows within half a minute.
  */
-const SAMPLE_LIFETIME = 30_000;
+const SAMPLE_LIFETIME_MS = 30_000;
 /**
  * Milliseconds there and back to a zone that has not been measured: between zones of one site
  * (below 1 ms) and zones tens of kilometres apart (up to 10 ms).
  */
-export const DEFAULT_DISTANCE = 5;
+export const DEFAULT_DISTANCE_MS = 5;
 /** Samples of a zone with which its shortest round trip is worth something. */
-const SAMPLES_NEEDED = 3;
+const MINIMUM_SAMPLES = 3;
 
 /** One measured round trip. */
-interface Sample {
+interface RoundTripSample {
   readonly at: number;
   readonly roundTrip: number;
 }
 
 /** What is known of one zone. */
 interface MeasuredZone {
-  samples: readonly Sample[];
-  shortest: number;
+  samples: readonly RoundTripSample[];
+  shortestRoundTrip: number;
 }
 
 /** Distances of one balancer; lost with its process and measured anew. */
@@ -43,19 +43,19 @@
    * Adds a round trip of so many milliseconds. Samples age only when another one comes: a zone
    * that falls silent keeps the distance it had.
    */
-  add(zone: string, roundTrip: number, now: number): void {
+  addSample(zone: string, roundTrip: number, now: number): void {
     const known = this.zones.get(zone)?.samples ?? [];
-    const recent = known.filter(({ at }) => now - at <= SAMPLE_LIFETIME);
+    const recent = known.filter(({ at }) => now - at <= SAMPLE_LIFETIME_MS);
     const samples = [...recent, { at: now, roundTrip }];
     this.zones.set(zone, {
       samples,
-      shortest: Math.min(...samples.map((sample) => sample.roundTrip)),
+      shortestRoundTrip: Math.min(...samples.map((sample) => sample.roundTrip)),
     });
   }
 
   /** Whether a zone has too few samples for its distance to be relied on. */
   lacksSamples(zone: string): boolean {
-    return (this.zones.get(zone)?.samples.length ?? 0) < SAMPLES_NEEDED;
+    return (this.zones.get(zone)?.samples.length ?? 0) < MINIMUM_SAMPLES;
   }
 
   /**
@@ -63,15 +63,15 @@
    * default for a zone without samples. While no agent of the own zone has been measured, its
    * round trip counts as 0.
    */
-  distanceOf(zone: string): number {
+  getDistance(zone: string): number {
     if (zone === this.home) {
       return 0;
     }
     const measured = this.zones.get(zone);
     if (!measured) {
-      return DEFAULT_DISTANCE;
+      return DEFAULT_DISTANCE_MS;
     }
-    return Math.max(0, measured.shortest - (this.zones.get(this.home)?.shortest ?? 0));
+    return Math.max(0, measured.shortestRoundTrip - (this.zones.get(this.home)?.shortestRoundTrip ?? 0));
   }
 
   /** Number of zones with a sample, the own one included. */
@@ -80,7 +80,7 @@
   }
 
   /** Milliseconds there and back to the farthest zone measured; 0 for none. */
-  get largest(): number {
-    return Math.max(0, ...[...this.zones.keys()].map((zone) => this.distanceOf(zone)));
+  get largestDistance(): number {
+    return Math.max(0, ...[...this.zones.keys()].map((zone) => this.getDistance(zone)));
   }
 }
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -11,7 +11,7 @@
 import type { FlowPacket } from './flow-packet';
 import { FlowTracker } from './flow-tracker';
 import { LoadReporter } from './load-reporter';
-import { FlowBytes } from './locality/flow-bytes';
+import { MeanFlowBytes } from './locality/mean-flow-bytes';
 import { NodeTimers } from './node-timers';
 import type {
   PacketAgentCounters,
@@ -65,7 +65,7 @@
   private readonly target: TargetLifecycle;
   private readonly tracker = new FlowTracker(() => this.target.slots);
   private readonly health = new TargetHealth();
-  private readonly flowBytes = new FlowBytes();
+  private readonly flowBytes = new MeanFlowBytes();
   private readonly admission: TargetAdmission;
   private readonly intake: ClientIntake;
   private readonly reporter: LoadReporter;
@@ -272,7 +272,7 @@
   /** A frame of another node. */
   frame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
-    const unpacked = message && this.hops.unpack(from, message);
+    const unpacked = message && this.hops.receive(from, message);
     if (unpacked) {
       this.take(unpacked, from);
     }
@@ -358,9 +358,9 @@
       return;
     }
     this.counters.packetsSent++;
-    this.flowBytes.sent(packet);
+    this.flowBytes.addTargetPacket(packet);
     sendToClient(packet.client, bytes);
-    this.answers.sent(packet);
+    this.answers.recordSent(packet);
     this.noteTargetSends();
     this.judgeAnswer(packet);
     const balancer = this.tracker.sent(packet, environment.now());
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -11,7 +11,7 @@
 import { FlowCache } from './flow-cache';
 import { locateTimeout } from './flow-locator';
 import { FlowRouter } from './flow-router';
-import { FIRST_PROBES_INTERVAL } from './locality/distance-probes';
+import { INITIAL_PROBE_INTERVAL_MS } from './locality/distance-probes';
 import { Locality } from './locality/locality';
 import { NodeTimers } from './node-timers';
 import { PacketLink } from './packet-link';
@@ -128,7 +128,7 @@
       this.reading.run();
       this.subscribe();
     });
-    this.timers.repeat(FIRST_PROBES_INTERVAL, () => this.locality.measure());
+    this.timers.repeat(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
     this.timers.repeat(UPKEEP_INTERVAL, () => this.maintain());
   }
 
@@ -228,13 +228,13 @@
 
   /** Smoothed round trip to an agent in milliseconds; undefined before it is measured. */
   roundTripTo(agent: Endpoint): number | undefined {
-    return this.hops.roundTripTo(agent);
+    return this.hops.getRoundTrip(agent);
   }
 
   /** A frame of another node. */
   frame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
-    const unpacked = message && this.hops.unpack(from, message);
+    const unpacked = message && this.hops.receive(from, message);
     if (unpacked) {
       this.take(unpacked, from);
     }
@@ -327,7 +327,7 @@
         this.router.routeDetoured(message.payload, message.agent);
         return;
       case PacketMessageType.distanceReply:
-        this.locality.takeReply(from, message);
+        this.locality.handleProbeReply(from, message);
         return;
       case PacketMessageType.eraSeen:
         this.settling.recordObservedEra(message.era);
--- a/src/packets/repair/answer-flow.ts
+++ b/src/packets/repair/answer-flow.ts
@@ -9,69 +9,69 @@
  */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket } from '../flow-packet';
-import { LATEST_REPEAT, TARGET_TIMEOUT, type AnswerTiming } from './answer-timing';
-import { endOf, measureDistance, measureSequenceLength } from './sequence-numbers';
+import { RETRANSMISSION_CUTOFF_MS, TARGET_TIMEOUT_MS, type AnswerTiming } from './answer-timing';
+import { computeEndSequence, computeDistance, computeSequenceLength } from './sequence-numbers';
 
 /** Packets kept of a flow: as many as a sender has under way. */
-const MAXIMUM_KEPT = 16;
+const MAXIMUM_BUFFERED_PACKETS = 16;
 /** Repeats of one packet: one for the loss, one for the loss of the repeat. */
-const MAXIMUM_REPEATS = 2;
+const MAXIMUM_RETRANSMISSIONS = 2;
 /**
  * Repeats of an answer to an opening: its client may have gone on with another target that got a
  * copy of the opening, of which this agent sees nothing.
  */
-const MAXIMUM_OPENING_REPEATS = 1;
+const MAXIMUM_OPENING_RETRANSMISSIONS = 1;
 /** Sequence numbers known as sent; a sender has 16 packets under way, some may be unaccounted. */
-const MAXIMUM_SENT = 64;
+const MAXIMUM_TRACKED_SEQUENCES = 64;
 
 /** A packet that was sent to the client and is not acknowledged. */
-export interface SentAnswer {
+export interface BufferedPacket {
   /** The packet as the target wrote it; never altered. */
   readonly bytes: Buffer;
   readonly sequence: number;
-  readonly end: number;
+  readonly endSequence: number;
   readonly opens: boolean;
   /** Time at which the target sent it last. */
   sentAt: number;
   /** Repeats from here. */
-  repeats: number;
+  retransmissions: number;
   /** Its target has repeated it. */
-  isRepeatedByTarget: boolean;
+  isRetransmittedByTarget: boolean;
 }
 
 /** What a client's packet told. */
-export interface AnswerProgress {
+export interface AcknowledgementResult {
   /** Packets acknowledged by it. */
-  readonly acknowledged: number;
+  readonly acknowledgedCount: number;
   /** Repeats of them that came after the first had arrived. */
-  readonly needlessRepeats: number;
+  readonly spuriousRetransmissions: number;
 }
 
 /** How a flow stands: `targetRepeats` after its target's timer, until that is acknowledged. */
 type FlowPhase = 'repaired' | 'targetRepeats' | 'over';
 
-const NO_PROGRESS: AnswerProgress = { acknowledged: 0, needlessRepeats: 0 };
+const NO_PROGRESS: AcknowledgementResult = { acknowledgedCount: 0, spuriousRetransmissions: 0 };
 
 /** The answers of one flow. */
 export class AnswerFlow {
   /** Unacknowledged packets, by sequence number. */
-  private kept: SentAnswer[] = [];
+  private buffered: BufferedPacket[] = [];
   /** Sequence numbers of packets sent and not acknowledged, kept or not. */
-  private readonly sentNumbers = new Set<number>();
+  private readonly sentSequences = new Set<number>();
   private phase: FlowPhase = 'repaired';
   /** All before it is acknowledged. */
   private acknowledgedUpTo: number;
   private sentUpTo: number;
   /** What was sent when a gap or a loss was last known; all before it must come to close it. */
-  private recoveredAt: number;
+  private recoveryPoint: number;
   /** Time since which a gap has been known; undefined without one. */
-  private gapSince: number | undefined;
+  private gapDetectedAt: number | undefined;
   private lastSentAt = 0;
   private progressAt = 0;
-  private repeatedAt = 0;
+  private retransmittedAt = 0;
   /** Probes since the last progress. */
   private probes = 0;
-  private bytesKept = 0;
+  private byteCount = 0;
   readonly client: Endpoint;
   private readonly firstSequence: number;
 
@@ -88,17 +88,17 @@
     this.firstSequence = first.sequence;
     this.acknowledgedUpTo = first.sequence;
     this.sentUpTo = first.sequence;
-    this.recoveredAt = first.sequence;
+    this.recoveryPoint = first.sequence;
   }
 
   /** Bytes of the packets kept. */
-  get heldBytes(): number {
-    return this.bytesKept;
+  get bufferedBytes(): number {
+    return this.byteCount;
   }
 
   /** Whether anything is kept that may have to be repeated. */
   get isPending(): boolean {
-    return this.kept.length > 0;
+    return this.buffered.length > 0;
   }
 
   /** Whether a packet of the target opens another flow between the same ends. */
@@ -108,41 +108,41 @@
 
   /**
    * The target's packet has been sent to the client.
-   * @param mayKeep whether there is room to keep it
+   * @param mayBuffer whether there is room to keep it
    */
-  sent(packet: FlowPacket, mayKeep: boolean, now: number): void {
+  recordSent(packet: FlowPacket, mayBuffer: boolean, now: number): void {
     this.usedAt = now;
     if (packet.resets) {
       this.end();
-    } else if (this.phase !== 'over' && measureSequenceLength(packet) > 0) {
-      this.noteNumbers(packet, mayKeep, now);
+    } else if (this.phase !== 'over' && computeSequenceLength(packet) > 0) {
+      this.recordSequences(packet, mayBuffer, now);
     }
   }
 
-  private noteNumbers(packet: FlowPacket, mayKeep: boolean, now: number): void {
-    if (this.isRepeated(packet)) {
-      this.noteTargetRepeat(packet, now);
+  private recordSequences(packet: FlowPacket, mayBuffer: boolean, now: number): void {
+    if (this.isRetransmission(packet)) {
+      this.handleTargetRetransmission(packet, now);
       return;
     }
-    this.noteNumber(packet.sequence);
-    const end = endOf(packet);
-    this.sentUpTo = measureDistance(this.sentUpTo, end) > 0 ? end : this.sentUpTo;
-    if (this.phase === 'repaired' && mayKeep) {
-      this.keep(packet, now);
+    this.recordSequence(packet.sequence);
+    const end = computeEndSequence(packet);
+    this.sentUpTo = computeDistance(this.sentUpTo, end) > 0 ? end : this.sentUpTo;
+    if (this.phase === 'repaired' && mayBuffer) {
+      this.bufferPacket(packet, now);
     }
   }
 
   /** Whether the target has sent these numbers before. */
-  private isRepeated({ sequence }: FlowPacket): boolean {
-    const isOld = measureDistance(this.acknowledgedUpTo, sequence) < 0;
-    return isOld || this.sentNumbers.has(sequence);
+  private isRetransmission({ sequence }: FlowPacket): boolean {
+    const isOld = computeDistance(this.acknowledgedUpTo, sequence) < 0;
+    return isOld || this.sentSequences.has(sequence);
   }
 
-  private noteNumber(sequence: number): void {
-    this.sentNumbers.add(sequence);
-    if (this.sentNumbers.size > MAXIMUM_SENT) {
-      const [oldest] = this.sentNumbers;
-      this.sentNumbers.delete(oldest!);
+  private recordSequence(sequence: number): void {
+    this.sentSequences.add(sequence);
+    if (this.sentSequences.size > MAXIMUM_TRACKED_SEQUENCES) {
+      const [oldest] = this.sentSequences;
+      this.sentSequences.delete(oldest!);
     }
   }
 
@@ -150,219 +150,219 @@
    * The target's own repeat takes the place of one from here. After repeated acknowledgements it
    * is one packet, and the rest is still looked after; after its timer all is up to the target.
    */
-  private noteTargetRepeat({ sequence }: FlowPacket, now: number): void {
-    const packet = this.kept.find((one) => one.sequence === sequence);
-    if (packet && now - packet.sentAt < LATEST_REPEAT) {
+  private handleTargetRetransmission({ sequence }: FlowPacket, now: number): void {
+    const packet = this.buffered.find((one) => one.sequence === sequence);
+    if (packet && now - packet.sentAt < RETRANSMISSION_CUTOFF_MS) {
       packet.sentAt = now;
-      packet.isRepeatedByTarget = true;
+      packet.isRetransmittedByTarget = true;
       this.lastSentAt = now;
-      this.repeatedAt = now;
-      this.gapSince = undefined;
-    } else if (measureDistance(this.acknowledgedUpTo, sequence) >= 0) {
+      this.retransmittedAt = now;
+      this.gapDetectedAt = undefined;
+    } else if (computeDistance(this.acknowledgedUpTo, sequence) >= 0) {
       this.phase = 'targetRepeats';
-      this.recoveredAt = this.sentUpTo;
-      this.dropKept(() => true);
+      this.recoveryPoint = this.sentUpTo;
+      this.removeBuffered(() => true);
     }
   }
 
-  private keep(packet: FlowPacket, now: number): void {
+  private bufferPacket(packet: FlowPacket, now: number): void {
     const { bytes, sequence, opens } = packet;
-    const next = this.kept.findIndex((one) => measureDistance(sequence, one.sequence) > 0);
-    const place = next < 0 ? this.kept.length : next;
-    this.kept.splice(place, 0, {
+    const next = this.buffered.findIndex((one) => computeDistance(sequence, one.sequence) > 0);
+    const index = next < 0 ? this.buffered.length : next;
+    this.buffered.splice(index, 0, {
       bytes,
       sequence,
-      end: endOf(packet),
+      endSequence: computeEndSequence(packet),
       opens,
       sentAt: now,
-      repeats: 0,
-      isRepeatedByTarget: false,
+      retransmissions: 0,
+      isRetransmittedByTarget: false,
     });
     this.lastSentAt = now;
-    this.bytesKept += bytes.length;
-    if (this.kept.length > MAXIMUM_KEPT) {
-      const [first] = this.kept;
-      this.dropKept((one) => one === first);
+    this.byteCount += bytes.length;
+    if (this.buffered.length > MAXIMUM_BUFFERED_PACKETS) {
+      const [first] = this.buffered;
+      this.removeBuffered((one) => one === first);
     }
   }
 
   /** One side has ended the flow or broken it off: nothing is repeated any more. */
   end(): void {
     this.phase = 'over';
-    this.dropKept(() => true);
+    this.removeBuffered(() => true);
   }
 
   /** A client's packet acknowledges what came before `packet.acknowledgement`. */
-  acknowledged(packet: FlowPacket, now: number): AnswerProgress {
+  handleAcknowledgement(packet: FlowPacket, now: number): AcknowledgementResult {
     const { acknowledgement } = packet;
-    const advance = measureDistance(this.acknowledgedUpTo, acknowledgement);
-    if (advance === 0 && isBare(packet)) {
-      this.noteRepeatedAcknowledgement(now);
+    const advance = computeDistance(this.acknowledgedUpTo, acknowledgement);
+    if (advance === 0 && isPureAcknowledgement(packet)) {
+      this.handleDuplicateAcknowledgement(now);
     }
-    if (advance <= 0 || measureDistance(acknowledgement, this.sentUpTo) < 0) {
+    if (advance <= 0 || computeDistance(acknowledgement, this.sentUpTo) < 0) {
       return NO_PROGRESS;
     }
     this.acknowledgedUpTo = acknowledgement;
     this.progressAt = now;
     this.probes = 0;
-    const progress = this.takeAcknowledged(now);
+    const progress = this.processAcknowledged(now);
     if (this.phase !== 'over') {
-      this.findNextGap(now);
+      this.updateGap(now);
     }
     return progress;
   }
 
   /** The receiver has something from behind the first unacknowledged packet. */
-  private noteRepeatedAcknowledgement(now: number): void {
-    if (this.kept.length > 1 && this.isFirstMissing) {
-      this.gapSince ??= now;
-      this.recoveredAt = this.sentUpTo;
+  private handleDuplicateAcknowledgement(now: number): void {
+    if (this.buffered.length > 1 && this.isFirstMissing) {
+      this.gapDetectedAt ??= now;
+      this.recoveryPoint = this.sentUpTo;
     }
   }
 
   /** Whether the first packet is kept that the receiver lacks, and nobody has repeated it. */
   private get isFirstMissing(): boolean {
-    const [first] = this.kept;
+    const [first] = this.buffered;
     const isMissing = first?.sequence === this.acknowledgedUpTo;
-    return isMissing && first.repeats === 0 && !first.isRepeatedByTarget;
+    return isMissing && first.retransmissions === 0 && !first.isRetransmittedByTarget;
   }
 
   /** Whether something from behind the first missing packet has come, or may have been lost. */
   private get isRecovering(): boolean {
-    return measureDistance(this.acknowledgedUpTo, this.recoveredAt) > 0;
+    return computeDistance(this.acknowledgedUpTo, this.recoveryPoint) > 0;
   }
 
   /** What is still missing of the time of a gap or a repeat is another gap (RFC 6582). */
-  private findNextGap(now: number): void {
+  private updateGap(now: number): void {
     const { isRecovering } = this;
     if (!isRecovering) {
-      this.recoveredAt = this.acknowledgedUpTo;
+      this.recoveryPoint = this.acknowledgedUpTo;
       this.phase = 'repaired';
     }
-    this.gapSince = isRecovering && this.isFirstMissing ? now : undefined;
+    this.gapDetectedAt = isRecovering && this.isFirstMissing ? now : undefined;
   }
 
-  private takeAcknowledged(now: number): AnswerProgress {
-    this.forgetNumbers();
-    const covered = this.takeCovered();
+  private processAcknowledged(now: number): AcknowledgementResult {
+    this.removeAcknowledgedSequences();
+    const covered = this.removeAcknowledged();
     const last = covered.at(-1);
     if (!last) {
       return NO_PROGRESS;
     }
-    const repeats = covered.reduce((sum, { repeats: more }) => sum + more, 0);
-    const isAmbiguous = repeats > 0 || covered.some((one) => one.isRepeatedByTarget);
-    const isNeedless = repeats > 0 && now - this.repeatedAt < this.timing.reorderingWindow;
-    if (!isAmbiguous || isNeedless) {
-      const isAlone = covered.length === 1 && this.kept.length === 0 && !last.opens;
-      this.timing.sample(isAlone ? 'delayed' : 'prompt', now - last.sentAt);
+    const retransmissions = covered.reduce((sum, { retransmissions: more }) => sum + more, 0);
+    const isAmbiguous = retransmissions > 0 || covered.some((one) => one.isRetransmittedByTarget);
+    const isSpurious = retransmissions > 0 && now - this.retransmittedAt < this.timing.reorderingWindow;
+    if (!isAmbiguous || isSpurious) {
+      const isAlone = covered.length === 1 && this.buffered.length === 0 && !last.opens;
+      this.timing.addSample(isAlone ? 'delayed' : 'prompt', now - last.sentAt);
     }
-    return { acknowledged: covered.length, needlessRepeats: isNeedless ? repeats : 0 };
+    return { acknowledgedCount: covered.length, spuriousRetransmissions: isSpurious ? retransmissions : 0 };
   }
 
   /** Takes out what is acknowledged: the first of the packets kept. */
-  private takeCovered(): SentAnswer[] {
-    const open = this.kept.findIndex(({ end }) => measureDistance(end, this.acknowledgedUpTo) < 0);
-    const covered = this.kept.splice(0, open < 0 ? this.kept.length : open);
-    covered.forEach(({ bytes }) => (this.bytesKept -= bytes.length));
+  private removeAcknowledged(): BufferedPacket[] {
+    const open = this.buffered.findIndex(({ endSequence: end }) => computeDistance(end, this.acknowledgedUpTo) < 0);
+    const covered = this.buffered.splice(0, open < 0 ? this.buffered.length : open);
+    covered.forEach(({ bytes }) => (this.byteCount -= bytes.length));
     return covered;
   }
 
-  private forgetNumbers(): void {
-    for (const sequence of this.sentNumbers) {
-      if (measureDistance(this.acknowledgedUpTo, sequence) < 0) {
-        this.sentNumbers.delete(sequence);
+  private removeAcknowledgedSequences(): void {
+    for (const sequence of this.sentSequences) {
+      if (computeDistance(this.acknowledgedUpTo, sequence) < 0) {
+        this.sentSequences.delete(sequence);
       }
     }
   }
 
   /** A single packet may wait for another one before it is acknowledged; an opening does not. */
-  private kindOf(last: SentAnswer): 'prompt' | 'delayed' {
-    return this.kept.length === 1 && !last.opens ? 'delayed' : 'prompt';
+  private getAcknowledgementKind(last: BufferedPacket): 'prompt' | 'delayed' {
+    return this.buffered.length === 1 && !last.opens ? 'delayed' : 'prompt';
   }
 
   /** Time at which there is something to do; Infinity for never. */
   get dueAt(): number {
-    const [first] = this.kept;
+    const [first] = this.buffered;
     if (!first) {
       return Infinity;
     }
-    return Math.min(this.gapDueAt, this.probeDueAt, this.forgetAt);
+    return Math.min(this.gapDueAt, this.probeDueAt, this.expiresAt);
   }
 
   /** Time at which the oldest copy is dropped: its target repeats it by itself then. */
-  private get forgetAt(): number {
-    const sentAt = this.kept.reduce((oldest, one) => Math.min(oldest, one.sentAt), Infinity);
-    return sentAt + TARGET_TIMEOUT;
+  private get expiresAt(): number {
+    const sentAt = this.buffered.reduce((oldest, one) => Math.min(oldest, one.sentAt), Infinity);
+    return sentAt + TARGET_TIMEOUT_MS;
   }
 
   /** Once packets cannot have overtaken each other, and the first has had its time. */
   private get gapDueAt(): number {
-    const [first] = this.kept;
-    if (!first || this.gapSince === undefined) {
+    const [first] = this.buffered;
+    if (!first || this.gapDetectedAt === undefined) {
       return Infinity;
     }
-    const timeout = this.timing.timeoutOf('prompt');
-    return Math.max(this.gapSince + this.timing.reorderingWindow, first.sentAt + timeout);
+    const timeout = this.timing.getTimeout('prompt');
+    return Math.max(this.gapDetectedAt + this.timing.reorderingWindow, first.sentAt + timeout);
   }
 
   private get probeDueAt(): number {
-    const last = this.kept.at(-1);
-    if (!last || this.probes >= MAXIMUM_REPEATS) {
+    const last = this.buffered.at(-1);
+    if (!last || this.probes >= MAXIMUM_RETRANSMISSIONS) {
       return Infinity;
     }
-    const heardAt = Math.max(this.progressAt, this.gapSince ?? 0);
-    const since = Math.max(this.lastSentAt, heardAt, this.repeatedAt);
-    return since + this.timing.timeoutOf(this.kindOf(last)) * 2 ** this.probes;
+    const heardAt = Math.max(this.progressAt, this.gapDetectedAt ?? 0);
+    const since = Math.max(this.lastSentAt, heardAt, this.retransmittedAt);
+    return since + this.timing.getTimeout(this.getAcknowledgementKind(last)) * 2 ** this.probes;
   }
 
   /**
-   * Takes the packet that is to be repeated now; it counts as repeated by {@link noteRepeat} only.
+   * Takes the packet that is to be repeated now; it counts as repeated by {@link recordRetransmission} only.
    * @returns undefined when there is none
    */
-  takeDue(now: number): SentAnswer | undefined {
-    this.forgetOld(now);
+  takeDuePacket(now: number): BufferedPacket | undefined {
+    this.removeExpired(now);
     if (this.gapDueAt <= now) {
-      this.gapSince = undefined;
-      return findRepeatable(this.kept[0], now);
+      this.gapDetectedAt = undefined;
+      return getRetransmittable(this.buffered[0], now);
     }
     if (this.probeDueAt <= now) {
       this.probes++;
-      return findRepeatable(this.isRecovering ? this.kept[0] : this.kept.at(-1), now);
+      return getRetransmittable(this.isRecovering ? this.buffered[0] : this.buffered.at(-1), now);
     }
     return undefined;
   }
 
-  /** A packet that {@link takeDue} gave has been repeated; one that was withheld has not. */
-  noteRepeat(packet: SentAnswer, now: number): void {
-    packet.repeats++;
-    this.repeatedAt = now;
-    this.recoveredAt = this.sentUpTo;
+  /** A packet that {@link takeDuePacket} gave has been repeated; one that was withheld has not. */
+  recordRetransmission(packet: BufferedPacket, now: number): void {
+    packet.retransmissions++;
+    this.retransmittedAt = now;
+    this.recoveryPoint = this.sentUpTo;
   }
 
   /** Drops what the target repeats by itself from now on. */
-  private forgetOld(now: number): void {
-    this.dropKept(({ sentAt }) => now - sentAt >= TARGET_TIMEOUT);
+  private removeExpired(now: number): void {
+    this.removeBuffered(({ sentAt }) => now - sentAt >= TARGET_TIMEOUT_MS);
   }
 
-  private dropKept(isDropped: (answer: SentAnswer) => boolean): void {
-    this.kept = this.kept.filter((answer) => !isDropped(answer));
-    this.bytesKept = this.kept.reduce((sum, { bytes }) => sum + bytes.length, 0);
-    if (this.kept.length === 0) {
-      this.gapSince = undefined;
+  private removeBuffered(isRemoved: (answer: BufferedPacket) => boolean): void {
+    this.buffered = this.buffered.filter((answer) => !isRemoved(answer));
+    this.byteCount = this.buffered.reduce((sum, { bytes }) => sum + bytes.length, 0);
+    if (this.buffered.length === 0) {
+      this.gapDetectedAt = undefined;
     }
   }
 }
 
 /** Whether a packet carries nothing but its acknowledgement. */
-function isBare({ opens, ends, resets, payloadLength }: FlowPacket): boolean {
+function isPureAcknowledgement({ opens, ends, resets, payloadLength }: FlowPacket): boolean {
   return !opens && !ends && !resets && payloadLength === 0;
 }
 
 /** The packet if it may be repeated once more, and its target is not about to do so. */
-function findRepeatable(packet: SentAnswer | undefined, now: number): SentAnswer | undefined {
-  if (!packet || now - packet.sentAt > LATEST_REPEAT) {
+function getRetransmittable(packet: BufferedPacket | undefined, now: number): BufferedPacket | undefined {
+  if (!packet || now - packet.sentAt > RETRANSMISSION_CUTOFF_MS) {
     return undefined;
   }
-  const maximum = packet.opens ? MAXIMUM_OPENING_REPEATS : MAXIMUM_REPEATS;
-  return packet.repeats < maximum ? packet : undefined;
+  const maximum = packet.opens ? MAXIMUM_OPENING_RETRANSMISSIONS : MAXIMUM_RETRANSMISSIONS;
+  return packet.retransmissions < maximum ? packet : undefined;
 }
--- a/src/packets/repair/answer-repair.ts
+++ b/src/packets/repair/answer-repair.ts
@@ -10,21 +10,21 @@
 import type { Endpoint, Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
 import type { FlowKey, FlowPacket } from '../flow-packet';
-import { AnswerFlow, type SentAnswer } from './answer-flow';
+import { AnswerFlow, type BufferedPacket } from './answer-flow';
 import { AnswerTiming } from './answer-timing';
 import { RepairBudget } from './repair-budget';
-import { measureSequenceLength } from './sequence-numbers';
+import { computeSequenceLength } from './sequence-numbers';
 
 /** Bytes kept over all flows: a small part of what an agent's machine has at least (200 MB). */
-const MAXIMUM_BYTES = 8 * 1_024 * 1_024;
+const MAXIMUM_BUFFERED_BYTES = 8 * 1_024 * 1_024;
 /** Flows known at once, with and without packets kept; less than a kilobyte each without. */
 const MAXIMUM_FLOWS = 4_096;
 /** Milliseconds between two looks at what is due, so that packets due together share a wake-up. */
-const STEP = 5;
+const TIMER_GRANULARITY_MS = 5;
 /** Milliseconds by which a timer may be late before acknowledgements not yet read come first. */
-const LATENESS_ALLOWED = 2 * STEP;
+const TIMER_TOLERANCE_MS = 2 * TIMER_GRANULARITY_MS;
 /** Milliseconds between two log lines that repeats are limited. */
-const REPORT_INTERVAL = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
 /** Counters of answer repair. */
 export interface AnswerRepairCounters {
@@ -71,45 +71,45 @@
   private readonly flows = new Map<FlowKey, AnswerFlow>();
   /** Flows with packets kept. */
   private readonly pending = new Set<AnswerFlow>();
-  private heldBytes = 0;
+  private bufferedBytes = 0;
   private timer: TimerHandle | undefined;
   private timerAt = Infinity;
   /** Repeats and copies withheld since the last log line. */
-  private unreported = 0;
+  private withheldSinceReport = 0;
   private reportedAt = -Infinity;
   private isStopped = false;
   /** The present timer waits only until what came meanwhile has been read. */
-  private isReadingFirst = false;
+  private isDeferred = false;
 
   constructor(private readonly dependencies: AnswerRepairDependencies) {}
 
   get figures(): AnswerRepairFigures {
-    return { ...this.counters, answerBytesKept: this.heldBytes };
+    return { ...this.counters, answerBytesKept: this.bufferedBytes };
   }
 
   /**
    * A target's packet has been sent to its client.
    * @param packet its bytes are kept as they are, and must not be altered afterwards
    */
-  sent(packet: FlowPacket): void {
+  recordSent(packet: FlowPacket): void {
     const now = this.dependencies.environment.now();
-    const flow = this.isActive ? this.flowOf(packet, now) : undefined;
+    const flow = this.isActive ? this.getOrCreateFlow(packet, now) : undefined;
     if (!flow) {
       return;
     }
-    this.budget.noteSent();
-    const mayKeep = this.heldBytes + packet.bytes.length <= MAXIMUM_BYTES;
-    if (!mayKeep) {
-      this.refuseRepair(now);
+    this.budget.recordMessage();
+    const mayBuffer = this.bufferedBytes + packet.bytes.length <= MAXIMUM_BUFFERED_BYTES;
+    if (!mayBuffer) {
+      this.recordWithheld(now);
     }
-    this.applyChange(flow, () => flow.sent(packet, mayKeep, now));
+    this.applyChange(flow, () => flow.recordSent(packet, mayBuffer, now));
     this.startTimer(flow.dueAt, now);
   }
 
   /** A client's packet has come here, whatever becomes of it. */
-  received(packet: FlowPacket): void {
+  handleClientPacket(packet: FlowPacket): void {
     if (packet.opens) {
-      this.noteOpening(packet);
+      this.handleOpening(packet);
       return;
     }
     const flow = this.flows.get(packet.flow);
@@ -117,12 +117,12 @@
       return;
     }
     const now = this.dependencies.environment.now();
-    this.applyChange(flow, () => this.noteProgress(flow, packet, now));
+    this.applyChange(flow, () => this.handleAcknowledgement(flow, packet, now));
     this.startTimer(flow.dueAt, now);
   }
 
   /** The target does not hold a flow. */
-  drop(key: FlowKey): void {
+  removeFlow(key: FlowKey): void {
     const flow = this.flows.get(key);
     if (flow) {
       this.applyChange(flow, () => flow.end());
@@ -134,7 +134,7 @@
   clear(): void {
     this.flows.clear();
     this.pending.clear();
-    this.heldBytes = 0;
+    this.bufferedBytes = 0;
   }
 
   /** Ends it for good. */
@@ -149,18 +149,18 @@
   }
 
   /** A first copy begins another flow between the same ends: nothing of the one before is repeated. */
-  private noteOpening(packet: FlowPacket): void {
+  private handleOpening(packet: FlowPacket): void {
     if (packet.openingCopy === 0) {
-      this.drop(packet.flow);
+      this.removeFlow(packet.flow);
     }
   }
 
-  private noteProgress(flow: AnswerFlow, packet: FlowPacket, now: number): void {
+  private handleAcknowledgement(flow: AnswerFlow, packet: FlowPacket, now: number): void {
     if (packet.resets) {
       flow.end();
       return;
     }
-    const { acknowledged, needlessRepeats } = flow.acknowledged(packet, now);
+    const { acknowledgedCount: acknowledged, spuriousRetransmissions: needlessRepeats } = flow.handleAcknowledgement(packet, now);
     this.counters.answersAcknowledged += acknowledged;
     this.counters.answersRepeatedNeedlessly += needlessRepeats;
     if (packet.ends) {
@@ -169,39 +169,39 @@
   }
 
   /** The flow of a target's packet, the latest now; undefined when there is nothing to note. */
-  private flowOf(packet: FlowPacket, now: number): AnswerFlow | undefined {
+  private getOrCreateFlow(packet: FlowPacket, now: number): AnswerFlow | undefined {
     const known = this.flows.get(packet.flow);
     if (known && !known.isReplacedBy(packet)) {
       this.flows.delete(packet.flow);
       this.flows.set(packet.flow, known);
       return known;
     }
-    this.drop(packet.flow);
-    if (packet.resets || measureSequenceLength(packet) === 0) {
+    this.removeFlow(packet.flow);
+    if (packet.resets || computeSequenceLength(packet) === 0) {
       return undefined;
     }
-    this.forgetFlows(now);
+    this.evictFlows(now);
     const flow = new AnswerFlow(packet, this.timing, now);
     this.flows.set(packet.flow, flow);
     return flow;
   }
 
   /** Forgets flows that rest, and the one that rests longest when there is no room for another. */
-  private forgetFlows(now: number): void {
+  private evictFlows(now: number): void {
     const { flowLifetime } = this.dependencies;
     for (const [key, flow] of this.flows) {
       if (now - flow.usedAt <= flowLifetime && this.flows.size < MAXIMUM_FLOWS) {
         return;
       }
-      this.drop(key);
+      this.removeFlow(key);
     }
   }
 
   /** Runs a change of one flow, and keeps what is counted over all flows. */
   private applyChange(flow: AnswerFlow, action: () => void): void {
-    this.heldBytes -= flow.heldBytes;
+    this.bufferedBytes -= flow.bufferedBytes;
     action();
-    this.heldBytes += flow.heldBytes;
+    this.bufferedBytes += flow.bufferedBytes;
     if (flow.isPending) {
       this.pending.add(flow);
     } else {
@@ -211,26 +211,26 @@
 
   /** One timer for all flows, at the earliest time at which one of them is due. */
   private startTimer(dueAt: number, now: number): void {
-    if (dueAt === Infinity || dueAt > this.timerAt - STEP) {
+    if (dueAt === Infinity || dueAt > this.timerAt - TIMER_GRANULARITY_MS) {
       return;
     }
     this.timer?.cancel();
-    const delay = Math.max(STEP, Math.ceil(dueAt - now));
+    const delay = Math.max(TIMER_GRANULARITY_MS, Math.ceil(dueAt - now));
     this.timerAt = now + delay;
-    this.timer = this.dependencies.environment.startTimer(delay, () => this.runTimer());
+    this.timer = this.dependencies.environment.startTimer(delay, () => this.handleTimer());
   }
 
-  private runTimer(): void {
+  private handleTimer(): void {
     const now = this.dependencies.environment.now();
-    const wasHeldUp = now - this.timerAt > LATENESS_ALLOWED;
+    const isLate = now - this.timerAt > TIMER_TOLERANCE_MS;
     this.timerAt = Infinity;
-    this.isReadingFirst = wasHeldUp && !this.isReadingFirst;
-    if (this.isReadingFirst) {
+    this.isDeferred = isLate && !this.isDeferred;
+    if (this.isDeferred) {
       this.startTimer(now, now);
       return;
     }
     for (const flow of this.pending) {
-      this.repeatDue(flow, now);
+      this.retransmitDue(flow, now);
     }
     this.startTimer(this.findDueAt(), now);
   }
@@ -243,40 +243,40 @@
     return dueAt;
   }
 
-  private repeatDue(flow: AnswerFlow, now: number): void {
+  private retransmitDue(flow: AnswerFlow, now: number): void {
     if (flow.dueAt > now) {
       return;
     }
     this.applyChange(flow, () => {
-      const answer = flow.takeDue(now);
-      if (answer) {
-        this.repeat(flow, answer, now);
+      const packet = flow.takeDuePacket(now);
+      if (packet) {
+        this.retransmit(flow, packet, now);
       }
     });
   }
 
-  private repeat(flow: AnswerFlow, answer: SentAnswer, now: number): void {
-    if (!this.budget.take(now)) {
-      this.refuseRepair(now);
+  private retransmit(flow: AnswerFlow, packet: BufferedPacket, now: number): void {
+    if (!this.budget.takeToken(now)) {
+      this.recordWithheld(now);
       return;
     }
-    flow.noteRepeat(answer, now);
+    flow.recordRetransmission(packet, now);
     this.counters.answersRepeated++;
-    this.dependencies.sendToClient(flow.client, answer.bytes);
+    this.dependencies.sendToClient(flow.client, packet.bytes);
   }
 
   /** Counts what the bounds do not allow; tells it at most once a second. */
-  private refuseRepair(now: number): void {
+  private recordWithheld(now: number): void {
     this.counters.answerRepairsWithheld++;
-    this.unreported++;
-    if (now - this.reportedAt >= REPORT_INTERVAL) {
+    this.withheldSinceReport++;
+    if (now - this.reportedAt >= REPORT_INTERVAL_MS) {
       this.dependencies.environment.report(Events.answerRepairsLimited, {
-        withheld: this.unreported,
-        bytesKept: this.heldBytes,
+        withheld: this.withheldSinceReport,
+        bytesKept: this.bufferedBytes,
         flows: this.pending.size,
       });
       this.reportedAt = now;
-      this.unreported = 0;
+      this.withheldSinceReport = 0;
     }
   }
 }
--- a/src/packets/repair/answer-timing.ts
+++ b/src/packets/repair/answer-timing.ts
@@ -6,22 +6,22 @@
  * Different distances widen the deviation, and so the timeout by some milliseconds, of the 200
  * that a loss costs without a repeat.
  */
-import { RoundTripEstimator } from './round-trip';
+import { RoundTripEstimator } from './round-trip-estimator';
 
 /** Milliseconds after which the ends of a flow repeat by themselves (the usual shortest timer). */
-export const TARGET_TIMEOUT = 200;
+export const TARGET_TIMEOUT_MS = 200;
 /** Milliseconds after which a repeat no longer pays: the target's own is on its way. */
-export const LATEST_REPEAT = TARGET_TIMEOUT - 10;
+export const RETRANSMISSION_CUTOFF_MS = TARGET_TIMEOUT_MS - 10;
 /** Milliseconds without any sample: half of the target's own timer leaves room for one repeat. */
-const FIRST_TIMEOUT = TARGET_TIMEOUT / 2;
+const INITIAL_TIMEOUT_MS = TARGET_TIMEOUT_MS / 2;
 /** Milliseconds of pause in a busy client, balancer or agent that are no loss. */
-const SHORTEST_TIMEOUT = 30;
+const MINIMUM_TIMEOUT_MS = 30;
 /**
  * Part of a round trip by which later packets may overtake earlier ones. RFC 8985 begins with a
  * quarter; delays that vary by a third each way make up to a third, and a needless repeat costs
  * more than the few milliseconds.
  */
-const REORDERING_SHARE = 1 / 2;
+const REORDERING_WINDOW_SHARE = 1 / 2;
 
 /** How a receiver acknowledges a packet. */
 export type AcknowledgementKind = 'prompt' | 'delayed';
@@ -37,26 +37,26 @@
    * Takes the time from sending a packet to its acknowledgement, in milliseconds.
    * @param kind `delayed` for a packet that came alone, whose acknowledgement may wait for another
    */
-  sample(kind: AcknowledgementKind, elapsed: number): void {
-    this.estimators[kind].sample(elapsed);
+  addSample(kind: AcknowledgementKind, elapsed: number): void {
+    this.estimators[kind].addSample(elapsed);
   }
 
   /** Milliseconds without an acknowledgement after which a packet counts as lost. */
-  timeoutOf(kind: AcknowledgementKind): number {
+  getTimeout(kind: AcknowledgementKind): number {
     return this.estimators[kind].timeout;
   }
 
   /** Milliseconds for which a packet may be late without being lost. */
   get reorderingWindow(): number {
     const { smoothed } = this.estimators.prompt;
-    return REORDERING_SHARE * (smoothed ?? SHORTEST_TIMEOUT);
+    return REORDERING_WINDOW_SHARE * (smoothed ?? MINIMUM_TIMEOUT_MS);
   }
 }
 
 function createEstimator(): RoundTripEstimator {
   return new RoundTripEstimator({
-    initial: FIRST_TIMEOUT,
-    floor: SHORTEST_TIMEOUT,
-    ceiling: LATEST_REPEAT,
+    initial: INITIAL_TIMEOUT_MS,
+    minimum: MINIMUM_TIMEOUT_MS,
+    maximum: RETRANSMISSION_CUTOFF_MS,
   });
 }
--- a/src/packets/repair/hop-messages.ts
+++ b/src/packets/repair/hop-messages.ts
@@ -31,7 +31,7 @@
 }
 
 /** The message that a numbered one carries. */
-export function unpackNumbered(message: NumberedMessage): RepairableMessage {
+export function extractMessage(message: NumberedMessage): RepairableMessage {
   const { searchId, payload } = message;
   switch (message.type) {
     case PacketMessageType.numberedDeliver: {
--- a/src/packets/repair/hop-receiver.ts
+++ b/src/packets/repair/hop-receiver.ts
@@ -8,7 +8,7 @@
  */
 import type { Endpoint } from '../../environment';
 import type { HopNumber } from '../packet-messages';
-import { HopWindow } from './hop-window';
+import { SequenceWindow } from './sequence-window';
 
 /** Nodes noted; beyond that the one noted first is forgotten. As many as `PacketLink` notes. */
 const MAXIMUM_PEERS = 20_000;
@@ -16,15 +16,15 @@
  * Milliseconds after the last message of a node after which its windows are dropped: repeats end
  * after 150 ms (`hop-sender.ts`), and a frozen process holds datagrams back for seconds.
  */
-const WINDOW_LIFETIME = 30_000;
+const WINDOW_LIFETIME_MS = 30_000;
 
 interface SessionWindow {
   readonly session: number;
-  readonly window: HopWindow;
+  readonly window: SequenceWindow;
 }
 
 interface PeerWindows {
-  present: SessionWindow;
+  current: SessionWindow;
   previous: SessionWindow | undefined;
   usedAt: number;
 }
@@ -37,43 +37,43 @@
    * Takes the number of a message.
    * @returns whether the message comes for the first time
    */
-  admit(peer: Endpoint, { session, sequence }: HopNumber, now: number): boolean {
-    return this.windowOf(peer, session, now).add(sequence);
+  recordReceived(peer: Endpoint, { session, sequence }: HopNumber, now: number): boolean {
+    return this.getOrCreateWindow(peer, session, now).add(sequence);
   }
 
   /** Drops the windows of nodes that have sent nothing for long. */
   expire(now: number): void {
     for (const [peer, { usedAt }] of this.peers) {
-      if (now - usedAt > WINDOW_LIFETIME) {
+      if (now - usedAt > WINDOW_LIFETIME_MS) {
         this.peers.delete(peer);
       }
     }
   }
 
-  private windowOf(peer: Endpoint, session: number, now: number): HopWindow {
+  private getOrCreateWindow(peer: Endpoint, session: number, now: number): SequenceWindow {
     const known = this.peers.get(peer);
     if (!known) {
       return this.addPeer(peer, session, now);
     }
     known.usedAt = now;
-    if (known.present.session === session) {
-      return known.present.window;
+    if (known.current.session === session) {
+      return known.current.window;
     }
     if (known.previous?.session === session) {
       return known.previous.window;
     }
-    known.previous = known.present;
-    known.present = { session, window: new HopWindow() };
-    return known.present.window;
+    known.previous = known.current;
+    known.current = { session, window: new SequenceWindow() };
+    return known.current.window;
   }
 
-  private addPeer(peer: Endpoint, session: number, now: number): HopWindow {
+  private addPeer(peer: Endpoint, session: number, now: number): SequenceWindow {
     if (this.peers.size >= MAXIMUM_PEERS) {
       const [first] = this.peers.keys();
       this.peers.delete(first!);
     }
-    const window = new HopWindow();
-    this.peers.set(peer, { present: { session, window }, previous: undefined, usedAt: now });
+    const window = new SequenceWindow();
+    this.peers.set(peer, { current: { session, window }, previous: undefined, usedAt: now });
     return window;
   }
 }
--- a/src/packets/repair/hop-repair.ts
+++ b/src/packets/repair/hop-repair.ts
@@ -19,22 +19,22 @@
 import { RepairBudget } from './repair-budget';
 import {
   isHopMessage,
-  unpackNumbered,
+  extractMessage,
   type PlainMessage,
   type RepairableMessage,
 } from './hop-messages';
 import { HopReceiver } from './hop-receiver';
-import { HopSender, type OverdueOutcome } from './hop-sender';
+import { HopSender, type OverdueResult } from './hop-sender';
 
 /**
  * Milliseconds by which a timer may be late. One that is later follows a pause of this process,
  * in which acknowledgements may have come that are not read yet: they are read first.
  */
-const TIMER_TOLERANCE = 5;
+const TIMER_TOLERANCE_MS = 5;
 /** Milliseconds that reading them is given; a timer of a process without a backlog is no later. */
-const READING_TIME = 1;
+const READ_DELAY_MS = 1;
 /** Milliseconds between two reports that repeats are limited. */
-const REPORT_INTERVAL = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
 /** What hop repair works with. */
 export interface HopRepairDependencies {
@@ -63,15 +63,15 @@
   private readonly sender: HopSender;
   private readonly receiver = new HopReceiver();
   private readonly budget = new RepairBudget();
-  private overdueTimer: TimerHandle | undefined;
+  private retransmissionTimer: TimerHandle | undefined;
   /** Time for which that timer is set; Infinity while it is not. */
-  private overdueAt = Infinity;
+  private timerDueAt = Infinity;
   /** Whether that timer only gives time for reading, after one that was late. */
-  private isReading = false;
-  private repeats = 0;
-  private suppressed = 0;
-  private duplicates = 0;
-  private acknowledgements = 0;
+  private isDeferred = false;
+  private retransmissionCount = 0;
+  private suppressedCount = 0;
+  private duplicateCount = 0;
+  private acknowledgementCount = 0;
   private reportedAt = -Infinity;
 
   constructor(private readonly dependencies: HopRepairDependencies) {
@@ -80,16 +80,16 @@
 
   get counters(): HopCounters {
     return {
-      hopRepeats: this.repeats,
-      hopRepeatsSuppressed: this.suppressed + this.sender.notKept,
-      hopDuplicates: this.duplicates,
-      hopAcknowledgements: this.acknowledgements,
+      hopRepeats: this.retransmissionCount,
+      hopRepeatsSuppressed: this.suppressedCount + this.sender.unbufferedMessages,
+      hopDuplicates: this.duplicateCount,
+      hopAcknowledgements: this.acknowledgementCount,
     };
   }
 
   /** Smoothed round trip to a node in milliseconds; undefined before the first acknowledgement. */
-  roundTripTo(peer: Endpoint): number | undefined {
-    return this.sender.roundTripTo(peer);
+  getRoundTrip(peer: Endpoint): number | undefined {
+    return this.sender.getRoundTrip(peer);
   }
 
   /**
@@ -98,32 +98,32 @@
    */
   send(to: Endpoint, message: RepairableMessage, packet: FlowPacket): void {
     const { environment, isEnabled, link } = this.dependencies;
-    if (!isEnabled || !link.repairsHops(to) || !isWorthRepeating(packet, message.searchId)) {
+    if (!isEnabled || !link.repairsHops(to) || !needsAcknowledgement(packet, message.searchId)) {
       link.send(to, message);
       return;
     }
     const now = environment.now();
-    const timeout = this.sender.timeoutOf(to);
-    this.budget.noteSent();
-    link.send(to, this.sender.keep(to, message, now));
-    this.setOverdueTimer(now + timeout);
+    const timeout = this.sender.getTimeout(to);
+    this.budget.recordMessage();
+    link.send(to, this.sender.prepareMessage(to, message, now));
+    this.startTimer(now + timeout);
   }
 
   /**
    * Takes a received message: a numbered one is acknowledged, each time that it comes.
    * @returns the message to act on, without its number; undefined when there is none
    */
-  unpack(from: Endpoint, message: PacketMessage): PlainMessage | undefined {
+  receive(from: Endpoint, message: PacketMessage): PlainMessage | undefined {
     if (!isHopMessage(message)) {
       return message;
     }
     switch (message.type) {
       case PacketMessageType.received:
-        this.sender.noteReceived(from, message, this.dependencies.environment.now());
+        this.sender.handleAcknowledgement(from, message, this.dependencies.environment.now());
         return undefined;
       case PacketMessageType.numberedDeliver:
       case PacketMessageType.numberedRefusal:
-        return this.admit(from, message) ? unpackNumbered(message) : undefined;
+        return this.acknowledge(from, message) ? extractMessage(message) : undefined;
     }
   }
 
@@ -135,7 +135,7 @@
 
   /** Ends the timers. */
   stop(): void {
-    this.overdueTimer?.cancel();
+    this.retransmissionTimer?.cancel();
   }
 
   /**
@@ -143,65 +143,65 @@
    * timer of their own each time, which wakes the process once more for every packet of a flow.
    * @returns whether the number comes for the first time
    */
-  private admit(from: Endpoint, { session, sequence }: HopNumber): boolean {
+  private acknowledge(from: Endpoint, { session, sequence }: HopNumber): boolean {
     const { environment, link } = this.dependencies;
     link.noteRepairs(from, REPAIR_VERSION);
-    this.acknowledgements++;
+    this.acknowledgementCount++;
     link.send(from, { type: PacketMessageType.received, session, sequences: [sequence] });
-    const isNew = this.receiver.admit(from, { session, sequence }, environment.now());
-    this.duplicates += isNew ? 0 : 1;
+    const isNew = this.receiver.recordReceived(from, { session, sequence }, environment.now());
+    this.duplicateCount += isNew ? 0 : 1;
     return isNew;
   }
 
   /** Makes sure that overdue messages are looked at no later than at a time. */
-  private setOverdueTimer(dueAt: number): void {
-    if (dueAt >= this.overdueAt) {
+  private startTimer(dueAt: number): void {
+    if (dueAt >= this.timerDueAt) {
       return;
     }
     const { environment } = this.dependencies;
-    this.overdueTimer?.cancel();
-    this.overdueAt = dueAt;
+    this.retransmissionTimer?.cancel();
+    this.timerDueAt = dueAt;
     const delay = Math.max(0, dueAt - environment.now());
-    this.overdueTimer = environment.startTimer(delay, () => this.takeOverdue());
+    this.retransmissionTimer = environment.startTimer(delay, () => this.handleTimer());
   }
 
-  private takeOverdue(): void {
+  private handleTimer(): void {
     const now = this.dependencies.environment.now();
-    const isLate = now - this.overdueAt > TIMER_TOLERANCE;
-    this.overdueTimer = undefined;
-    this.overdueAt = Infinity;
+    const isLate = now - this.timerDueAt > TIMER_TOLERANCE_MS;
+    this.retransmissionTimer = undefined;
+    this.timerDueAt = Infinity;
     // Once only: a process whose timers are all late would never repeat or give up anything.
-    this.isReading = isLate && !this.isReading;
-    if (this.isReading) {
-      this.setOverdueTimer(now + READING_TIME);
+    this.isDeferred = isLate && !this.isDeferred;
+    if (this.isDeferred) {
+      this.startTimer(now + READ_DELAY_MS);
       return;
     }
-    this.repeat(this.findOverdue(now), now);
-    const next = this.sender.nextDue;
+    this.retransmit(this.takeOverdue(now), now);
+    const next = this.sender.nextDueAt;
     if (next !== undefined) {
-      this.setOverdueTimer(next);
+      this.startTimer(next);
     }
   }
 
-  private findOverdue(now: number): OverdueOutcome {
+  private takeOverdue(now: number): OverdueResult {
     const { link } = this.dependencies;
     return this.sender.takeOverdue(now, {
       isReachable: (peer) => link.repairsHops(peer) && this.dependencies.isReachable(peer, now),
-      takeFromBudget: () => this.budget.take(now),
+      takeToken: () => this.budget.takeToken(now),
     });
   }
 
-  private repeat({ repeats, silent, overBudget }: OverdueOutcome, now: number): void {
-    this.repeats += repeats.length;
-    this.suppressed += silent + overBudget;
-    repeats.forEach(({ peer, message }) => this.dependencies.link.send(peer, message));
-    if (overBudget > 0 && now - this.reportedAt >= REPORT_INTERVAL) {
+  private retransmit({ retransmissions: retransmissions, silent, overBudget }: OverdueResult, now: number): void {
+    this.retransmissionCount += retransmissions.length;
+    this.suppressedCount += silent + overBudget;
+    retransmissions.forEach(({ peer, message }) => this.dependencies.link.send(peer, message));
+    if (overBudget > 0 && now - this.reportedAt >= REPORT_INTERVAL_MS) {
       this.reportedAt = now;
-      this.reportLimit(overBudget);
+      this.reportLimited(overBudget);
     }
   }
 
-  private reportLimit(leftOut: number): void {
+  private reportLimited(leftOut: number): void {
     this.dependencies.environment.report(Events.hopRepairsLimited, {
       leftOut,
       kept: this.sender.size,
@@ -215,7 +215,7 @@
  * one covers it, nor does the end of a flow, whose client has its answer. Nor is a packet numbered that is offered while its flow is searched for: the
  * search has a timeout of its own, and goes on elsewhere.
  */
-function isWorthRepeating(packet: FlowPacket, searchId: number): boolean {
-  const carries = packet.payloadLength > 0 || packet.resets;
-  return packet.opens || (carries && searchId === 0);
+function needsAcknowledgement(packet: FlowPacket, searchId: number): boolean {
+  const hasContent = packet.payloadLength > 0 || packet.resets;
+  return packet.opens || (hasContent && searchId === 0);
 }
--- a/src/packets/repair/hop-sender.ts
+++ b/src/packets/repair/hop-sender.ts
@@ -8,42 +8,42 @@
 import type { Endpoint } from '../../environment';
 import { PacketMessageType, type HopNumber, type ReceivedMessage } from '../packet-messages';
 import type { NumberedMessage, RepairableMessage } from './hop-messages';
-import { RoundTripEstimator, type RoundTripBounds } from './round-trip';
+import { RoundTripEstimator, type TimeoutBounds } from './round-trip-estimator';
 
-const ROUND_TRIP_BOUNDS: RoundTripBounds = {
+const TIMEOUT_BOUNDS: TimeoutBounds = {
   /** Milliseconds; 8.8 between zones 4.4 ms apart, and as much again and more. */
   initial: 30,
   /**
    * Milliseconds; a node with 0.3 of a processor pauses that long within one period (100 ms) of
    * the scheduler's quota, and a repeat after 20 ms still saves nine tenths of the client's 200.
    */
-  floor: 20,
-  /** Milliseconds; so that there is one repeat before {@link LAST_REPEAT_TIME}. */
-  ceiling: 100,
+  minimum: 20,
+  /** Milliseconds; so that there is one repeat before {@link RETRANSMISSION_CUTOFF_MS}. */
+  maximum: 100,
 };
 /**
  * Repeats of one message: where 3 round trips in 1,000 fail, all four sendings of one in ten
  * thousand million are lost, and a fourth repeat would come too late.
  */
-const MAXIMUM_REPEATS = 3;
+const MAXIMUM_RETRANSMISSIONS = 3;
 /** Milliseconds after a message from which on it is not repeated: its client does so after 200. */
-const LAST_REPEAT_TIME = 150;
+const RETRANSMISSION_CUTOFF_MS = 150;
 /** Milliseconds for which an acknowledgement is awaited: two timeouts of the longest kind. */
-const LONGEST_WAIT = 200;
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 200;
 /**
  * Timeouts in a row, without any acknowledgement, that still bring repeats; beyond that a node
  * gets none until it acknowledges something. Where one round trip in ten fails, six in a row do
  * so once in a million times: the node is away, or out of reach.
  */
-const TIMEOUTS_OF_SILENCE = 6;
+const MAXIMUM_CONSECUTIVE_TIMEOUTS = 6;
 /** Messages kept at once, about a fifth of a second of 20,000 a second. */
-const MAXIMUM_KEPT = 4_000;
+const MAXIMUM_BUFFERED_MESSAGES = 4_000;
 /** Bytes of packets kept at once: as many messages with the most data (1,200 bytes) and heads. */
-const MAXIMUM_KEPT_BYTES = 5_200_000;
+const MAXIMUM_BUFFERED_BYTES = 5_200_000;
 /** Nodes that are numbered for; beyond that the one noted first is forgotten. */
 const MAXIMUM_PEERS = 20_000;
 /** Milliseconds without a message after which a node's round trip and numbers are forgotten. */
-const PEER_LIFETIME = 60_000;
+const PEER_LIFETIME_MS = 60_000;
 const NUMBER_RANGE = 2 ** 32;
 
 /** What is known of one node. */
@@ -54,13 +54,13 @@
   nextSequence: number;
   readonly roundTrip: RoundTripEstimator;
   /** Milliseconds to which timeouts have been doubled since the last sample (Karn's rule). */
-  backedOff: number;
-  timeoutsInRow: number;
-  readonly kept: Map<number, KeptMessage>;
+  backoffTimeout: number;
+  consecutiveTimeouts: number;
+  readonly buffered: Map<number, BufferedMessage>;
   usedAt: number;
 }
 
-interface KeptMessage {
+interface BufferedMessage {
   readonly peer: PeerState;
   readonly message: NumberedMessage;
   readonly sentAt: number;
@@ -68,26 +68,26 @@
   timeout: number;
   /** Timeouts so far, with a repeat or without. */
   timeouts: number;
-  repeats: number;
+  retransmissions: number;
 }
 
 /** A message that is to be sent once more. */
-export interface Repeat {
+export interface Retransmission {
   readonly peer: Endpoint;
   readonly message: NumberedMessage;
 }
 
 /** What the sender asks when a message is overdue. */
-export interface RepeatRules {
+export interface RetransmissionPolicy {
   /** Whether a node can be reached and still acknowledges, as far as is known. */
   isReachable(peer: Endpoint): boolean;
   /** Takes a repeat from the budget; false when there is none left. */
-  takeFromBudget(): boolean;
+  takeToken(): boolean;
 }
 
 /** The outcome of looking at what is overdue. */
-export interface OverdueOutcome {
-  readonly repeats: readonly Repeat[];
+export interface OverdueResult {
+  readonly retransmissions: readonly Retransmission[];
   /** Repeats left out because the node is silent. */
   readonly silent: number;
   /** Repeats left out because the budget was spent. */
@@ -97,25 +97,25 @@
 /** The sender of one node. */
 export class HopSender {
   private readonly peers = new Map<Endpoint, PeerState>();
-  private readonly kept = new Set<KeptMessage>();
-  private keptBytes = 0;
-  private unkept = 0;
+  private readonly buffered = new Set<BufferedMessage>();
+  private bufferedBytes = 0;
+  private unbufferedCount = 0;
 
   /** @param random uniform in [0, 1) */
   constructor(private readonly random: () => number) {}
 
   /** Messages kept. */
   get size(): number {
-    return this.kept.size;
+    return this.buffered.size;
   }
 
   /** Messages that were not kept since too many were. */
-  get notKept(): number {
-    return this.unkept;
+  get unbufferedMessages(): number {
+    return this.unbufferedCount;
   }
 
   /** Smoothed round trip to a node in milliseconds; undefined before the first acknowledgement. */
-  roundTripTo(peer: Endpoint): number | undefined {
+  getRoundTrip(peer: Endpoint): number | undefined {
     return this.peers.get(peer)?.roundTrip.smoothed;
   }
 
@@ -123,61 +123,61 @@
    * Numbers a message that is sent now, and keeps it unless too many are kept already.
    * @returns the message to send
    */
-  keep(to: Endpoint, message: RepairableMessage, now: number): NumberedMessage {
-    const peer = this.peerOf(to, now);
-    const numbered = addNumber(message, takeNumber(peer));
+  prepareMessage(to: Endpoint, message: RepairableMessage, now: number): NumberedMessage {
+    const peer = this.getOrCreatePeer(to, now);
+    const numbered = addNumber(message, allocateNumber(peer));
     const bytes = message.payload.length;
-    if (this.kept.size < MAXIMUM_KEPT && this.keptBytes + bytes <= MAXIMUM_KEPT_BYTES) {
-      this.add(peer, numbered, now);
+    if (this.buffered.size < MAXIMUM_BUFFERED_MESSAGES && this.bufferedBytes + bytes <= MAXIMUM_BUFFERED_BYTES) {
+      this.bufferMessage(peer, numbered, now);
     } else {
-      this.unkept++;
+      this.unbufferedCount++;
     }
     return numbered;
   }
 
   /** Time at which the earliest message is overdue; undefined when none is kept. */
-  get nextDue(): number | undefined {
+  get nextDueAt(): number | undefined {
     let earliest: number | undefined;
-    for (const { dueAt } of this.kept) {
+    for (const { dueAt } of this.buffered) {
       earliest = earliest === undefined ? dueAt : Math.min(earliest, dueAt);
     }
     return earliest;
   }
 
   /** Milliseconds after which a message that is sent to a node now is overdue. */
-  timeoutOf(peer: Endpoint): number {
+  getTimeout(peer: Endpoint): number {
     const known = this.peers.get(peer);
-    return known ? timeoutFor(known) : ROUND_TRIP_BOUNDS.initial;
+    return known ? computeTimeout(known) : TIMEOUT_BOUNDS.initial;
   }
 
   /** A node has received messages. Numbers of another session or not kept are passed over. */
-  noteReceived(from: Endpoint, { session, sequences }: ReceivedMessage, now: number): void {
+  handleAcknowledgement(from: Endpoint, { session, sequences }: ReceivedMessage, now: number): void {
     const peer = this.peers.get(from);
     if (peer?.session !== session) {
       return;
     }
-    peer.timeoutsInRow = 0;
+    peer.consecutiveTimeouts = 0;
     for (const sequence of sequences) {
-      const kept = peer.kept.get(sequence);
-      if (kept) {
-        this.drop(kept);
-        measure(kept, now);
+      const buffered = peer.buffered.get(sequence);
+      if (buffered) {
+        this.removeMessage(buffered);
+        sampleRoundTrip(buffered, now);
       }
     }
   }
 
   /** Takes what is overdue: each such message is repeated, waits on, or is given up. */
-  takeOverdue(now: number, rules: RepeatRules): OverdueOutcome {
-    const repeats: Repeat[] = [];
+  takeOverdue(now: number, policy: RetransmissionPolicy): OverdueResult {
+    const retransmissions: Retransmission[] = [];
     let silent = 0;
     let overBudget = 0;
-    for (const kept of this.kept) {
-      if (kept.dueAt > now) {
+    for (const buffered of this.buffered) {
+      if (buffered.dueAt > now) {
         continue;
       }
-      switch (this.decide(kept, now, rules)) {
+      switch (this.decideOverdue(buffered, now, policy)) {
         case 'repeat':
-          repeats.push({ peer: kept.peer.address, message: kept.message });
+          retransmissions.push({ peer: buffered.peer.address, message: buffered.message });
           break;
         case 'silent':
           silent++;
@@ -188,67 +188,67 @@
         case 'wait':
       }
     }
-    return { repeats, silent, overBudget };
+    return { retransmissions: retransmissions, silent, overBudget };
   }
 
   /** Forgets nodes that have got nothing for long. */
   expire(now: number): void {
     for (const peer of this.peers.values()) {
-      if (now - peer.usedAt > PEER_LIFETIME) {
-        this.forget(peer);
+      if (now - peer.usedAt > PEER_LIFETIME_MS) {
+        this.removePeer(peer);
       }
     }
   }
 
-  private decide(
-    kept: KeptMessage,
+  private decideOverdue(
+    buffered: BufferedMessage,
     now: number,
-    rules: RepeatRules,
+    policy: RetransmissionPolicy,
   ): 'repeat' | 'wait' | 'silent' | 'overBudget' {
-    const { peer, sentAt } = kept;
-    if (now >= sentAt + LONGEST_WAIT) {
-      this.drop(kept);
+    const { peer, sentAt } = buffered;
+    if (now >= sentAt + ACKNOWLEDGEMENT_TIMEOUT_MS) {
+      this.removeMessage(buffered);
       return 'wait';
     }
-    if (kept.timeouts >= MAXIMUM_REPEATS || now >= sentAt + LAST_REPEAT_TIME) {
-      kept.dueAt = sentAt + LONGEST_WAIT;
+    if (buffered.timeouts >= MAXIMUM_RETRANSMISSIONS || now >= sentAt + RETRANSMISSION_CUTOFF_MS) {
+      buffered.dueAt = sentAt + ACKNOWLEDGEMENT_TIMEOUT_MS;
       return 'wait';
     }
-    backOff(kept, now);
-    if (peer.timeoutsInRow > TIMEOUTS_OF_SILENCE || !rules.isReachable(peer.address)) {
+    backOff(buffered, now);
+    if (peer.consecutiveTimeouts > MAXIMUM_CONSECUTIVE_TIMEOUTS || !policy.isReachable(peer.address)) {
       return 'silent';
     }
-    if (!rules.takeFromBudget()) {
+    if (!policy.takeToken()) {
       return 'overBudget';
     }
-    kept.repeats++;
+    buffered.retransmissions++;
     return 'repeat';
   }
 
-  private add(peer: PeerState, message: NumberedMessage, now: number): void {
-    const timeout = timeoutFor(peer);
-    const kept: KeptMessage = {
+  private bufferMessage(peer: PeerState, message: NumberedMessage, now: number): void {
+    const timeout = computeTimeout(peer);
+    const buffered: BufferedMessage = {
       peer,
       message,
       sentAt: now,
       dueAt: now + timeout,
       timeout,
       timeouts: 0,
-      repeats: 0,
+      retransmissions: 0,
     };
-    this.kept.add(kept);
-    peer.kept.set(message.sequence, kept);
-    this.keptBytes += message.payload.length;
+    this.buffered.add(buffered);
+    peer.buffered.set(message.sequence, buffered);
+    this.bufferedBytes += message.payload.length;
   }
 
-  private drop(kept: KeptMessage): void {
-    if (this.kept.delete(kept)) {
-      kept.peer.kept.delete(kept.message.sequence);
-      this.keptBytes -= kept.message.payload.length;
+  private removeMessage(buffered: BufferedMessage): void {
+    if (this.buffered.delete(buffered)) {
+      buffered.peer.buffered.delete(buffered.message.sequence);
+      this.bufferedBytes -= buffered.message.payload.length;
     }
   }
 
-  private peerOf(address: Endpoint, now: number): PeerState {
+  private getOrCreatePeer(address: Endpoint, now: number): PeerState {
     const known = this.peers.get(address);
     if (known) {
       known.usedAt = now;
@@ -256,33 +256,33 @@
     }
     if (this.peers.size >= MAXIMUM_PEERS) {
       const [first] = this.peers.values();
-      this.forget(first!);
+      this.removePeer(first!);
     }
     const peer: PeerState = {
       address,
-      session: this.drawNumber(),
-      nextSequence: this.drawNumber(),
-      roundTrip: new RoundTripEstimator(ROUND_TRIP_BOUNDS),
-      backedOff: 0,
-      timeoutsInRow: 0,
-      kept: new Map(),
+      session: this.generateNumber(),
+      nextSequence: this.generateNumber(),
+      roundTrip: new RoundTripEstimator(TIMEOUT_BOUNDS),
+      backoffTimeout: 0,
+      consecutiveTimeouts: 0,
+      buffered: new Map(),
       usedAt: now,
     };
     this.peers.set(address, peer);
     return peer;
   }
 
-  private forget(peer: PeerState): void {
-    peer.kept.forEach((kept) => this.drop(kept));
+  private removePeer(peer: PeerState): void {
+    peer.buffered.forEach((buffered) => this.removeMessage(buffered));
     this.peers.delete(peer.address);
   }
 
-  private drawNumber(): number {
+  private generateNumber(): number {
     return Math.floor(this.random() * NUMBER_RANGE);
   }
 }
 
-function takeNumber(peer: PeerState): HopNumber {
+function allocateNumber(peer: PeerState): HopNumber {
   const sequence = peer.nextSequence;
   peer.nextSequence = (sequence + 1) % NUMBER_RANGE;
   return { session: peer.session, sequence };
@@ -298,23 +298,23 @@
 }
 
 /** Takes the round trip of an acknowledged message; one that was repeated tells nothing. */
-function measure({ peer, repeats, sentAt }: KeptMessage, now: number): void {
+function sampleRoundTrip({ peer, retransmissions: repeats, sentAt }: BufferedMessage, now: number): void {
   if (repeats === 0) {
-    peer.roundTrip.sample(now - sentAt);
-    peer.backedOff = 0;
+    peer.roundTrip.addSample(now - sentAt);
+    peer.backoffTimeout = 0;
   }
 }
 
-function timeoutFor({ roundTrip, backedOff }: PeerState): number {
+function computeTimeout({ roundTrip, backoffTimeout: backedOff }: PeerState): number {
   return Math.max(roundTrip.timeout, backedOff);
 }
 
 /** Counts a timeout and doubles the next one, also for later messages until there is a sample. */
-function backOff(kept: KeptMessage, now: number): void {
-  const { peer } = kept;
-  kept.timeouts++;
-  kept.timeout = Math.min(ROUND_TRIP_BOUNDS.ceiling, 2 * kept.timeout);
-  kept.dueAt = now + kept.timeout;
-  peer.backedOff = Math.max(peer.backedOff, kept.timeout);
-  peer.timeoutsInRow++;
+function backOff(buffered: BufferedMessage, now: number): void {
+  const { peer } = buffered;
+  buffered.timeouts++;
+  buffered.timeout = Math.min(TIMEOUT_BOUNDS.maximum, 2 * buffered.timeout);
+  buffered.dueAt = now + buffered.timeout;
+  peer.backoffTimeout = Math.max(peer.backoffTimeout, buffered.timeout);
+  peer.consecutiveTimeouts++;
 }
--- a/src/packets/repair/repair-budget.ts
+++ b/src/packets/repair/repair-budget.ts
@@ -8,15 +8,15 @@
  * Tokens that a message earns when it is sent first: repeats stay below a tenth of what is sent.
  * Links that lose one datagram in a hundred each way ask for a fiftieth.
  */
-const EARNED_BY_MESSAGE = 0.1;
+const TOKENS_PER_MESSAGE = 0.1;
 /**
  * Tokens earned a second by time, for a node that sends little: 10 frames of 1,300 bytes are
  * 104 kbit/s, a seventieth of a link of 7 Mbit/s.
  */
-const EARNED_BY_SECOND = 10;
+const TOKENS_PER_SECOND = 10;
 /** Tokens kept at most: as many repeats fill a link of 7 Mbit/s for 30 ms. */
 const MAXIMUM_TOKENS = 20;
-const SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** The budget of one node. */
 export class RepairBudget {
@@ -24,16 +24,16 @@
   private refilledAt: number | undefined;
 
   /** A message is sent for the first time. */
-  noteSent(): void {
-    this.earn(EARNED_BY_MESSAGE);
+  recordMessage(): void {
+    this.addTokens(TOKENS_PER_MESSAGE);
   }
 
   /**
    * Takes what one repeat costs.
    * @returns whether the repeat may be sent
    */
-  take(now: number): boolean {
-    this.earn(((now - (this.refilledAt ?? now)) / SECOND) * EARNED_BY_SECOND);
+  takeToken(now: number): boolean {
+    this.addTokens(((now - (this.refilledAt ?? now)) / MS_PER_SECOND) * TOKENS_PER_SECOND);
     this.refilledAt = now;
     if (this.tokens < 1) {
       return false;
@@ -42,7 +42,7 @@
     return true;
   }
 
-  private earn(tokens: number): void {
+  private addTokens(tokens: number): void {
     this.tokens = Math.min(MAXIMUM_TOKENS, this.tokens + tokens);
   }
 }
--- a/src/packets/repair/round-trip.ts
+++ b/src/packets/repair/round-trip-estimator.ts
@@ -8,20 +8,20 @@
  */
 
 /** Weight of a new sample in the smoothed round trip (RFC 6298, alpha). */
-const SMOOTHING = 1 / 8;
+const SMOOTHING_WEIGHT = 1 / 8;
 /** Weight of a new deviation in the smoothed deviation (RFC 6298, beta). */
-const DEVIATION_SMOOTHING = 1 / 4;
+const DEVIATION_WEIGHT = 1 / 4;
 /** Deviations that a timeout allows beyond the smoothed round trip (RFC 6298, K). */
-const DEVIATIONS_ALLOWED = 4;
+const DEVIATION_FACTOR = 4;
 
 /** Bounds of a timeout, in milliseconds. */
-export interface RoundTripBounds {
+export interface TimeoutBounds {
   /** The timeout before the first sample. */
   readonly initial: number;
   /** Never less: pauses of the other end and the timer's own grain are no loss. */
-  readonly floor: number;
+  readonly minimum: number;
   /** Never more. */
-  readonly ceiling: number;
+  readonly maximum: number;
 }
 
 /** The round trip to one other end. */
@@ -29,21 +29,21 @@
   private mean: number | undefined;
   private deviation = 0;
 
-  constructor(private readonly bounds: RoundTripBounds) {}
+  constructor(private readonly bounds: TimeoutBounds) {}
 
   /**
    * Takes the time from sending a message to its acknowledgement.
    * @param elapsed milliseconds; of a message that was sent once
    */
-  sample(elapsed: number): void {
+  addSample(elapsed: number): void {
     if (this.mean === undefined) {
       this.mean = elapsed;
       this.deviation = elapsed / 2;
       return;
     }
     const error = Math.abs(this.mean - elapsed);
-    this.deviation += DEVIATION_SMOOTHING * (error - this.deviation);
-    this.mean += SMOOTHING * (elapsed - this.mean);
+    this.deviation += DEVIATION_WEIGHT * (error - this.deviation);
+    this.mean += SMOOTHING_WEIGHT * (elapsed - this.mean);
   }
 
   /** Smoothed round trip in milliseconds; undefined before the first sample. */
@@ -53,11 +53,11 @@
 
   /** Milliseconds without an acknowledgement after which a message counts as lost. */
   get timeout(): number {
-    const { initial, floor, ceiling } = this.bounds;
+    const { initial, minimum: floor, maximum: ceiling } = this.bounds;
     if (this.mean === undefined) {
       return initial;
     }
-    const estimate = this.mean + DEVIATIONS_ALLOWED * this.deviation;
+    const estimate = this.mean + DEVIATION_FACTOR * this.deviation;
     return Math.min(ceiling, Math.max(floor, estimate));
   }
 }
--- a/src/packets/repair/sequence-numbers.ts
+++ b/src/packets/repair/sequence-numbers.ts
@@ -2,16 +2,16 @@
 import type { FlowPacket } from '../flow-packet';
 
 /** Numbers from one sequence number on to another; below 0 when the other lies before it. */
-export function measureDistance(from: number, to: number): number {
+export function computeDistance(from: number, to: number): number {
   return (to - from) | 0;
 }
 
 /** Sequence numbers that a packet takes up: its data, and one each for opening and end. */
-export function measureSequenceLength(packet: FlowPacket): number {
+export function computeSequenceLength(packet: FlowPacket): number {
   return packet.payloadLength + Number(packet.opens) + Number(packet.ends);
 }
 
 /** The sequence number after a packet, which its receiver acknowledges. */
-export function endOf(packet: FlowPacket): number {
-  return (packet.sequence + measureSequenceLength(packet)) >>> 0;
+export function computeEndSequence(packet: FlowPacket): number {
+  return (packet.sequence + computeSequenceLength(packet)) >>> 0;
 }
--- a/src/packets/startup/startup-relay.ts
+++ b/src/packets/startup/startup-relay.ts
@@ -5,7 +5,7 @@
  * the others begin to read, to hear agents and to place flows, which costs a slow one a quarter of a
  * second of its share. Packets go on as they came; of each flow all go to the same balancer.
  */
-import { rendezvousScore } from '../../core/hashing';
+import { computeRendezvousScore } from '../../core/hashing';
 import type { Endpoint } from '../../environment';
 import type { FlowKey } from '../flow-packet';
 import type { BalancerStatus } from '../traffic-relay';
@@ -140,7 +140,7 @@
   let best: Candidate | undefined;
   let bestScore = -1;
   for (const candidate of candidates) {
-    const score = rendezvousScore(flow, String(candidate[1].status.packetAddress));
+    const score = computeRendezvousScore(flow, String(candidate[1].status.packetAddress));
     if (score > bestScore) {
       bestScore = score;
       best = candidate;
--- a/src/packets/traffic-relay.ts
+++ b/src/packets/traffic-relay.ts
@@ -4,7 +4,7 @@
  * such a balancer needs no reports of agents. It routes by itself while it knows no such
  * balancer.
  */
-import { rendezvousScore } from '../core/hashing';
+import { computeRendezvousScore } from '../core/hashing';
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 
@@ -113,7 +113,7 @@
     let best: Endpoint | undefined;
     let bestScore = -1;
     for (const [address, { status }] of own.length > 0 ? own : present) {
-      const score = rendezvousScore(flow, String(address));
+      const score = computeRendezvousScore(flow, String(address));
       if (score > bestScore) {
         bestScore = score;
         best = status.packetAddress;
--- a/src/packets/zone-detour.ts
+++ b/src/packets/zone-detour.ts
@@ -4,7 +4,7 @@
  * A packet of an open flow goes there as it came and is routed by that balancer, which never hands
  * it on: a packet takes one detour at most, so there are no loops.
  */
-import { rendezvousScore } from '../core/hashing';
+import { computeRendezvousScore } from '../core/hashing';
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 
@@ -46,7 +46,7 @@
       if (zone === target || now - heardAt > STATUS_LIFETIME) {
         continue;
       }
-      const score = rendezvousScore(flow, String(address));
+      const score = computeRendezvousScore(flow, String(address));
       if (score > bestScore) {
         best = address;
         bestScore = score;
--- a/src/runtime/agent-handover.ts
+++ b/src/runtime/agent-handover.ts
@@ -10,7 +10,7 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { deserialize, serialize } from 'bson';
 import type { AgentSnapshot } from '../agent/agent-snapshot';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { HallholdError, messageOf } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
@@ -89,7 +89,7 @@
       this.server.once('error', (error) => {
         reject(new HallholdError(ResultCodes.addressInUse, messageOf(error)));
       });
-      this.server.listen(endpointPort(listen), endpointAddress(listen), resolve);
+      this.server.listen(getEndpointPort(listen), getEndpointAddress(listen), resolve);
     });
   }
 
@@ -152,7 +152,7 @@
       socket.destroy();
       reject(new HallholdError(ResultCodes.handoverFailed, reason));
     };
-    const socket = connect(endpointPort(address), endpointAddress(address));
+    const socket = connect(getEndpointPort(address), getEndpointAddress(address));
     const limit = setTimeout(() => fail('the predecessor did not finish in time'), ANSWER_LIMIT);
     const waiting: PassedDatagram[] = [];
     let acting = false;
--- a/src/runtime/backend-sockets.ts
+++ b/src/runtime/backend-sockets.ts
@@ -1,7 +1,7 @@
 /** An agent's sockets towards its back end. */
 import type { BackendPort } from '../agent/agent-context';
 import type { Endpoint } from '../environment';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { SocketState } from './agent-handover';
 import { UdpSocket } from './udp-socket';
 
@@ -50,9 +50,9 @@
   /** Local ports, for a successor. */
   exportState(): SocketState {
     const flowPorts = [...this.flows].flatMap(([caller, { socket }]) =>
-      socket ? [{ caller, port: endpointPort(socket.endpoint) }] : [],
+      socket ? [{ caller, port: getEndpointPort(socket.endpoint) }] : [],
     );
-    return { sharedPort: this.shared ? endpointPort(this.shared.endpoint) : 0, flowPorts };
+    return { sharedPort: this.shared ? getEndpointPort(this.shared.endpoint) : 0, flowPorts };
   }
 
   sendMessage(message: Buffer): void {
@@ -116,6 +116,6 @@
 
   /** The back end runs on the agent's machine: the same address serves. */
   private localAddress(): string {
-    return endpointAddress(this.backend);
+    return getEndpointAddress(this.backend);
   }
 }
--- a/src/runtime/packet-metrics.ts
+++ b/src/runtime/packet-metrics.ts
@@ -5,7 +5,7 @@
  */
 import { createServer, type Server } from 'node:http';
 import { Histogram } from 'prom-client';
-import { endpointAddress } from '../core/endpoint';
+import { getEndpointAddress } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import type { EventFields, EventKind } from '../logging/events';
 import { Events } from '../logging/events';
@@ -84,6 +84,6 @@
       );
     });
     server.on('error', failed);
-    return server.listen(place.port, endpointAddress(machine));
+    return server.listen(place.port, getEndpointAddress(machine));
   }
 }
--- a/src/runtime/snapshot-exchange.ts
+++ b/src/runtime/snapshot-exchange.ts
@@ -1,7 +1,7 @@
 /** Hands a balancer's snapshot to other balancers over HTTP, and fetches theirs. */
 import { createServer, get, type Server, type ServerResponse } from 'node:http';
 import { deflateSync, inflateSync } from 'node:zlib';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
@@ -64,7 +64,7 @@
     }
   });
   server.on('error', failed);
-  return server.listen(endpointPort(address), endpointAddress(address));
+  return server.listen(getEndpointPort(address), getEndpointAddress(address));
 }
 
 function send(response: ServerResponse, status: number, body: Buffer | undefined): void {
@@ -83,7 +83,7 @@
         answer(failure(ResultCodes.peerUnreachable, error.message));
       }
     };
-    const target = { host: endpointAddress(peer), port: endpointPort(peer), path: TEXT_PATH };
+    const target = { host: getEndpointAddress(peer), port: getEndpointPort(peer), path: TEXT_PATH };
     const call = get({ ...target, agent: false }, (response) => {
       const chunks: Buffer[] = [];
       let length = 0;
--- a/src/runtime/target-probe.ts
+++ b/src/runtime/target-probe.ts
@@ -1,6 +1,6 @@
 /** Looks whether anybody listens at a target's address, over TCP, without a request. */
 import { connect } from 'node:net';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import type { TargetProbePort } from '../packets/startup/target-presence';
 
@@ -13,7 +13,7 @@
   constructor(private readonly target: Endpoint) {}
 
   checkVacant(answer: (isVacant: boolean) => void): void {
-    const place = { host: endpointAddress(this.target), port: endpointPort(this.target) };
+    const place = { host: getEndpointAddress(this.target), port: getEndpointPort(this.target) };
     const connection = connect({ ...place, timeout: TIMEOUT });
     let answered = false;
     const end = (isVacant: boolean): void => {
--- a/src/runtime/udp-socket.ts
+++ b/src/runtime/udp-socket.ts
@@ -1,7 +1,7 @@
 /** A UDP socket that speaks in packed endpoints and never throws on sending. */
 import { createSocket, type Socket } from 'node:dgram';
 import { Ok, type Result } from 'ts-results';
-import { endpointAddress, endpointPort, formatEndpoint, packEndpoint } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort, formatEndpoint, packEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
@@ -63,12 +63,12 @@
     handler: DatagramHandler,
     shared = false,
   ): Promise<Result<UdpSocket, HallholdError>> {
-    return UdpSocket.bind(endpointAddress(endpoint), endpointPort(endpoint), handler, shared);
+    return UdpSocket.bind(getEndpointAddress(endpoint), getEndpointPort(endpoint), handler, shared);
   }
 
   /** Without a callback, which would cost a turn of the queue for each datagram. */
   send(to: Endpoint, payload: Buffer): void {
-    this.socket.send(payload, endpointPort(to), this.addressOf(to));
+    this.socket.send(payload, getEndpointPort(to), this.addressOf(to));
   }
 
   close(): void {
@@ -99,7 +99,7 @@
     if (this.addresses.size >= DESTINATIONS_KEPT) {
       this.addresses.clear();
     }
-    const address = endpointAddress(to);
+    const address = getEndpointAddress(to);
     this.addresses.set(to, address);
     return address;
   }
--- a/src/simulation/baselines.ts
+++ b/src/simulation/baselines.ts
@@ -7,7 +7,7 @@
 import type { FlowRouting } from '../balancer/flow-routing';
 import type { LearntHost } from '../balancer/learnt-hosts';
 import type { TargetStates } from '../balancer/target-states';
-import { rendezvousScore } from '../core/hashing';
+import { computeRendezvousScore } from '../core/hashing';
 import type { ServiceTable } from '../core/table';
 import type { Endpoint } from '../environment';
 
@@ -34,7 +34,7 @@
     let best: LearntHost | undefined;
     let bestScore = -Infinity;
     for (const host of this.hosts) {
-      const uniform = (rendezvousScore(String(caller), host.target) + 1) / (SCORE_RANGE + 1);
+      const uniform = (computeRendezvousScore(String(caller), host.target) + 1) / (SCORE_RANGE + 1);
       const score = -host.share / Math.log(uniform);
       if (score > bestScore) {
         best = host;
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -4,7 +4,7 @@
  * see is judged as it happens.
  */
 import { packEndpoint } from '../../core/endpoint';
-import { rendezvousScore } from '../../core/hashing';
+import { computeRendezvousScore } from '../../core/hashing';
 import type { Endpoint } from '../../environment';
 import type { Answer } from '../../packets/collection-port';
 import type { FlowKey } from '../../packets/flow-packet';
@@ -354,7 +354,7 @@
     const key = modelPacketFormat.decodeFromClient(packet)!.flow;
     let best: WorldBalancer | undefined;
     for (const one of pool) {
-      const better = !best || rendezvousScore(key, one.name) > rendezvousScore(key, best.name);
+      const better = !best || computeRendezvousScore(key, one.name) > computeRendezvousScore(key, best.name);
       best = better ? one : best;
     }
     if (best) {
--- a/src/simulation/world-watcher.ts
+++ b/src/simulation/world-watcher.ts
@@ -292,7 +292,7 @@
   /** No balancer's table ever goes back while it runs. */
   private checkRevisions(): void {
     for (const balancer of this.world.runningBalancers()) {
-      for (const table of balancer.node.distribution.cache.all()) {
+      for (const table of balancer.node.distribution.cache.listTables()) {
         const key = `${balancer.name}@${balancer.startedAt}/${table.service}`;
         const seen = this.revisionsSeen.get(key) ?? 0;
         if (table.revision < seen) {
--- a/src/standins/caller-fleet.ts
+++ b/src/standins/caller-fleet.ts
@@ -1,5 +1,5 @@
 /** Many callers of one service, each on a socket of its own. */
-import { endpointAddress } from '../core/endpoint';
+import { getEndpointAddress } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { UdpSocket } from '../runtime/udp-socket';
 import type { Caller, CallerSurroundings } from './caller';
@@ -90,7 +90,7 @@
   }
 
   private async startOne(create: (surroundings: CallerSurroundings) => Caller): Promise<void> {
-    const bound = await UdpSocket.bind(endpointAddress(this.to), 0, (datagram) =>
+    const bound = await UdpSocket.bind(getEndpointAddress(this.to), 0, (datagram) =>
       caller.receive(datagram),
     );
     if (bound.err) {
--- a/src/standins/fabric-standin.ts
+++ b/src/standins/fabric-standin.ts
@@ -5,7 +5,7 @@
  */
 import { request } from 'undici';
 import type { Endpoint } from '../environment';
-import { endpointAddress } from '../core/endpoint';
+import { getEndpointAddress } from '../core/endpoint';
 import { UdpSocket } from '../runtime/udp-socket';
 
 const WAITING_MAXIMUM = 64;
@@ -94,7 +94,7 @@
     const flow: FabricFlow = { socket: undefined, waiting: [] };
     this.flows.set(key, flow);
     const listener = this.listeners.get(service.name)!;
-    void UdpSocket.bind(endpointAddress(service.listen), 0, (payload) =>
+    void UdpSocket.bind(getEndpointAddress(service.listen), 0, (payload) =>
       listener.send(caller, payload),
     ).then((bound) => {
       if (bound.ok) {
--- a/src/standins/fault-proxy.ts
+++ b/src/standins/fault-proxy.ts
@@ -1,7 +1,7 @@
 /** Proxies that disturb what passes: UDP datagrams and TCP connections. Seeded, so repeatable. */
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import type { Endpoint } from '../environment';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import { SeededRandom } from '../simulation/seeded-random';
 import { UdpSocket } from '../runtime/udp-socket';
 
@@ -50,7 +50,7 @@
     if (known) {
       return known;
     }
-    const created = UdpSocket.bind(endpointAddress(this.listen), 0, (payload) =>
+    const created = UdpSocket.bind(getEndpointAddress(this.listen), 0, (payload) =>
       this.disturb(() => this.listener?.send(sender, payload)),
     ).then((bound) => bound.unwrap());
     this.sockets.set(sender, created);
@@ -87,7 +87,7 @@
 
   start(): Promise<void> {
     return new Promise((resolve) => {
-      this.server.listen(endpointPort(this.listen), endpointAddress(this.listen), resolve);
+      this.server.listen(getEndpointPort(this.listen), getEndpointAddress(this.listen), resolve);
     });
   }
 
@@ -109,7 +109,7 @@
       incoming.destroy();
       return;
     }
-    const outgoing = connect(endpointPort(this.target), endpointAddress(this.target));
+    const outgoing = connect(getEndpointPort(this.target), getEndpointAddress(this.target));
     for (const [one, other] of [
       [incoming, outgoing],
       [outgoing, incoming],
--- a/src/standins/platform-server.ts
+++ b/src/standins/platform-server.ts
@@ -1,6 +1,6 @@
 /** The platform stand-in: an object store over HTTP and JSON, with a machine list that lags. */
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { NODES_PATH, TABLES_PATH } from '../table-store/store-resources';
 import { ObjectStore, type StoredObject, type StoreEvent, type WriteResult } from './object-store';
@@ -55,7 +55,7 @@
   /** Starts to listen and returns the base URL. */
   async start(): Promise<string> {
     const { listen } = this.options;
-    return this.server.listen({ host: endpointAddress(listen), port: endpointPort(listen) });
+    return this.server.listen({ host: getEndpointAddress(listen), port: getEndpointPort(listen) });
   }
 
   async stop(): Promise<void> {
--- a/src/standins/record-server.ts
+++ b/src/standins/record-server.ts
@@ -1,6 +1,6 @@
 /** Serves a back end stand-in's run record over HTTP, for tests with separate processes. */
 import Fastify, { type FastifyInstance } from 'fastify';
-import { endpointAddress, endpointPort } from '../core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import type { RunRecord } from './run-record';
 
@@ -11,6 +11,6 @@
 ): Promise<FastifyInstance> {
   const server = Fastify({ forceCloseConnections: true });
   server.get('/runs', () => ({ attempts: record.attempts() }));
-  await server.listen({ host: endpointAddress(listen), port: endpointPort(listen) });
+  await server.listen({ host: getEndpointAddress(listen), port: getEndpointPort(listen) });
   return server;
 }
