--- a/test/answer-repair.test.ts
+++ b/test/answer-repair.test.ts
@@ -16,14 +16,14 @@
 
 const ROUTE = ['198.18.0.1', 443] as const;
 const CLIENT_ADDRESS = '100.64.0.7';
-const ROUND_TRIP = 10;
+const ROUND_TRIP_MS = 10;
 /** Sequence number of the target's answer to an opening. */
-const OPENING = 1_000;
-const FULL = 1_200;
-const DATA = 'x'.repeat(FULL);
+const OPENING_SEQUENCE = 1_000;
+const FULL_PACKET_BYTES = 1_200;
+const FULL_PAYLOAD = 'x'.repeat(FULL_PACKET_BYTES);
 /** The target repeats by itself from here on. */
-const TARGET_TIMEOUT = 200;
-const FLOW_LIFETIME = 60_000;
+const TARGET_TIMEOUT_MS = 200;
+const FLOW_LIFETIME_MS = 60_000;
 
 interface ReportedEvent {
   readonly event: EventKind;
@@ -47,10 +47,10 @@
 }
 
 /** Answer repair with the target and the clients played by the test. */
-class RepairScene {
+class RepairHarness {
   readonly clock = new VirtualClock();
   readonly events: ReportedEvent[] = [];
-  readonly repeats: Arrival[] = [];
+  readonly retransmissions: Arrival[] = [];
   /** Milliseconds of each timer started. */
   readonly delays: number[] = [];
   repair: AnswerRepair;
@@ -69,7 +69,7 @@
   send(sequence: number, data: string, flags: number = Flag.ack, port = 1): Buffer {
     const client = [CLIENT_ADDRESS, port] as const;
     const bytes = encodePacket(ROUTE, client, flags, sequence >>> 0, 7, data);
-    this.repair.sent(packetFormat.decodeFromTarget(bytes)!);
+    this.repair.recordSent(packetFormat.decodeFromTarget(bytes)!);
     return bytes;
   }
 
@@ -77,29 +77,29 @@
   receive(acknowledgement: number, flags: number = Flag.ack, data = '', port = 1): void {
     const client = [CLIENT_ADDRESS, port] as const;
     const bytes = encodePacket(client, ROUTE, flags, 7, acknowledgement >>> 0, data);
-    this.repair.received(packetFormat.decodeFromClient(bytes)!);
+    this.repair.handleClientPacket(packetFormat.decodeFromClient(bytes)!);
   }
 
   /** The target answers an opening and the client's next packet comes a round trip later. */
-  open(port = 1, sequence = OPENING): void {
+  open(port = 1, sequence = OPENING_SEQUENCE): void {
     this.send(sequence, '', Flag.syn | Flag.ack, port);
-    this.pass(ROUND_TRIP);
+    this.runFor(ROUND_TRIP_MS);
     this.receive(sequence + 1, Flag.ack, 'GET', port);
   }
 
   /** Flows that lose nothing, by which the round trip is known. */
-  learn(): void {
+  measureRoundTrip(): void {
     for (let port = 100; port < 130; port++) {
       this.open(port);
     }
   }
 
   /** Sends an answer of full packets on an open flow; answers their bytes. */
-  answer(count: number, sequence = OPENING + 1): Buffer[] {
-    return Array.from({ length: count }, (_, index) => this.send(sequence + index * FULL, DATA));
+  sendAnswer(count: number, sequence = OPENING_SEQUENCE + 1): Buffer[] {
+    return Array.from({ length: count }, (_, index) => this.send(sequence + index * FULL_PACKET_BYTES, FULL_PAYLOAD));
   }
 
-  pass(milliseconds: number): void {
+  runFor(milliseconds: number): void {
     this.clock.runUntil(this.clock.now + milliseconds);
   }
 
@@ -113,39 +113,39 @@
     return new AnswerRepair({
       environment: createEnvironment(this.clock, this.events, this.delays),
       isEnabled: this.isEnabled,
-      flowLifetime: FLOW_LIFETIME,
+      flowLifetime: FLOW_LIFETIME_MS,
       sendToClient: (_client, bytes) =>
-        this.repeats.push({ at: this.clock.now, bytes: Buffer.from(bytes) }),
+        this.retransmissions.push({ at: this.clock.now, bytes: Buffer.from(bytes) }),
     });
   }
 }
 
-function openScene(): RepairScene {
-  const scene = new RepairScene();
-  scene.learn();
+function openScene(): RepairHarness {
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
   scene.open();
   return scene;
 }
 
 /** Sequence number after so many full packets of an answer. */
-function endOf(packets: number): number {
-  return OPENING + 1 + packets * FULL;
+function computeSequenceAfter(packets: number): number {
+  return OPENING_SEQUENCE + 1 + packets * FULL_PACKET_BYTES;
 }
 
 test('a packet lost in the middle is repeated once, as it was, when later ones have come', (t) => {
   const scene = openScene();
   const sentAt = scene.clock.now;
-  const packets = scene.answer(4);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(1));
-  scene.receive(endOf(1));
-  scene.pass(4 * ROUND_TRIP);
-  t.is(scene.repeats.length, 1);
-  t.deepEqual(scene.repeats[0]!.bytes, packets[1]);
-  t.true(scene.repeats[0]!.at - sentAt <= 4 * ROUND_TRIP);
-  scene.receive(endOf(4));
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  const packets = scene.sendAnswer(4);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(1));
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(4 * ROUND_TRIP_MS);
+  t.is(scene.retransmissions.length, 1);
+  t.deepEqual(scene.retransmissions[0]!.bytes, packets[1]);
+  t.true(scene.retransmissions[0]!.at - sentAt <= 4 * ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(4));
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
   t.is(scene.repair.figures.answersRepeated, 1);
   t.is(scene.repair.figures.answersRepeatedNeedlessly, 0);
   t.is(scene.repair.figures.answerBytesKept, 0);
@@ -153,27 +153,27 @@
 
 test('packets that only overtake each other are not repeated', (t) => {
   const scene = openScene();
-  scene.answer(4);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(1));
-  scene.receive(endOf(1));
-  scene.pass(2);
-  scene.receive(endOf(4));
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 0);
+  scene.sendAnswer(4);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(1));
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(2);
+  scene.receive(computeSequenceAfter(4));
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 0);
 });
 
 test('of two packets lost in one window the second follows the acknowledgement of the first', (t) => {
   const scene = openScene();
-  const packets = scene.answer(6);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(1));
-  scene.receive(endOf(1));
-  scene.pass(3 * ROUND_TRIP);
-  scene.receive(endOf(3));
-  scene.pass(ROUND_TRIP);
+  const packets = scene.sendAnswer(6);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(1));
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(3 * ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(3));
+  scene.runFor(ROUND_TRIP_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [packets[1], packets[3]],
   );
 });
@@ -181,220 +181,220 @@
 test('the last packet of an answer is repeated after the timeout, well before its target does', (t) => {
   const scene = openScene();
   const sentAt = scene.clock.now;
-  const packets = scene.answer(4);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(2));
-  scene.pass(50);
-  t.is(scene.repeats.length, 1);
-  t.deepEqual(scene.repeats[0]!.bytes, packets[3]);
-  t.true(scene.repeats[0]!.at - sentAt < 60);
-  scene.receive(endOf(4));
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  const packets = scene.sendAnswer(4);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(2));
+  scene.runFor(50);
+  t.is(scene.retransmissions.length, 1);
+  t.deepEqual(scene.retransmissions[0]!.bytes, packets[3]);
+  t.true(scene.retransmissions[0]!.at - sentAt < 60);
+  scene.receive(computeSequenceAfter(4));
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('a lost answer to an opening is repeated, and not once the client goes on', (t) => {
-  const scene = new RepairScene();
-  scene.learn();
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
   const sentAt = scene.clock.now;
-  const opening = scene.send(OPENING, '', Flag.syn | Flag.ack);
-  scene.pass(45);
+  const opening = scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
+  scene.runFor(45);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [opening],
   );
-  t.true(scene.repeats[0]!.at - sentAt < 45);
-  scene.receive(OPENING + 1);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  t.true(scene.retransmissions[0]!.at - sentAt < 45);
+  scene.receive(OPENING_SEQUENCE + 1);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('a lost acknowledgement costs a repeat and no more, and is counted once it is known', (t) => {
   const scene = openScene();
-  scene.answer(2);
-  scene.pass(3 * ROUND_TRIP + 2);
-  t.is(scene.repeats.length, 1);
-  scene.receive(endOf(2));
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  scene.sendAnswer(2);
+  scene.runFor(3 * ROUND_TRIP_MS + 2);
+  t.is(scene.retransmissions.length, 1);
+  scene.receive(computeSequenceAfter(2));
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
   t.is(scene.repair.figures.answersRepeatedNeedlessly, 1);
 });
 
 test('acknowledgements that always come late for a single packet are learnt', (t) => {
-  const scene = new RepairScene();
-  scene.learn();
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
   for (let port = 200; port < 240; port++) {
     scene.open(port);
-    scene.send(OPENING + 1, 'short', Flag.ack, port);
-    scene.pass(40);
-    scene.receive(OPENING + 6, Flag.ack, '', port);
+    scene.send(OPENING_SEQUENCE + 1, 'short', Flag.ack, port);
+    scene.runFor(40);
+    scene.receive(OPENING_SEQUENCE + 6, Flag.ack, '', port);
   }
-  t.is(scene.repeats.length, 0);
+  t.is(scene.retransmissions.length, 0);
 });
 
 test('before anything is known of the way there is room for one repeat', (t) => {
-  const scene = new RepairScene();
-  scene.send(OPENING, '', Flag.syn | Flag.ack);
-  scene.pass(TARGET_TIMEOUT / 2 - 5);
-  t.is(scene.repeats.length, 0);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  const scene = new RepairHarness();
+  scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
+  scene.runFor(TARGET_TIMEOUT_MS / 2 - 5);
+  t.is(scene.retransmissions.length, 0);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('a client that has gone gets two repeats, none after the target begins to repeat', (t) => {
   const scene = openScene();
   const sentAt = scene.clock.now;
-  scene.answer(16);
-  scene.pass(5_000);
-  t.is(scene.repeats.length, 2);
-  t.true(scene.repeats.every(({ at }) => at - sentAt < TARGET_TIMEOUT));
+  scene.sendAnswer(16);
+  scene.runFor(5_000);
+  t.is(scene.retransmissions.length, 2);
+  t.true(scene.retransmissions.every(({ at }) => at - sentAt < TARGET_TIMEOUT_MS));
   t.is(scene.repair.figures.answerBytesKept, 0);
 });
 
 test('no packet is repeated more than twice, however often its loss is told', (t) => {
   const scene = openScene();
-  scene.answer(4);
+  scene.sendAnswer(4);
   for (let told = 0; told < 40; told++) {
-    scene.pass(5);
-    scene.receive(endOf(0));
+    scene.runFor(5);
+    scene.receive(computeSequenceAfter(0));
   }
-  const [first] = scene.repeats;
-  t.true(scene.repeats.filter(({ bytes }) => bytes.equals(first!.bytes)).length <= 2);
-  t.true(scene.repeats.length <= 4);
+  const [first] = scene.retransmissions;
+  t.true(scene.retransmissions.filter(({ bytes }) => bytes.equals(first!.bytes)).length <= 2);
+  t.true(scene.retransmissions.length <= 4);
 });
 
 test('packets that come from their target in another order are new ones, not its repeats', (t) => {
   const scene = openScene();
   const sentAt = scene.clock.now;
-  scene.send(endOf(2) + 5, '', Flag.fin | Flag.ack);
-  scene.send(endOf(2), 'short');
-  const [, second] = scene.answer(2);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(1));
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(1));
-  scene.pass(3 * ROUND_TRIP);
+  scene.send(computeSequenceAfter(2) + 5, '', Flag.fin | Flag.ack);
+  scene.send(computeSequenceAfter(2), 'short');
+  const [, second] = scene.sendAnswer(2);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(3 * ROUND_TRIP_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [second],
   );
-  t.true(scene.repeats[0]!.at - sentAt <= 5 * ROUND_TRIP);
-  scene.receive(endOf(2) + 6);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  t.true(scene.retransmissions[0]!.at - sentAt <= 5 * ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(2) + 6);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
   t.is(scene.repair.figures.answerBytesKept, 0);
 });
 
 test('an answer after a long pause is repaired, whichever of its packets comes first', (t) => {
   const scene = openScene();
-  scene.pass(FLOW_LIFETIME - 1_000);
-  scene.send(endOf(1), 'short');
-  const [first] = scene.answer(1);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(0));
-  scene.pass(4 * ROUND_TRIP);
+  scene.runFor(FLOW_LIFETIME_MS - 1_000);
+  scene.send(computeSequenceAfter(1), 'short');
+  const [first] = scene.sendAnswer(1);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(0));
+  scene.runFor(4 * ROUND_TRIP_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [first],
   );
 });
 
 test('a flow that has rested for its lifetime is forgotten when others come', (t) => {
   const scene = openScene();
-  scene.pass(FLOW_LIFETIME + 1);
+  scene.runFor(FLOW_LIFETIME_MS + 1);
   scene.open(2);
-  scene.receive(endOf(0), Flag.fin | Flag.ack);
-  const [first] = scene.answer(1);
-  scene.pass(100);
-  t.deepEqual(scene.repeats[0]?.bytes, first);
+  scene.receive(computeSequenceAfter(0), Flag.fin | Flag.ack);
+  const [first] = scene.sendAnswer(1);
+  scene.runFor(100);
+  t.deepEqual(scene.retransmissions[0]?.bytes, first);
 });
 
 test("a target's repeat after equal acknowledgements takes the place of one from here", (t) => {
   const scene = openScene();
-  const packets = scene.answer(4);
-  scene.pass(ROUND_TRIP);
-  scene.receive(endOf(0));
-  scene.receive(endOf(0));
-  scene.receive(endOf(0));
-  scene.send(endOf(0), DATA);
-  scene.pass(2.5 * ROUND_TRIP);
-  t.is(scene.repeats.length, 0);
-  scene.receive(endOf(3));
-  scene.pass(ROUND_TRIP);
+  const packets = scene.sendAnswer(4);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(computeSequenceAfter(0));
+  scene.receive(computeSequenceAfter(0));
+  scene.receive(computeSequenceAfter(0));
+  scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
+  scene.runFor(2.5 * ROUND_TRIP_MS);
+  t.is(scene.retransmissions.length, 0);
+  scene.receive(computeSequenceAfter(3));
+  scene.runFor(ROUND_TRIP_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [packets[3]],
   );
 });
 
 test('what a target repeats by its own timer is not repeated, and repair goes on behind it', (t) => {
   const scene = openScene();
-  scene.answer(2);
-  scene.pass(TARGET_TIMEOUT);
-  const repeated = scene.repeats.length;
-  scene.send(OPENING + 1, DATA);
-  scene.pass(400);
-  scene.send(OPENING + 1, DATA);
-  scene.pass(800);
-  t.is(scene.repeats.length, repeated);
-  scene.repeats.length = 0;
-  scene.receive(endOf(2));
-  const next = scene.answer(2, endOf(2));
-  scene.pass(40);
+  scene.sendAnswer(2);
+  scene.runFor(TARGET_TIMEOUT_MS);
+  const repeated = scene.retransmissions.length;
+  scene.send(OPENING_SEQUENCE + 1, FULL_PAYLOAD);
+  scene.runFor(400);
+  scene.send(OPENING_SEQUENCE + 1, FULL_PAYLOAD);
+  scene.runFor(800);
+  t.is(scene.retransmissions.length, repeated);
+  scene.retransmissions.length = 0;
+  scene.receive(computeSequenceAfter(2));
+  const next = scene.sendAnswer(2, computeSequenceAfter(2));
+  scene.runFor(40);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [next[1]],
   );
 });
 
 test('what a target repeats although its client has acknowledged it is not looked after', (t) => {
   const scene = openScene();
-  scene.answer(2);
-  scene.receive(endOf(2));
-  scene.answer(1);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 0);
+  scene.sendAnswer(2);
+  scene.receive(computeSequenceAfter(2));
+  scene.sendAnswer(1);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 0);
 });
 
 /** A flow alone, with two packets of an answer sent at time 0 over a way of 40 ms. */
 function createFlow(): AnswerFlow {
   const timing = new AnswerTiming();
   for (let samples = 0; samples < 100; samples++) {
-    timing.sample('prompt', 40);
+    timing.addSample('prompt', 40);
   }
   const packets = [0, 1].map((index) =>
     packetFormat.decodeFromTarget(
-      encodePacket(ROUTE, [CLIENT_ADDRESS, 1], Flag.ack, endOf(index), 7, DATA),
+      encodePacket(ROUTE, [CLIENT_ADDRESS, 1], Flag.ack, computeSequenceAfter(index), 7, FULL_PAYLOAD),
     )!,
   );
   const flow = new AnswerFlow(packets[0]!, timing, 0);
-  packets.forEach((packet) => flow.sent(packet, true, 0));
+  packets.forEach((packet) => flow.recordSent(packet, true, 0));
   return flow;
 }
 
 test('a gap is not a loss before packets cannot have overtaken each other any more', (t) => {
   const flow = createFlow();
-  const client = encodePacket([CLIENT_ADDRESS, 1], ROUTE, Flag.ack, 7, endOf(0));
-  flow.acknowledged(packetFormat.decodeFromClient(client)!, 45);
-  t.is(flow.takeDue(60), undefined);
-  t.is(flow.takeDue(66)!.sequence, endOf(0));
+  const client = encodePacket([CLIENT_ADDRESS, 1], ROUTE, Flag.ack, 7, computeSequenceAfter(0));
+  flow.handleAcknowledgement(packetFormat.decodeFromClient(client)!, 45);
+  t.is(flow.takeDuePacket(60), undefined);
+  t.is(flow.takeDuePacket(66)!.sequence, computeSequenceAfter(0));
 });
 
 test('just before its target is due to repeat it, a packet is left to its target', (t) => {
-  t.not(createFlow().takeDue(189), undefined);
-  t.is(createFlow().takeDue(195), undefined);
+  t.not(createFlow().takeDuePacket(189), undefined);
+  t.is(createFlow().takeDuePacket(195), undefined);
 });
 
-const endings: readonly (readonly [string, (scene: RepairScene) => void])[] = [
-  ['the client ends it', (scene) => scene.receive(endOf(0), Flag.fin | Flag.ack)],
+const endings: readonly (readonly [string, (scene: RepairHarness) => void])[] = [
+  ['the client ends it', (scene) => scene.receive(computeSequenceAfter(0), Flag.fin | Flag.ack)],
   ['the client breaks it off', (scene) => scene.receive(0, Flag.rst)],
-  ['the target breaks it off', (scene) => void scene.send(endOf(3), '', Flag.rst)],
-  ['the target turns out not to hold it', (scene) => scene.repair.drop(flowKey())],
+  ['the target breaks it off', (scene) => void scene.send(computeSequenceAfter(3), '', Flag.rst)],
+  ['the target turns out not to hold it', (scene) => scene.repair.removeFlow(createFlowKey())],
   ['the target is replaced', (scene) => scene.repair.clear()],
   ['the agent stops', (scene) => scene.repair.stop()],
 ];
 
-function flowKey(): string {
+function createFlowKey(): string {
   const bytes = encodePacket([CLIENT_ADDRESS, 1], ROUTE, 0, 0, 0);
   return packetFormat.decodeFromClient(bytes)!.flow;
 }
@@ -402,132 +402,132 @@
 for (const [name, end] of endings) {
   test(`nothing of a flow is repeated once ${name}`, (t) => {
     const scene = openScene();
-    scene.answer(3);
-    scene.pass(5);
+    scene.sendAnswer(3);
+    scene.runFor(5);
     end(scene);
-    scene.pass(1_000);
-    t.is(scene.repeats.length, 0);
+    scene.runFor(1_000);
+    t.is(scene.retransmissions.length, 0);
     t.is(scene.repair.figures.answerBytesKept, 0);
   });
 }
 
 test('what a target still sends on a flow that its client has ended is not repeated', (t) => {
   const scene = openScene();
-  scene.receive(endOf(0), Flag.fin | Flag.ack);
-  scene.answer(2);
-  scene.send(endOf(2), '', Flag.fin | Flag.ack);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 0);
+  scene.receive(computeSequenceAfter(0), Flag.fin | Flag.ack);
+  scene.sendAnswer(2);
+  scene.send(computeSequenceAfter(2), '', Flag.fin | Flag.ack);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 0);
 });
 
 test("a target's end of a flow is repeated like data until the client has it", (t) => {
   const scene = openScene();
-  const end = scene.send(endOf(0), '', Flag.fin | Flag.ack);
-  scene.pass(120);
-  t.deepEqual(scene.repeats[0]!.bytes, end);
-  scene.receive(endOf(0) + 1, Flag.fin | Flag.ack);
-  const { length } = scene.repeats;
-  scene.pass(1_000);
-  t.is(scene.repeats.length, length);
+  const end = scene.send(computeSequenceAfter(0), '', Flag.fin | Flag.ack);
+  scene.runFor(120);
+  t.deepEqual(scene.retransmissions[0]!.bytes, end);
+  scene.receive(computeSequenceAfter(0) + 1, Flag.fin | Flag.ack);
+  const { length } = scene.retransmissions;
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, length);
 });
 
 test('the answer to an opening is repeated once: its client may have gone on elsewhere', (t) => {
-  const scene = new RepairScene();
-  scene.learn();
-  scene.send(OPENING, '', Flag.syn | Flag.ack);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
+  scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('nothing of a flow is repeated once its client opens another one between the same ends', (t) => {
   const scene = openScene();
-  scene.answer(3);
+  scene.sendAnswer(3);
   scene.receive(0, Flag.syn);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 0);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 0);
 });
 
 test('a further copy of an opening does not end the repair of the answer to the first', (t) => {
-  const scene = new RepairScene();
-  scene.learn();
-  const opening = scene.send(OPENING, '', Flag.syn | Flag.ack);
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
+  const opening = scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
   scene.receive(1, Flag.syn);
-  scene.pass(100);
+  scene.runFor(100);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [opening],
   );
 });
 
 test('a flow between the same ends begins anew', (t) => {
   const scene = openScene();
-  scene.receive(endOf(0), Flag.fin | Flag.ack);
+  scene.receive(computeSequenceAfter(0), Flag.fin | Flag.ack);
   const opening = scene.send(77, '', Flag.syn | Flag.ack);
-  scene.pass(30);
+  scene.runFor(30);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [opening],
   );
 });
 
 test('an agent that restarts halfway repeats what it has seen since, and nothing else', (t) => {
   const scene = openScene();
-  scene.answer(2);
+  scene.sendAnswer(2);
   scene.restart();
-  const [third] = scene.answer(1, endOf(2));
-  scene.receive(endOf(1));
-  scene.receive(endOf(1));
-  scene.pass(TARGET_TIMEOUT);
+  const [third] = scene.sendAnswer(1, computeSequenceAfter(2));
+  scene.receive(computeSequenceAfter(1));
+  scene.receive(computeSequenceAfter(1));
+  scene.runFor(TARGET_TIMEOUT_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [third],
   );
-  scene.receive(endOf(3));
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  scene.receive(computeSequenceAfter(3));
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('sequence numbers wrap around within an answer', (t) => {
-  const scene = new RepairScene();
-  scene.learn();
+  const scene = new RepairHarness();
+  scene.measureRoundTrip();
   const opening = 2 ** 32 - 1_500;
   scene.open(1, opening);
-  const packets = scene.answer(4, opening + 1);
-  scene.pass(ROUND_TRIP);
-  scene.receive(opening + 1 + FULL);
-  scene.receive(opening + 1 + FULL);
-  scene.pass(3 * ROUND_TRIP);
+  const packets = scene.sendAnswer(4, opening + 1);
+  scene.runFor(ROUND_TRIP_MS);
+  scene.receive(opening + 1 + FULL_PACKET_BYTES);
+  scene.receive(opening + 1 + FULL_PACKET_BYTES);
+  scene.runFor(3 * ROUND_TRIP_MS);
   t.deepEqual(
-    scene.repeats.map(({ bytes }) => bytes),
+    scene.retransmissions.map(({ bytes }) => bytes),
     [packets[1]],
   );
-  scene.receive(opening + 1 + 4 * FULL);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 1);
+  scene.receive(opening + 1 + 4 * FULL_PACKET_BYTES);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('acknowledgements that are old, of another flow or of nothing sent change nothing', (t) => {
   const scene = openScene();
-  scene.answer(2);
-  scene.receive(endOf(0) - 1);
-  scene.receive(endOf(2) + 1);
-  scene.receive(endOf(2), Flag.ack, '', 2);
-  scene.receive(endOf(2), Flag.syn);
-  scene.pass(30);
-  t.is(scene.repeats.length, 1);
+  scene.sendAnswer(2);
+  scene.receive(computeSequenceAfter(0) - 1);
+  scene.receive(computeSequenceAfter(2) + 1);
+  scene.receive(computeSequenceAfter(2), Flag.ack, '', 2);
+  scene.receive(computeSequenceAfter(2), Flag.syn);
+  scene.runFor(30);
+  t.is(scene.retransmissions.length, 1);
 });
 
 test('one timer serves all flows, and none runs while nothing is kept', (t) => {
-  const scene = new RepairScene();
+  const scene = new RepairHarness();
   for (let port = 1; port <= 100; port++) {
-    scene.send(OPENING, '', Flag.syn | Flag.ack, port);
-    scene.pass(0.1);
+    scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, port);
+    scene.runFor(0.1);
   }
   t.is(scene.delays.length, 1);
   for (let port = 1; port <= 100; port++) {
-    scene.receive(OPENING + 1, Flag.ack, 'GET', port);
+    scene.receive(OPENING_SEQUENCE + 1, Flag.ack, 'GET', port);
   }
-  scene.pass(10_000);
+  scene.runFor(10_000);
   t.is(scene.delays.length, 1);
   t.true(scene.delays.every((delay) => Number.isFinite(delay)));
 });
@@ -539,96 +539,96 @@
   const repair = new AnswerRepair({
     environment: { ...createEnvironment(clock, []), now: () => clock.now + stalled },
     isEnabled: true,
-    flowLifetime: FLOW_LIFETIME,
+    flowLifetime: FLOW_LIFETIME_MS,
     sendToClient: (_client, bytes) => repeats.push(bytes),
   });
   const client = [CLIENT_ADDRESS, 1] as const;
-  const opening = encodePacket(ROUTE, client, Flag.syn | Flag.ack, OPENING, 7);
-  repair.sent(packetFormat.decodeFromTarget(opening)!);
+  const opening = encodePacket(ROUTE, client, Flag.syn | Flag.ack, OPENING_SEQUENCE, 7);
+  repair.recordSent(packetFormat.decodeFromTarget(opening)!);
   stalled = 60;
-  clock.runUntil(TARGET_TIMEOUT / 2);
+  clock.runUntil(TARGET_TIMEOUT_MS / 2);
   t.is(repeats.length, 0);
-  const next = encodePacket(client, ROUTE, Flag.ack, 7, OPENING + 1);
-  repair.received(packetFormat.decodeFromClient(next)!);
+  const next = encodePacket(client, ROUTE, Flag.ack, 7, OPENING_SEQUENCE + 1);
+  repair.handleClientPacket(packetFormat.decodeFromClient(next)!);
   clock.runUntil(1_000);
   t.is(repeats.length, 0);
 });
 
 test('repeats are a small part of what is sent, and the log says so once a second', (t) => {
-  const scene = new RepairScene();
+  const scene = new RepairHarness();
   for (let port = 1; port <= 1_000; port++) {
-    scene.send(OPENING, '', Flag.syn | Flag.ack, port);
+    scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, port);
   }
-  scene.pass(1_000);
+  scene.runFor(1_000);
   const { answersRepeated, answerRepairsWithheld } = scene.repair.figures;
-  t.is(scene.repeats.length, answersRepeated);
+  t.is(scene.retransmissions.length, answersRepeated);
   t.is(answersRepeated, 20);
   t.is(answerRepairsWithheld, 1_000 - answersRepeated);
   t.is(scene.limitReports.length, 1);
 });
 
 test('what is sent after a burst of losses earns further repeats, a tenth of it', (t) => {
-  const scene = new RepairScene();
+  const scene = new RepairHarness();
   const seconds = 2;
   for (let port = 1; port <= 2_000; port++) {
-    scene.send(OPENING, '', Flag.syn | Flag.ack, port);
-    scene.pass((seconds * 1_000) / 2_000);
+    scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, port);
+    scene.runFor((seconds * 1_000) / 2_000);
   }
-  scene.pass(1_000);
+  scene.runFor(1_000);
   const { answersRepeated } = scene.repair.figures;
   const earned = 2_000 / 10;
   t.true(answersRepeated > earned && answersRepeated <= 20 + earned + 10 * (seconds + 1));
 });
 
 test('a repeat that the budget withholds does not spoil the sample of its packet', (t) => {
-  const scene = new RepairScene();
+  const scene = new RepairHarness();
   const roundTrip = 150;
   for (let port = 1; port <= 100; port++) {
-    scene.send(OPENING, '', Flag.syn | Flag.ack, port);
+    scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, port);
   }
-  scene.pass(roundTrip);
+  scene.runFor(roundTrip);
   for (let port = 1; port <= 100; port++) {
-    scene.receive(OPENING + 1, Flag.ack, 'GET', port);
+    scene.receive(OPENING_SEQUENCE + 1, Flag.ack, 'GET', port);
   }
   const { answersRepeated, answerRepairsWithheld } = scene.repair.figures;
   t.true(answerRepairsWithheld > 0);
-  scene.pass(5_000);
-  scene.send(OPENING, '', Flag.syn | Flag.ack, 101);
-  scene.pass(roundTrip);
-  scene.receive(OPENING + 1, Flag.ack, 'GET', 101);
+  scene.runFor(5_000);
+  scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, 101);
+  scene.runFor(roundTrip);
+  scene.receive(OPENING_SEQUENCE + 1, Flag.ack, 'GET', 101);
   t.is(scene.repair.figures.answersRepeated, answersRepeated);
 });
 
 test('copies stay within their room, whoever leaves answers unacknowledged', (t) => {
-  const scene = new RepairScene();
+  const scene = new RepairHarness();
   for (let port = 1; port <= 1_000; port++) {
     for (let packet = 0; packet < 20; packet++) {
-      scene.send(OPENING + packet * FULL, DATA, Flag.ack, port);
+      scene.send(OPENING_SEQUENCE + packet * FULL_PACKET_BYTES, FULL_PAYLOAD, Flag.ack, port);
     }
   }
   const kept = scene.repair.figures.answerBytesKept;
   t.true(kept > 7 * 1_024 * 1_024 && kept <= 8 * 1_024 * 1_024);
   t.true(scene.repair.figures.answerRepairsWithheld > 0);
-  scene.pass(1_000);
+  scene.runFor(1_000);
   t.is(scene.repair.figures.answerBytesKept, 0);
 });
 
 test('the number of flows is bounded: the longest resting one is forgotten', (t) => {
-  const scene = new RepairScene();
-  const opening = scene.send(OPENING, '', Flag.syn | Flag.ack, 1);
+  const scene = new RepairHarness();
+  const opening = scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, 1);
   for (let port = 2; port <= 6_000; port++) {
-    scene.send(OPENING, '', Flag.syn | Flag.ack, port);
+    scene.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack, port);
   }
   t.is(scene.repair.figures.answerBytesKept, 4_096 * opening.length);
 });
 
 test('switched off, nothing is kept and nothing repeated', (t) => {
-  const scene = new RepairScene(false);
+  const scene = new RepairHarness(false);
   scene.open();
-  scene.answer(4);
+  scene.sendAnswer(4);
   t.is(scene.repair.figures.answerBytesKept, 0);
-  scene.pass(1_000);
-  t.is(scene.repeats.length, 0);
+  scene.runFor(1_000);
+  t.is(scene.retransmissions.length, 0);
 });
 
 const SETTINGS = {
@@ -647,13 +647,13 @@
 });
 
 /** An agent of a ready target, and one flow. */
-class RepairingAgentScene extends AgentScene {
+class RepairingAgentHarness extends AgentScene {
   constructor(repairAnswers: boolean) {
     super({ repairAnswers, repairHops: true, priorityQueue: true });
-    this.beat('i-1');
+    this.sendHeartbeat('i-1');
   }
 
-  beat(incarnation: string): void {
+  sendHeartbeat(incarnation: string): void {
     const heartbeat = { service: 'map', slots: 1, draining: false, coldLeft: 0, sequence: 1 };
     this.agent.heartbeat({ ...heartbeat, incarnation });
   }
@@ -677,23 +677,23 @@
   /** The flow opens and the client sends a request. */
   open(): void {
     this.deliver(Flag.syn, 0);
-    this.send(OPENING, '', Flag.syn | Flag.ack);
-    this.pass(ROUND_TRIP);
-    this.deliver(Flag.ack, OPENING + 1, 'GET');
+    this.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
+    this.pass(ROUND_TRIP_MS);
+    this.deliver(Flag.ack, OPENING_SEQUENCE + 1, 'GET');
   }
 }
 
 test('an agent repeats what a client misses by the acknowledgements that pass through it', (t) => {
-  const scene = new RepairingAgentScene(true);
+  const scene = new RepairingAgentHarness(true);
   scene.open();
-  const packets = [0, 1, 2, 3].map((index) => scene.send(endOf(index), DATA));
-  scene.pass(ROUND_TRIP);
-  scene.deliver(Flag.ack, endOf(1));
-  scene.deliver(Flag.ack, endOf(1));
-  scene.pass(4 * ROUND_TRIP);
+  const packets = [0, 1, 2, 3].map((index) => scene.send(computeSequenceAfter(index), FULL_PAYLOAD));
+  scene.pass(ROUND_TRIP_MS);
+  scene.deliver(Flag.ack, computeSequenceAfter(1));
+  scene.deliver(Flag.ack, computeSequenceAfter(1));
+  scene.pass(4 * ROUND_TRIP_MS);
   t.is(scene.toClient.length, 6);
   t.deepEqual(scene.toClient[5]!.bytes, packets[1]);
-  scene.deliver(Flag.ack, endOf(4));
+  scene.deliver(Flag.ack, computeSequenceAfter(4));
   scene.pass(1_000);
   t.is(scene.toClient.length, 6);
   t.is(scene.agent.figures.answersRepeated, 1);
@@ -701,26 +701,26 @@
 });
 
 test('an agent drops the answers of a target that is replaced at its address', (t) => {
-  const scene = new RepairingAgentScene(true);
+  const scene = new RepairingAgentHarness(true);
   scene.open();
-  scene.send(endOf(0), DATA);
-  scene.beat('i-2');
+  scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
+  scene.sendHeartbeat('i-2');
   scene.pass(1_000);
   t.is(scene.toClient.length, 2);
 });
 
 test('an agent with answer repair switched off repeats nothing', (t) => {
-  const scene = new RepairingAgentScene(false);
+  const scene = new RepairingAgentHarness(false);
   scene.open();
-  scene.send(endOf(0), DATA);
+  scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
   scene.pass(1_000);
   t.is(scene.toClient.length, 2);
 });
 
 test('a packet that its target returns ends the repeats of its flow', (t) => {
-  const scene = new RepairingAgentScene(true);
+  const scene = new RepairingAgentHarness(true);
   scene.open();
-  scene.send(endOf(0), DATA);
+  scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
   const returned = Buffer.from(scene.toTarget.at(-1)!);
   returned[30]! |= Flag.bounced;
   scene.agent.targetDatagram(returned);
@@ -744,7 +744,7 @@
   const gaps = clients.flatMap(({ startedAt, answeredAt }) =>
     answeredAt.map((at, index) => at - (answeredAt[index - 1] ?? startedAt)),
   );
-  return gaps.filter((gap) => gap >= TARGET_TIMEOUT).length;
+  return gaps.filter((gap) => gap >= TARGET_TIMEOUT_MS).length;
 }
 
 test('over lossy links every answer comes once and whole, and fewer of them come late', (t) => {
--- a/test/bucket-directory.test.ts
+++ b/test/bucket-directory.test.ts
@@ -47,7 +47,7 @@
 }
 
 function claim(claimId: number, buckets: readonly number[]): ClaimMessage {
-  const set = BucketSet.empty();
+  const set = BucketSet.createEmpty();
   buckets.forEach((bucket) => set.add(bucket));
   return {
     type: MessageType.claim,
@@ -99,7 +99,7 @@
   );
   t.true(owned.length > 0);
   directory.answerClaim({ ...claim(1, owned), tableRevision: 0 }, CLAIMER_ENDPOINT);
-  t.deepEqual(BucketSet.decode(answersIn(sent)[0]!.refused).members(), owned);
+  t.deepEqual(BucketSet.decode(answersIn(sent)[0]!.refused).listBuckets(), owned);
   t.true(owned.every((bucket) => directory.phaseOf(bucket) === 'owned'));
 });
 
@@ -116,7 +116,7 @@
   directory.reconcile();
   directory.checkStrays();
   const asked = sent.find((message) => message.type === MessageType.claim)!;
-  const strays = BucketSet.decode(asked.buckets).members();
+  const strays = BucketSet.decode(asked.buckets).listBuckets();
   t.true(strays.length > 0 && strays.every((bucket) => directory.ownerOf(bucket) === 'target-2'));
   directory.receiveAnswer({
     type: MessageType.claimAnswer,
--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -13,8 +13,8 @@
 } from '../src/packets/packet-messages';
 import { RepairBudget } from '../src/packets/repair/repair-budget';
 import { HopReceiver } from '../src/packets/repair/hop-receiver';
-import { HopWindow, WINDOW_LENGTH } from '../src/packets/repair/hop-window';
-import { RoundTripEstimator } from '../src/packets/repair/round-trip';
+import { SequenceWindow, WINDOW_SIZE } from '../src/packets/repair/sequence-window';
+import { RoundTripEstimator } from '../src/packets/repair/round-trip-estimator';
 import { ModelFlag } from '../src/simulation/packets/model-packet-format';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { PacketWorld } from '../src/simulation/packets/packet-world';
@@ -24,14 +24,14 @@
   openModelFlows,
   startModelDeployment,
 } from '../src/simulation/packets/random-faults';
-import { HopNetwork, HopNode, loseFirst, ONE_WAY } from './support/hop-pair';
+import { HopNetwork, HopNode, dropFirst, ONE_WAY_MS } from './support/hop-pair';
 import { RouterHarness } from './support/router-harness';
 
 const BALANCER = 1;
 const AGENT = 2;
 const { deliver, notHeld, numberedDeliver, numberedRefusal, received } = PacketMessageType;
 /** Milliseconds after which no message is under way or kept any more. */
-const ALL_OVER = 1_000;
+const SETTLED_MS = 1_000;
 
 interface Pair {
   readonly network: HopNetwork;
@@ -54,29 +54,29 @@
   for (let count = 0; count < messages; count++) {
     balancer.send(AGENT, 'warm');
     agent.refuse(BALANCER, 'warm');
-    network.pass(10);
+    network.runFor(10);
   }
   network.frames.length = 0;
-  balancer.taken.length = 0;
-  agent.taken.length = 0;
+  balancer.accepted.length = 0;
+  agent.accepted.length = 0;
 }
 
 test('a lost delivery is sent once more, long before the client would, and taken once', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
-  network.isLost = loseFirst(numberedDeliver);
+  network.isLost = dropFirst(numberedDeliver);
   const sentAt = network.clock.now;
   balancer.send(AGENT);
-  network.pass(ALL_OVER);
-  const frames = balancer.sent(numberedDeliver);
+  network.runFor(SETTLED_MS);
+  const frames = balancer.findSentFrames(numberedDeliver);
   t.deepEqual(
     frames.map(({ at }) => at - sentAt),
     [0, 20],
   );
   t.deepEqual(frames[0]!.message, frames[1]!.message);
-  t.is(agent.taken.length, 1);
-  t.is(agent.taken[0]!.type, deliver);
+  t.is(agent.accepted.length, 1);
+  t.is(agent.accepted[0]!.type, deliver);
   t.is(balancer.hops.counters.hopRepeats, 1);
   t.is(agent.hops.counters.hopDuplicates, 0);
 });
@@ -85,12 +85,12 @@
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
-  network.isLost = loseFirst(received);
+  network.isLost = dropFirst(received);
   balancer.send(AGENT);
-  network.pass(ALL_OVER);
-  t.is(balancer.sent(numberedDeliver).length, 2);
-  t.is(agent.sent(received).length, 2);
-  t.is(agent.taken.length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 2);
+  t.is(agent.findSentFrames(received).length, 2);
+  t.is(agent.accepted.length, 1);
   t.is(agent.hops.counters.hopDuplicates, 1);
   t.is(balancer.hops.counters.hopRepeats, 1);
 });
@@ -99,12 +99,12 @@
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
-  network.isLost = loseFirst(numberedRefusal);
+  network.isLost = dropFirst(numberedRefusal);
   agent.refuse(BALANCER);
-  network.pass(ALL_OVER);
-  t.is(agent.sent(numberedRefusal).length, 2);
+  network.runFor(SETTLED_MS);
+  t.is(agent.findSentFrames(numberedRefusal).length, 2);
   t.deepEqual(
-    balancer.taken.map(({ type }) => type),
+    balancer.accepted.map(({ type }) => type),
     [notHeld],
   );
 });
@@ -116,9 +116,9 @@
   network.isLost = () => true;
   const sentAt = network.clock.now;
   balancer.send(AGENT);
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.deepEqual(
-    balancer.sent(numberedDeliver).map(({ at }) => at - sentAt),
+    balancer.findSentFrames(numberedDeliver).map(({ at }) => at - sentAt),
     [0, 20, 60, 140],
   );
 });
@@ -127,9 +127,9 @@
   const { network, balancer } = startPair();
   network.isLost = () => true;
   balancer.send(AGENT);
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.deepEqual(
-    balancer.sent(numberedDeliver).map(({ at }) => at),
+    balancer.findSentFrames(numberedDeliver).map(({ at }) => at),
     [0, 30, 90],
   );
 });
@@ -142,18 +142,18 @@
   balancer.send(AGENT, 'request');
   balancer.send(AGENT, '');
   balancer.send(AGENT, 'request', { searchId: 9 });
-  network.pass(ALL_OVER);
-  t.is(balancer.sent(numberedDeliver).length, 3);
-  t.is(balancer.sent(deliver).length, 3);
-  t.is(agent.taken.length, 6);
-  t.is(agent.sent(received).length, 3);
+  network.runFor(SETTLED_MS);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 3);
+  t.is(balancer.findSentFrames(deliver).length, 3);
+  t.is(agent.accepted.length, 6);
+  t.is(agent.findSentFrames(received).length, 3);
 });
 
 test('an old agent gets deliveries, an old balancer refusals, as they were', (t) => {
   const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION, SURE_SEARCH_VERSION);
   balancer.send(AGENT);
   agent.refuse(BALANCER);
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.deepEqual(
     network.frames.map(({ message }) => message.type),
     [deliver, notHeld],
@@ -163,17 +163,17 @@
 test('a balancer that numbers its packets understands numbered refusals', (t) => {
   const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION);
   balancer.send(AGENT);
-  network.pass(10);
+  network.runFor(10);
   agent.refuse(BALANCER);
-  network.pass(10);
-  t.is(agent.sent(numberedRefusal).length, 1);
-  t.is(balancer.taken.length, 1);
+  network.runFor(10);
+  t.is(agent.findSentFrames(numberedRefusal).length, 1);
+  t.is(balancer.accepted.length, 1);
 });
 
 test('a balancer whose version is told late or never keeps its compact frames', (t) => {
   const { network, agent, balancer } = startPair(FIRST_FRAME_VERSION, SURE_SEARCH_VERSION);
   balancer.send(AGENT);
-  network.pass(10);
+  network.runFor(10);
   agent.link.noteRepairs(BALANCER, FIRST_FRAME_VERSION);
   t.true(agent.link.speaksCompact(BALANCER));
   agent.link.noteRepairs(BALANCER, REPAIR_VERSION);
@@ -187,28 +187,28 @@
   silent.link.noteVersion(AGENT, REPAIR_VERSION);
   silent.send(AGENT);
   agent.refuse(BALANCER);
-  network.pass(ALL_OVER);
-  t.is(silent.sent(deliver).length, 1);
-  t.is(agent.sent(numberedRefusal).length, 1);
-  t.is(silent.sent(received).length, 1);
-  t.is(silent.taken.length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(silent.findSentFrames(deliver).length, 1);
+  t.is(agent.findSentFrames(numberedRefusal).length, 1);
+  t.is(silent.findSentFrames(received).length, 1);
+  t.is(silent.accepted.length, 1);
 });
 
 test('an agent that restarts has forgotten what came: each of its runs takes a message once', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
-  network.isLost = loseFirst(received, 2);
+  network.isLost = dropFirst(received, 2);
   balancer.send(AGENT);
-  network.pass(10);
+  network.runFor(10);
   const next = network.attach(new HopNode(AGENT, network, () => 0.75));
-  network.pass(ALL_OVER);
-  t.is(agent.taken.length, 1);
-  t.is(next.taken.length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(agent.accepted.length, 1);
+  t.is(next.accepted.length, 1);
   t.is(next.hops.counters.hopDuplicates, 1);
   balancer.send(AGENT, 'another');
-  network.pass(ALL_OVER);
-  t.is(next.taken.length, 2);
+  network.runFor(SETTLED_MS);
+  t.is(next.accepted.length, 2);
 });
 
 test('the numbers of a balancer that restarts are not taken for repeats, wherever they begin', (t) => {
@@ -224,8 +224,8 @@
     for (let count = 0; count < 30; count++) {
       next.send(AGENT, `packet ${count}`);
     }
-    network.pass(ALL_OVER);
-    t.is(agent.taken.length, 30);
+    network.runFor(SETTLED_MS);
+    t.is(agent.accepted.length, 30);
     t.is(agent.hops.counters.hopDuplicates, 0);
     t.is(next.hops.counters.hopRepeats, 0);
   }
@@ -234,11 +234,11 @@
 test('a late repeat of the run before a restart is still known for what it is', (t) => {
   const receiver = new HopReceiver();
   const before = { session: 1, sequence: 10 };
-  t.true(receiver.admit(BALANCER, before, 0));
-  t.true(receiver.admit(BALANCER, { session: 2, sequence: 10 }, 1));
-  t.false(receiver.admit(BALANCER, before, 2));
-  t.true(receiver.admit(BALANCER, { session: 1, sequence: 11 }, 3));
-  t.false(receiver.admit(BALANCER, { session: 2, sequence: 10 }, 4));
+  t.true(receiver.recordReceived(BALANCER, before, 0));
+  t.true(receiver.recordReceived(BALANCER, { session: 2, sequence: 10 }, 1));
+  t.false(receiver.recordReceived(BALANCER, before, 2));
+  t.true(receiver.recordReceived(BALANCER, { session: 1, sequence: 11 }, 3));
+  t.false(receiver.recordReceived(BALANCER, { session: 2, sequence: 10 }, 4));
 });
 
 test('an acknowledgement of the run before acknowledges nothing of the present one', (t) => {
@@ -247,14 +247,14 @@
   const { network, balancer } = pair;
   network.isLost = ({ message }) => message.type === numberedDeliver;
   balancer.send(AGENT);
-  const [frame] = balancer.sent(numberedDeliver);
+  const [frame] = balancer.findSentFrames(numberedDeliver);
   const { message } = frame!;
   if (message.type === numberedDeliver) {
     const { session, sequence } = message;
     const late = { type: received, session: session + 1, sequences: [sequence] } as const;
-    t.is(balancer.hops.unpack(AGENT, late), undefined);
+    t.is(balancer.hops.receive(AGENT, late), undefined);
   }
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.is(balancer.hops.counters.hopRepeats, 3);
 });
 
@@ -265,8 +265,8 @@
   network.isLost = () => true;
   balancer.isReachable = false;
   balancer.send(AGENT);
-  network.pass(ALL_OVER);
-  t.is(balancer.sent(numberedDeliver).length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 1);
   t.is(balancer.hops.counters.hopRepeatsSuppressed, 3);
 });
 
@@ -277,15 +277,15 @@
   network.isLost = () => true;
   for (let count = 0; count < 50; count++) {
     balancer.send(AGENT);
-    network.pass(5);
+    network.runFor(5);
   }
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.is(balancer.hops.counters.hopRepeats, 6);
-  network.isLost = loseFirst(numberedDeliver);
+  network.isLost = dropFirst(numberedDeliver);
   balancer.send(AGENT, 'lost');
   balancer.send(AGENT, 'not lost');
-  network.pass(ALL_OVER);
-  t.is(agent.taken.length, 2);
+  network.runFor(SETTLED_MS);
+  t.is(agent.accepted.length, 2);
   t.is(balancer.hops.counters.hopRepeats, 7);
 });
 
@@ -297,11 +297,11 @@
   for (let count = 0; count < 10; count++) {
     balancer.send(AGENT, `packet ${count}`);
   }
-  network.pass(50);
+  network.runFor(50);
   network.isLost = () => false;
   balancer.send(AGENT, 'after the cut');
-  network.pass(ALL_OVER);
-  t.is(agent.taken.length, 11);
+  network.runFor(SETTLED_MS);
+  t.is(agent.accepted.length, 11);
 });
 
 test('repeats never go beyond the budget, which is told at most once a second', (t) => {
@@ -315,9 +315,9 @@
     const other = AGENT + 1 + count;
     balancer.link.noteVersion(other, REPAIR_VERSION);
     balancer.send(other);
-    network.pass(2);
+    network.runFor(2);
   }
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   const { hopRepeats, hopRepeatsSuppressed } = balancer.hops.counters;
   const seconds = (messages * 2 + 200) / 1_000;
   t.true(hopRepeats <= 20 + messages / 10 + 10 * seconds, `${hopRepeats} repeats`);
@@ -331,7 +331,7 @@
   const budget = new RepairBudget();
   const takeAll = (now: number): number => {
     let taken = 0;
-    while (budget.take(now)) {
+    while (budget.takeToken(now)) {
       taken++;
     }
     return taken;
@@ -339,7 +339,7 @@
   t.is(takeAll(0), 20);
   t.is(takeAll(500), 5);
   for (let count = 0; count < 35; count++) {
-    budget.noteSent();
+    budget.recordMessage();
   }
   t.is(takeAll(500), 3);
   t.is(takeAll(1_000_000), 20);
@@ -351,25 +351,25 @@
   const { network, balancer } = pair;
   balancer.send(AGENT);
   balancer.pause(70);
-  network.pass(ALL_OVER);
-  t.is(balancer.sent(numberedDeliver).length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 1);
 });
 
 test('a process whose timers are always late repeats what is lost all the same', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
-  network.isLost = loseFirst(numberedDeliver);
+  network.isLost = dropFirst(numberedDeliver);
   balancer.send(AGENT);
-  network.pass(10);
+  network.runFor(10);
   // Longer than a timer may be late, from a time on that makes each timer late.
   const turn = 20;
   for (let elapsed = 0; elapsed < 100; elapsed += turn) {
     balancer.pause(turn);
-    network.pass(turn);
+    network.runFor(turn);
   }
-  t.is(balancer.sent(numberedDeliver).length, 2);
-  t.is(agent.taken.length, 1);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 2);
+  t.is(agent.accepted.length, 1);
 });
 
 test('nothing is repeated for a node that has come back with an earlier version', (t) => {
@@ -379,12 +379,12 @@
   network.isLost = () => true;
   balancer.send(AGENT);
   agent.refuse(BALANCER);
-  network.pass(10);
+  network.runFor(10);
   balancer.link.noteVersion(AGENT, SURE_SEARCH_VERSION);
   agent.link.noteRepairs(BALANCER, FIRST_FRAME_VERSION);
-  network.pass(ALL_OVER);
-  t.is(balancer.sent(numberedDeliver).length, 1);
-  t.is(agent.sent(numberedRefusal).length, 1);
+  network.runFor(SETTLED_MS);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 1);
+  t.is(agent.findSentFrames(numberedRefusal).length, 1);
 });
 
 test('timers end with the node', (t) => {
@@ -392,15 +392,15 @@
   network.isLost = () => true;
   balancer.send(AGENT);
   agent.refuse(BALANCER);
-  network.pass(1.5);
+  network.runFor(1.5);
   balancer.hops.stop();
   agent.hops.stop();
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   t.is(network.frames.length, 2);
 });
 
 test('a window tells repeats from numbers that come out of order', (t) => {
-  const window = new HopWindow();
+  const window = new SequenceWindow();
   const numbers = [100, 103, 101, 103, 102, 100, 101, 90, 90];
   t.deepEqual(
     numbers.map((number) => window.add(number)),
@@ -409,7 +409,7 @@
 });
 
 test('a window goes on where 32 bits wrap, and forgets what lies far behind', (t) => {
-  const window = new HopWindow();
+  const window = new SequenceWindow();
   t.true(window.add(0xffff_fffe));
   t.true(window.add(1));
   t.true(window.add(0xffff_ffff));
@@ -418,18 +418,18 @@
     [0xffff_fffe, 0xffff_ffff, 0, 1].map((number) => window.add(number)),
     [false, false, false, false],
   );
-  t.true(window.add(WINDOW_LENGTH));
+  t.true(window.add(WINDOW_SIZE));
   t.false(window.add(1));
   t.true(window.add(2));
   t.false(window.add(0), 'so far behind that nothing tells');
-  t.true(window.add(5 * WINDOW_LENGTH));
-  t.true(window.add(5 * WINDOW_LENGTH - 1));
-  t.false(window.add(WINDOW_LENGTH));
+  t.true(window.add(5 * WINDOW_SIZE));
+  t.true(window.add(5 * WINDOW_SIZE - 1));
+  t.false(window.add(WINDOW_SIZE));
 });
 
 test('a window agrees with a set of all numbers, in any order within its length', (t) => {
   const random = new SeededRandom(9);
-  const window = new HopWindow();
+  const window = new SequenceWindow();
   const seen = new Set<number>();
   let highest = 0xffff_f000;
   for (let round = 0; round < 20_000; round++) {
@@ -446,45 +446,45 @@
   const balancer = network.attach(new HopNode(BALANCER, network, () => draws.shift() ?? 0));
   const agent = network.attach(new HopNode(AGENT, network, () => 0));
   balancer.link.noteVersion(AGENT, REPAIR_VERSION);
-  network.isLost = loseFirst(numberedDeliver, 3);
+  network.isLost = dropFirst(numberedDeliver, 3);
   ['one', 'two', 'three'].forEach((data) => balancer.send(AGENT, data));
-  network.pass(ALL_OVER);
+  network.runFor(SETTLED_MS);
   const sequences = balancer
-    .sent(numberedDeliver)
+    .findSentFrames(numberedDeliver)
     .map(({ message }) => message.type === numberedDeliver && message.sequence);
   t.deepEqual(sequences, [0xffff_ffff, 0, 1, 0xffff_ffff, 0, 1]);
-  t.is(agent.taken.length, 3);
+  t.is(agent.accepted.length, 3);
 });
 
 test('windows are bounded in number and dropped after a while', (t) => {
   const receiver = new HopReceiver();
   const number = { session: 1, sequence: 1 };
   for (let peer = 0; peer < 20_001; peer++) {
-    receiver.admit(peer, number, 0);
+    receiver.recordReceived(peer, number, 0);
   }
-  t.false(receiver.admit(20_000, number, 1));
-  t.true(receiver.admit(0, number, 1), 'the one noted first is forgotten');
+  t.false(receiver.recordReceived(20_000, number, 1));
+  t.true(receiver.recordReceived(0, number, 1), 'the one noted first is forgotten');
   receiver.expire(29_000);
-  t.false(receiver.admit(20_000, number, 29_000));
+  t.false(receiver.recordReceived(20_000, number, 29_000));
   receiver.expire(59_001);
-  t.true(receiver.admit(20_000, number, 59_001));
+  t.true(receiver.recordReceived(20_000, number, 59_001));
 });
 
 test('round trips are estimated as RFC 6298 says, within bounds', (t) => {
-  const estimator = new RoundTripEstimator({ initial: 30, floor: 5, ceiling: 100 });
+  const estimator = new RoundTripEstimator({ initial: 30, minimum: 5, maximum: 100 });
   t.is(estimator.smoothed, undefined);
   t.is(estimator.timeout, 30);
-  estimator.sample(8);
+  estimator.addSample(8);
   t.is(estimator.smoothed, 8);
   t.is(estimator.timeout, 8 + 4 * 4);
-  estimator.sample(16);
+  estimator.addSample(16);
   t.is(estimator.smoothed, 9);
   t.is(estimator.timeout, 9 + 4 * 5);
   for (let count = 0; count < 100; count++) {
-    estimator.sample(1);
+    estimator.addSample(1);
   }
   t.is(estimator.timeout, 5);
-  estimator.sample(10_000);
+  estimator.addSample(10_000);
   t.is(estimator.timeout, 100);
 });
 
@@ -492,20 +492,20 @@
   const pair = startPair();
   warmUp(pair, 50);
   const { network, balancer } = pair;
-  const before = balancer.hops.roundTripTo(AGENT)!;
-  t.true(Math.abs(before - 2 * ONE_WAY) < 0.5, `${before} ms`);
-  t.is(balancer.hops.roundTripTo(AGENT + 1), undefined);
+  const before = balancer.hops.getRoundTrip(AGENT)!;
+  t.true(Math.abs(before - 2 * ONE_WAY_MS) < 0.5, `${before} ms`);
+  t.is(balancer.hops.getRoundTrip(AGENT + 1), undefined);
   // The way becomes slower than the timeout at once.
   network.delay = 13;
   const sentAt = network.clock.now;
   balancer.send(AGENT);
-  network.pass(100);
-  t.is(balancer.sent(numberedDeliver).length, 2);
-  t.is(balancer.hops.roundTripTo(AGENT), before);
+  network.runFor(100);
+  t.is(balancer.findSentFrames(numberedDeliver).length, 2);
+  t.is(balancer.hops.getRoundTrip(AGENT), before);
   balancer.send(AGENT);
-  network.pass(100);
-  t.is(balancer.sent(numberedDeliver).filter(({ at }) => at > sentAt).length, 2);
-  t.true(balancer.hops.roundTripTo(AGENT)! > before);
+  network.runFor(100);
+  t.is(balancer.findSentFrames(numberedDeliver).filter(({ at }) => at > sentAt).length, 2);
+  t.true(balancer.hops.getRoundTrip(AGENT)! > before);
 });
 
 /** Signs any body, as a faulty program with the right key would. */
@@ -603,7 +603,7 @@
     const { searchId, payload } = message;
     const refusal = { type: numberedRefusal, ...NUMBER, searchId, reason: 1, payload } as const;
     for (let copy = 0; copy < 2; copy++) {
-      const unpacked = harness.hops.unpack(to, refusal);
+      const unpacked = harness.hops.receive(to, refusal);
       if (unpacked?.type === notHeld) {
         harness.router.refused(to, unpacked);
       }
@@ -615,7 +615,7 @@
   t.is(harness.sent.filter(({ message: { type } }) => type === received).length, 2);
 });
 
-function sumOf(world: PacketWorld, counter: 'hopRepeats' | 'hopDuplicates'): number {
+function sumCounter(world: PacketWorld, counter: 'hopRepeats' | 'hopDuplicates'): number {
   const nodes = [...world.balancers, ...world.agents];
   return nodes.reduce((sum, { node }) => sum + node.figures[counter], 0);
 }
@@ -626,7 +626,7 @@
     world.repairHops = repairHops;
     startModelDeployment(world);
     const lossy = world.agents.map(({ name }) => name);
-    loseBetween(world, new Set([...lossy, ...world.balancers.map(({ name }) => name)]), 0.03);
+    addLossBetween(world, new Set([...lossy, ...world.balancers.map(({ name }) => name)]), 0.03);
     const flows = Array.from({ length: 300 }, () => {
       const flow = world.openFlow(MAP_DESTINATION, 1, 0);
       world.runFor(20);
@@ -634,7 +634,7 @@
     });
     world.runFor(5_000);
     t.is(countViolations(world), 0);
-    t.is(sumOf(world, 'hopRepeats') > 0, repairHops);
+    t.is(sumCounter(world, 'hopRepeats') > 0, repairHops);
     return flows.filter(({ answeredAt, startedAt }) => !(answeredAt[0]! - startedAt < 190)).length;
   };
   const without = openingsLate(false);
@@ -644,7 +644,7 @@
 });
 
 /** Loses a part of the datagrams among some processes. */
-function loseBetween(world: PacketWorld, names: ReadonlySet<string>, part: number): void {
+function addLossBetween(world: PacketWorld, names: ReadonlySet<string>, part: number): void {
   const { network, random } = world;
   const isCut = network.isCut.bind(network);
   network.isCut = (sender, receiver) => {
@@ -669,8 +669,8 @@
     world.startBalancer(world.balancers[0]!);
     world.runFor(20_000);
     t.is(countViolations(world), 0);
-    t.true(sumOf(world, 'hopRepeats') > 0);
-    t.true(sumOf(world, 'hopDuplicates') > 0);
+    t.true(sumCounter(world, 'hopRepeats') > 0);
+    t.true(sumCounter(world, 'hopDuplicates') > 0);
     const done = world.clients.filter(({ state }) => state === 'done').length;
     t.true(done >= 55, `${done} of 60 flows done`);
   }
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -11,12 +11,12 @@
   type SearchCandidate,
 } from '../src/packets/locality/candidate-order';
 import { DistanceProbes } from '../src/packets/locality/distance-probes';
-import { FlowBytes } from '../src/packets/locality/flow-bytes';
-import { DEFAULT_FLOW_BYTES, FlowTraffic } from '../src/packets/locality/flow-traffic';
+import { MeanFlowBytes } from '../src/packets/locality/mean-flow-bytes';
+import { DEFAULT_FLOW_BYTES, ServiceFlowBytes } from '../src/packets/locality/service-flow-bytes';
 import { SpillReason } from '../src/packets/locality/spill';
-import { SpillWatch } from '../src/packets/locality/spill-watch';
+import { SpillMonitor } from '../src/packets/locality/spill-monitor';
 import { ConstantCosts, MeasuredCosts } from '../src/packets/locality/transfer-costs';
-import { DEFAULT_DISTANCE, ZoneDistances } from '../src/packets/locality/zone-distances';
+import { DEFAULT_DISTANCE_MS, ZoneDistances } from '../src/packets/locality/zone-distances';
 import { checkPacketSettings } from '../src/packets/packet-settings';
 import {
   PacketMessageType,
@@ -44,7 +44,7 @@
   }));
 }
 
-function entryWith(address: number, fields: Partial<ReportMessage>): AgentEntry {
+function createEntry(address: number, fields: Partial<ReportMessage>): AgentEntry {
   return new AgentDirectory().hear(address, createReport(fields), 0)!;
 }
 
@@ -52,33 +52,33 @@
   const random = new SeededRandom(3);
   const distances = new ZoneDistances('north');
   for (let sample = 0; sample < 15; sample++) {
-    distances.add('north', 0.4 + 30 * random.next() ** 3, sample * 2_000);
-    distances.add('south', 9.2 + 30 * random.next() ** 3, sample * 2_000);
+    distances.addSample('north', 0.4 + 30 * random.next() ** 3, sample * 2_000);
+    distances.addSample('south', 9.2 + 30 * random.next() ** 3, sample * 2_000);
   }
-  t.true(Math.abs(distances.distanceOf('south') - 8.8) < 0.6, `${distances.distanceOf('south')}`);
-  t.is(distances.distanceOf('north'), 0);
-  t.is(distances.largest, distances.distanceOf('south'));
+  t.true(Math.abs(distances.getDistance('south') - 8.8) < 0.6, `${distances.getDistance('south')}`);
+  t.is(distances.getDistance('north'), 0);
+  t.is(distances.largestDistance, distances.getDistance('south'));
 });
 
 test('a zone is at a default distance until sampled, and never nearer than the own one', (t) => {
   const distances = new ZoneDistances('north');
-  t.is(distances.distanceOf('south'), DEFAULT_DISTANCE);
-  t.is(distances.largest, 0);
-  distances.add('south', 0.3, 0);
-  t.is(distances.distanceOf('south'), 0.3, 'no agent of the own zone has answered');
-  distances.add('north', 0.5, 0);
-  t.is(distances.distanceOf('south'), 0);
+  t.is(distances.getDistance('south'), DEFAULT_DISTANCE_MS);
+  t.is(distances.largestDistance, 0);
+  distances.addSample('south', 0.3, 0);
+  t.is(distances.getDistance('south'), 0.3, 'no agent of the own zone has answered');
+  distances.addSample('north', 0.5, 0);
+  t.is(distances.getDistance('south'), 0);
 });
 
 test('a longer route shows once the samples before have aged; a silent zone stays as it was', (t) => {
   const distances = new ZoneDistances('north');
-  distances.add('south', 2, 0);
-  distances.add('east', 3, 0);
-  distances.add('south', 9, 20_000);
-  t.is(distances.distanceOf('south'), 2);
-  distances.add('south', 9, 40_000);
-  t.is(distances.distanceOf('south'), 9);
-  t.is(distances.distanceOf('east'), 3);
+  distances.addSample('south', 2, 0);
+  distances.addSample('east', 3, 0);
+  distances.addSample('south', 9, 20_000);
+  t.is(distances.getDistance('south'), 2);
+  distances.addSample('south', 9, 40_000);
+  t.is(distances.getDistance('south'), 9);
+  t.is(distances.getDistance('east'), 3);
 });
 
 /** Probes of a directory, with what has been sent. */
@@ -110,10 +110,10 @@
       directory.hear(agent, { ...report!, sequence: report!.sequence + 1 }, now);
     }
     const before = sent.length;
-    probes.run(now);
+    probes.sendDueProbes(now);
     for (const { agent, probe } of sent.slice(before)) {
       const reply = { type: PacketMessageType.distanceReply, sentAt: probe.sentAt } as const;
-      probes.take(agent, reply, now + (agent === 3 ? 9 : 1));
+      probes.handleReply(agent, reply, now + (agent === 3 ? 9 : 1));
     }
   }
   t.deepEqual(
@@ -127,21 +127,21 @@
       [2, 6_500],
     ],
   );
-  t.is(distances.distanceOf('south'), 8);
+  t.is(distances.getDistance('south'), 8);
 });
 
 test('lost probes are followed by others; replies to earlier ones or of others say nothing', (t) => {
   const { distances, probes, sent } = startProbes([{ frameVersion: 5, zone: 'south' }]);
-  probes.run(0);
-  probes.run(250);
+  probes.sendDueProbes(0);
+  probes.sendDueProbes(250);
   t.is(sent.length, 2);
   const type = PacketMessageType.distanceReply;
-  probes.take(1, { type, sentAt: 0 }, 400);
-  probes.take(2, { type, sentAt: 250 }, 400);
+  probes.handleReply(1, { type, sentAt: 0 }, 400);
+  probes.handleReply(2, { type, sentAt: 250 }, 400);
   t.is(distances.zonesMeasured, 0);
-  probes.take(1, { type, sentAt: 250 }, 259);
-  probes.take(1, { type, sentAt: 250 }, 250);
-  t.is(distances.distanceOf('south'), 9, 'a reply counts once');
+  probes.handleReply(1, { type, sentAt: 250 }, 259);
+  probes.handleReply(1, { type, sentAt: 250 }, 250);
+  t.is(distances.getDistance('south'), 9, 'a reply counts once');
 });
 
 test('a zone whose replies take long is measured, by probes that grow rarer', (t) => {
@@ -151,11 +151,11 @@
     const { report } = directory.find(1)!;
     directory.hear(1, { ...report!, sequence: report!.sequence + 1 }, now);
     for (const { probe } of sent.filter(({ probe: { sentAt } }) => sentAt === now - 750)) {
-      probes.take(1, { type, sentAt: probe.sentAt }, now);
+      probes.handleReply(1, { type, sentAt: probe.sentAt }, now);
     }
-    probes.run(now);
+    probes.sendDueProbes(now);
   }
-  t.is(distances.distanceOf('south'), 750);
+  t.is(distances.getDistance('south'), 750);
   t.deepEqual(
     sent.slice(0, 4).map(({ probe }) => probe.sentAt),
     [0, 250, 750, 1_750],
@@ -168,8 +168,8 @@
     { frameVersion: 1, zone: 'south' },
     { frameVersion: 5, zone: 'east', state: TargetState.agentRestarting },
   ]);
-  probes.run(0);
-  probes.run(2_000);
+  probes.sendDueProbes(0);
+  probes.sendDueProbes(2_000);
   t.deepEqual(sent, []);
 });
 
@@ -251,18 +251,18 @@
   });
 }
 
-function packetOf(length: number, opens = false): FlowPacket {
+function createPacket(length: number, opens = false): FlowPacket {
   return { bytes: Buffer.alloc(length), opens } as FlowPacket;
 }
 
 test('an agent tells the mean bytes of its flows of late', (t) => {
-  const traffic = new FlowBytes();
+  const traffic = new MeanFlowBytes();
   const carry = (flows: number, answer: number): void => {
     for (let flow = 0; flow < flows; flow++) {
-      traffic.delivered(packetOf(31, true));
-      traffic.sent(packetOf(31, true));
-      traffic.delivered(packetOf(100));
-      traffic.sent(packetOf(answer));
+      traffic.addClientPacket(createPacket(31, true));
+      traffic.addTargetPacket(createPacket(31, true));
+      traffic.addClientPacket(createPacket(100));
+      traffic.addTargetPacket(createPacket(answer));
     }
   };
   carry(3, 838);
@@ -277,15 +277,15 @@
 
 test('bytes of a service are the mean of its agents that tell them, kept for a moment', (t) => {
   const directory = new AgentDirectory();
-  const traffic = new FlowTraffic(directory);
+  const traffic = new ServiceFlowBytes(directory);
   directory.hear(1, createReport(), 0);
-  t.is(traffic.bytesOf('map', 0), DEFAULT_FLOW_BYTES);
+  t.is(traffic.getMeanBytes('map', 0), DEFAULT_FLOW_BYTES);
   directory.hear(2, createReport({ flowBytes: 4_000 }), 0);
   directory.hear(3, createReport({ flowBytes: 6_000 }), 0);
   directory.hear(4, createReport({ flowBytes: 80_000, service: 'files' }), 0);
-  t.is(traffic.bytesOf('map', 50), DEFAULT_FLOW_BYTES);
-  t.is(traffic.bytesOf('map', 100), 5_000);
-  t.is(traffic.bytesOf('files', 100), 80_000);
+  t.is(traffic.getMeanBytes('map', 50), DEFAULT_FLOW_BYTES);
+  t.is(traffic.getMeanBytes('map', 100), 5_000);
+  t.is(traffic.getMeanBytes('files', 100), 80_000);
 });
 
 /** Costs in a world of one service with flows of some bytes and a zone at some distance. */
@@ -293,26 +293,26 @@
   const directory = new AgentDirectory();
   directory.hear(1, createReport({ flowBytes }), 0);
   const distances = new ZoneDistances('north');
-  distances.add('south', distance, 0);
-  return new MeasuredCosts('north', transferCost, distances, new FlowTraffic(directory));
+  distances.addSample('south', distance, 0);
+  return new MeasuredCosts('north', transferCost, distances, new ServiceFlowBytes(directory));
 }
 
 test('another zone costs the way there and what the bytes are worth', (t) => {
-  const south = entryWith(1, { zone: 'south', answerTime: 10 });
+  const south = createEntry(1, { zone: 'south', answerTime: 10 });
   const costOf = (bytes: number, distance: number, transferCost: number): number =>
-    Math.round(10 * createCosts(bytes, distance, transferCost).costOf(south, 0)) / 10;
+    Math.round(10 * createCosts(bytes, distance, transferCost).computeCost(south, 0)) / 10;
   t.is(costOf(5_000, 8.8, 400), 10.8, 'handshake and request each go one way');
   t.is(costOf(80_000, 8.8, 400), 58.4, 'with acknowledgements of four windows');
   t.is(costOf(80_000, 8.8, 0.001), 26.4);
   t.is(costOf(600, 0.4, 0.001), 3, 'never less than what tells equal targets apart');
-  t.is(createCosts(5_000, 8.8, 400).costOf(entryWith(1, {}), 0), 0);
+  t.is(createCosts(5_000, 8.8, 400).computeCost(createEntry(1, {}), 0), 0);
 });
 
 test('without locality each other zone costs the same part of an answer', (t) => {
   const costs = new ConstantCosts('north');
-  t.is(costs.costOf(entryWith(1, { zone: 'south', answerTime: 20 })), 3);
-  t.is(costs.costOf(entryWith(1, { zone: 'south', answerTime: 0 })), 7.5);
-  t.is(costs.costOf(entryWith(1, {})), 0);
+  t.is(costs.computeCost(createEntry(1, { zone: 'south', answerTime: 20 })), 3);
+  t.is(costs.computeCost(createEntry(1, { zone: 'south', answerTime: 0 })), 7.5);
+  t.is(costs.computeCost(createEntry(1, {})), 0);
 });
 
 test('a placement considers the home zone first, then the first of each other, nearest first', (t) => {
@@ -555,7 +555,7 @@
 });
 
 /** Two zones of equal targets with so many flows in 4 ms; the mean wait of each one's in ms. */
-function playDemand(flowsEach: readonly number[]): number[] {
+function simulateDemand(flowsEach: readonly number[]): number[] {
   const work = 16;
   const reports = Array.from({ length: 16 }, (_, index) => ({
     zone: ZONES[index % 2]!,
@@ -597,7 +597,7 @@
 
 test('the callers of a zone with twice the demand wait little longer than others', (t) => {
   // Eight targets of 16 ms bear two flows in 4 ms: the first zone has more than they can serve.
-  const [north, south] = playDemand([2.2, 1.1]) as [number, number];
+  const [north, south] = simulateDemand([2.2, 1.1]) as [number, number];
   const cost = 16;
   t.true(north - south < cost, `${north} and ${south} ms`);
   t.true(north < 2 * cost, `${north} ms`);
@@ -623,12 +623,12 @@
 });
 
 test('a service that begins or ends to spill is told, at most once a second', (t) => {
-  const watch = new SpillWatch();
+  const watch = new SpillMonitor();
   const told: { at: number; service: string; isSpilling: boolean }[] = [];
   for (let now = 0; now < 10_000; now += 10) {
     for (const service of ['map', 'tiles']) {
       const spills = now >= 3_000 && now < 6_000 && now % 50 === 0;
-      const change = watch.note(service, spills ? SpillReason.wait : undefined, now);
+      const change = watch.recordFlow(service, spills ? SpillReason.wait : undefined, now);
       if (change) {
         told.push({ at: now, service: change.service, isSpilling: change.isSpilling });
       }
--- a/test/soak/soak-client.ts
+++ b/test/soak/soak-client.ts
@@ -1,9 +1,9 @@
 /** One flow of one client of the soak, with the requests it carries one after the other. */
 import { packetFormat } from '../../platform/packet-head';
-import { endpointAddress, endpointPort } from '../../src/core/endpoint';
+import { getEndpointAddress, getEndpointPort } from '../../src/core/endpoint';
 import type { Endpoint } from '../../src/environment';
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
-import { endOf } from '../../src/packets/repair/sequence-numbers';
+import { computeEndSequence } from '../../src/packets/repair/sequence-numbers';
 import { encodePacket, Flag, HEAD_BYTES } from '../support/packet-cluster';
 import { seal } from './packet-seal';
 
@@ -86,7 +86,7 @@
     } else if (packet.opens) {
       this.opened(packet);
     } else if (packet.payloadLength > 0 && this.isWaiting(packet.acknowledgement)) {
-      this.acknowledged = endOf(packet);
+      this.acknowledged = computeEndSequence(packet);
       this.answered(bytes.toString('utf8', HEAD_BYTES), packet.ends);
     } else {
       this.acknowledge();
@@ -109,7 +109,7 @@
   private opened(packet: FlowPacket): void {
     if (this.state === 'opening') {
       this.state = 'open';
-      this.acknowledged = endOf(packet);
+      this.acknowledged = computeEndSequence(packet);
       this.acknowledge();
       this.request();
     } else {
@@ -165,8 +165,8 @@
 
   private packet(flags: number, acknowledgement: number, text: string): Buffer {
     const { client, destination } = this.plan;
-    const from = [endpointAddress(client), endpointPort(client)] as const;
-    const to = [endpointAddress(destination), endpointPort(destination)] as const;
+    const from = [getEndpointAddress(client), getEndpointPort(client)] as const;
+    const to = [getEndpointAddress(destination), getEndpointPort(destination)] as const;
     return seal(encodePacket(from, to, flags, this.sequence, acknowledgement, text));
   }
 
--- a/test/soak/soak-router.ts
+++ b/test/soak/soak-router.ts
@@ -2,7 +2,7 @@
 import { createSocket, type Socket } from 'node:dgram';
 import { request } from 'node:http';
 import { packetFormat } from '../../platform/packet-head';
-import { rendezvousScore } from '../../src/core/hashing';
+import { computeRendezvousScore } from '../../src/core/hashing';
 import type { ClusterPorts } from '../support/packet-cluster';
 
 const PROBE_INTERVAL = 500;
@@ -50,7 +50,7 @@
     const flow = packetFormat.decodeFromClient(packet)!.flow;
     const inUse = this.balancers.filter((one) => (this.misses.get(one) ?? 0) < MISSES_ALLOWED);
     const pool = inUse.length * 2 < this.balancers.length ? this.balancers : inUse;
-    const score = (one: string): number => rendezvousScore(flow, one);
+    const score = (one: string): number => computeRendezvousScore(flow, one);
     const best = pool.reduce((a, b) => (score(a) >= score(b) ? a : b));
     if (!this.isLost()) {
       this.socket.send(packet, this.ports.packets, best);
--- a/test/soak/soak-world.ts
+++ b/test/soak/soak-world.ts
@@ -6,7 +6,7 @@
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { endpointPort, formatEndpoint, packEndpoint } from '../../src/core/endpoint';
+import { getEndpointPort, formatEndpoint, packEndpoint } from '../../src/core/endpoint';
 import type { Endpoint } from '../../src/environment';
 import type { FlowKey } from '../../src/packets/flow-packet';
 import {
@@ -300,7 +300,7 @@
   }
 
   private clientAt(address: Endpoint): SoakClient | undefined {
-    return this.clients.get(endpointPort(address));
+    return this.clients.get(getEndpointPort(address));
   }
 
   private flowOpened(target: JudgedTarget, agent: string, from: Endpoint): void {
--- a/test/support/hop-pair.ts
+++ b/test/support/hop-pair.ts
@@ -14,7 +14,7 @@
 
 const KEY = { id: 1, secret: Buffer.from('a-test-key-of-the-cluster') };
 /** Milliseconds from one node to another. */
-export const ONE_WAY = 1;
+export const ONE_WAY_MS = 1;
 
 /** A frame on its way. */
 export interface SentFrame {
@@ -26,7 +26,7 @@
 
 /** One run of one node. */
 export class HopNode {
-  readonly taken: PlainMessage[] = [];
+  readonly accepted: PlainMessage[] = [];
   readonly events: EventKind[] = [];
   readonly link: PacketLink;
   readonly hops: HopRepair;
@@ -50,7 +50,7 @@
       report: (event: EventKind) => void this.events.push(event),
     };
     const transport = {
-      send: (to: Endpoint, frame: Buffer) => network.carry(address, to, frame),
+      send: (to: Endpoint, frame: Buffer) => network.transmit(address, to, frame),
     };
     this.link = new PacketLink(network.codec, transport, environment);
     this.hops = new HopRepair({
@@ -97,9 +97,9 @@
       return;
     }
     const message = this.link.receiveFrom(from, frame);
-    const unpacked = message && this.hops.unpack(from, message);
+    const unpacked = message && this.hops.receive(from, message);
     if (unpacked) {
-      this.taken.push(unpacked);
+      this.accepted.push(unpacked);
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Frames of one type that this node's address has sent. */
-  sent(type: PacketMessage['type']): SentFrame[] {
+  findSentFrames(type: PacketMessage['type']): SentFrame[] {
     return this.network.frames.filter(
       ({ from, message }) => from === this.address && message.type === type,
     );
@@ -127,7 +127,7 @@
   /** Whether a frame is lost; decided as it is sent. */
   isLost: (frame: SentFrame) => boolean = () => false;
   /** Milliseconds from one node to another. */
-  delay = ONE_WAY;
+  delay = ONE_WAY_MS;
   private readonly nodes = new Map<Endpoint, HopNode>();
 
   /** Puts a node at its address, in place of an earlier run of it. */
@@ -136,7 +136,7 @@
     return node;
   }
 
-  carry(from: Endpoint, to: Endpoint, frame: Buffer): void {
+  transmit(from: Endpoint, to: Endpoint, frame: Buffer): void {
     const message = this.codec.decode(frame).unwrap();
     const sent = { from, to, at: this.clock.now, message };
     this.frames.push(sent);
@@ -146,15 +146,15 @@
     }
   }
 
-  pass(milliseconds: number): void {
+  runFor(milliseconds: number): void {
     this.clock.runUntil(this.clock.now + milliseconds);
   }
 }
 
 /** Loses the first frames of a type, as many as given. */
-export function loseFirst(type: PacketMessage['type'], count = 1): (frame: SentFrame) => boolean {
-  let left = count;
-  return ({ message }) => message.type === type && left-- > 0;
+export function dropFirst(type: PacketMessage['type'], count = 1): (frame: SentFrame) => boolean {
+  let remaining = count;
+  return ({ message }) => message.type === type && remaining-- > 0;
 }
 
 function createPacket(data: string, flags: number): Buffer {
--- a/test/table-cache.test.ts
+++ b/test/table-cache.test.ts
@@ -7,7 +7,7 @@
 
 const RUNS = { seed: 20_261_202, numRuns: 200 };
 
-function table(index: number, rows: number): ServiceTable {
+function createTable(index: number, rows: number): ServiceTable {
   return {
     service: `service-${index}`,
     revision: 2 + index,
@@ -22,7 +22,7 @@
   };
 }
 
-const tables = Array.from({ length: 200 }, (_, index) => table(index, 6));
+const tables = Array.from({ length: 200 }, (_, index) => createTable(index, 6));
 const parts = splitDelta({ fromRevision: 0, throughRevision: 300, tables });
 
 test('parts of a delta may come in any order and more than once', (t) => {
@@ -34,7 +34,7 @@
     fc.property(order, (indexes) => {
       const cache = new TableCache();
       [...indexes, ...parts.keys()].reverse().forEach((index) => cache.apply(parts[index]!));
-      return cache.revision === 300 && [...cache.all()].length === tables.length;
+      return cache.revision === 300 && [...cache.listTables()].length === tables.length;
     }),
     RUNS,
   );
@@ -50,9 +50,9 @@
 
 test('an older table never replaces a newer one', (t) => {
   const cache = new TableCache();
-  const newer = { ...table(0, 1), revision: 9 };
+  const newer = { ...createTable(0, 1), revision: 9 };
   cache.apply({ fromRevision: 0, throughRevision: 9, tables: [newer] });
-  cache.apply({ fromRevision: 0, throughRevision: 2, tables: [table(0, 6)] });
+  cache.apply({ fromRevision: 0, throughRevision: 2, tables: [createTable(0, 6)] });
   t.is(cache.get('service-0'), newer);
   t.is(cache.revision, 9);
 });
--- a/test/table-rows.test.ts
+++ b/test/table-rows.test.ts
@@ -1,7 +1,7 @@
 /** The table as a spreadsheet: errors name line, column and reason. */
 import test from 'ava';
 import { parseEndpoint } from '../src/core/endpoint';
-import { conflictingRows, differingRows, type TableRow } from '../src/core/table';
+import { findConflictingRows, findChangedRows, type TableRow } from '../src/core/table';
 import { formatCsvTable, parseCsvTable, viewRows } from '../src/operator/table-rows';
 
 const HEADER = 'service,target,address,share,slots,connections';
@@ -50,13 +50,13 @@
   const theirs = [row('a', 2), row('b', 1), row('c', 1)];
   const mineElsewhere = [row('a', 1), row('b', 3), row('c', 1)];
   const mineSame = [row('a', 5), row('b', 1)];
-  t.deepEqual(conflictingRows(base, theirs, mineElsewhere), []);
+  t.deepEqual(findConflictingRows(base, theirs, mineElsewhere), []);
   t.deepEqual(
-    conflictingRows(base, theirs, mineSame).map((conflict) => conflict.target),
+    findConflictingRows(base, theirs, mineSame).map((conflict) => conflict.target),
     ['a'],
   );
   t.deepEqual(
-    differingRows(base, mineSame).map((change) => change.target),
+    findChangedRows(base, mineSame).map((change) => change.target),
     ['a', 'c'],
   );
 });
