--- a/src/packets/table-in-force.ts
+++ b/src/packets/active-routing-table.ts
@@ -8,12 +8,12 @@
 export type TableObserver = (table: RoutingTable, hasOtherProfiles: boolean) => void;
 
 /** The table of one balancer. */
-export class TableInForce {
+export class ActiveRoutingTable {
   private table: RoutingTable | undefined;
 
   constructor(
     private readonly environment: Environment,
-    private readonly changed: TableObserver,
+    private readonly onChanged: TableObserver,
   ) {}
 
   get current(): RoutingTable | undefined {
@@ -36,7 +36,7 @@
    * an earlier one until the operator writes again.
    * @param origin the store, or the peer that told it; for the log
    */
-  take(table: RoutingTable, origin: string): void {
+  applyIfNewer(table: RoutingTable, origin: string): void {
     const { version: inForce } = this;
     const { version, routes, unreadableRoutes = 0, routesWithoutTerms = 0 } = table;
     if (this.table && version <= inForce) {
@@ -54,6 +54,6 @@
     if (routesWithoutTerms > 0) {
       this.environment.report(Events.routeTermsMissing, { version, routesWithoutTerms });
     }
-    this.changed(table, hasOtherProfiles);
+    this.onChanged(table, hasOtherProfiles);
   }
 }
--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -6,7 +6,7 @@
  * balancer to conclude that no target holds a flow.
  */
 import type { Endpoint } from '../environment';
-import { silenceLimit } from './report-interval';
+import { computeSilenceTimeout } from './report-interval';
 import { ZoneReach } from './zone-reach';
 import {
   FlowKnowledge,
@@ -111,7 +111,7 @@
     if (entry.heardAt === undefined || entry.report?.state === TargetState.agentRestarting) {
       return false;
     }
-    return now - entry.heardAt <= silenceLimit(this.size) && !this.isZoneSilent(entry.zone, now);
+    return now - entry.heardAt <= computeSilenceTimeout(this.size) && !this.isZoneSilent(entry.zone, now);
   }
 
   /** Agents are asked for reports from now on, unless they were before. */
@@ -134,7 +134,7 @@
   /** Whether an agent is not heard, and has not been asked for reports long enough to be silent. */
   isAwaited(entry: AgentEntry, now: number): boolean {
     const isAway = entry.report?.state === TargetState.agentRestarting;
-    const isSilent = this.silenceOf(entry, now) > silenceLimit(this.size);
+    const isSilent = this.silenceOf(entry, now) > computeSilenceTimeout(this.size);
     return !isAway && !isSilent && !this.isHeard(entry, now);
   }
 
--- a/src/packets/agent-registration.ts
+++ b/src/packets/agent-registration.ts
@@ -12,16 +12,16 @@
 import type { NodeTimers } from './node-timers';
 import { ListingState, type AgentRecord, type ListingStateValue } from './packet-messages';
 
-const FIRST_RETRY = 500;
+const INITIAL_RETRY_DELAY_MS = 500;
 /** Milliseconds: a store that is back gets the entry well within the 2 s that it may be missing. */
-const LONGEST_RETRY = 1_000;
+const MAXIMUM_RETRY_DELAY_MS = 1_000;
 /**
  * Milliseconds that an agent waits for a balancer to say whether it is listed: balancers start
  * beside it, read the registry and knock ten times a second.
  */
-const LISTING_WAIT = 1_000;
+const LISTING_TIMEOUT_MS = 1_000;
 /** Milliseconds after a registration in which a balancer may not have heard of it. */
-const SPREADING_TIME = 3_000;
+const PROPAGATION_TIME_MS = 3_000;
 
 /** The registration of one agent. */
 export class AgentRegistration {
@@ -36,7 +36,7 @@
   /** Whether the registry lists this agent, as far as balancers have told. */
   private isListed: boolean | undefined;
   private registeredAt = -Infinity;
-  private registrations = 0;
+  private registryCalls = 0;
 
   constructor(
     private readonly environment: Environment,
@@ -49,23 +49,23 @@
   ) {}
 
   /** Calls made to the registry. */
-  get calls(): number {
-    return this.registrations;
+  get callCount(): number {
+    return this.registryCalls;
   }
 
   /** @param isKnown whether balancers hear of this agent before it is registered */
   start(isKnown: boolean): void {
     if (!isKnown) {
-      this.begin();
+      this.registerIfReady();
       return;
     }
-    this.waitTimer = this.environment.startTimer(LISTING_WAIT, () => this.begin());
+    this.waitTimer = this.environment.startTimer(LISTING_TIMEOUT_MS, () => this.registerIfReady());
   }
 
   /** The target has been heard: a registration that waits for it is made now. */
-  targetHeard(): void {
+  handleTargetHeard(): void {
     if (this.isDue) {
-      this.begin();
+      this.registerIfReady();
     }
   }
 
@@ -75,7 +75,7 @@
     this.isDue = true;
     this.isWithdrawn = true;
     if (this.isListed !== false) {
-      this.remove(FIRST_RETRY);
+      this.remove(INITIAL_RETRY_DELAY_MS);
     }
   }
 
@@ -85,20 +85,20 @@
   }
 
   /** A balancer says whether the registry lists this agent. */
-  takeListing(listing: ListingStateValue): void {
+  applyListingState(listing: ListingStateValue): void {
     switch (listing) {
       case ListingState.listed:
-        this.takeListed();
+        this.handleListed();
         return;
       case ListingState.missing:
         this.isListed = false;
-        this.registerAnew();
+        this.registerAgain();
         return;
       case ListingState.unknown:
     }
   }
 
-  private takeListed(): void {
+  private handleListed(): void {
     if (this.isWithdrawn) {
       return;
     }
@@ -107,17 +107,17 @@
     this.isDue = false;
   }
 
-  private registerAnew(): void {
+  private registerAgain(): void {
     const age = this.environment.now() - this.registeredAt;
-    if (!this.isCalling && age > SPREADING_TIME) {
-      this.begin();
+    if (!this.isCalling && age > PROPAGATION_TIME_MS) {
+      this.registerIfReady();
     }
   }
 
-  private begin(): void {
+  private registerIfReady(): void {
     this.isDue = this.isRemoving || !this.isTargetHeard();
     if (!this.isDue) {
-      this.register(FIRST_RETRY);
+      this.register(INITIAL_RETRY_DELAY_MS);
     }
   }
 
@@ -125,7 +125,7 @@
     this.waitTimer?.cancel();
     this.isCalling = true;
     this.isWithdrawn = false;
-    this.registrations++;
+    this.registryCalls++;
     const record = this.record();
     this.registry.register(record, (result) => {
       if (result.ok) {
@@ -134,9 +134,9 @@
         this.environment.report(Events.agentRegistered, { service: record.service });
         return;
       }
-      const next = Math.min(delay * 2, LONGEST_RETRY);
+      const next = Math.min(delay * 2, MAXIMUM_RETRY_DELAY_MS);
       const wait = delay * (0.5 + this.environment.random());
-      this.timers.once(wait, () => this.register(next));
+      this.timers.scheduleOnce(wait, () => this.register(next));
     });
   }
 
@@ -144,16 +144,16 @@
     if (this.isTargetHeard()) {
       return;
     }
-    this.registrations++;
+    this.registryCalls++;
     this.isRemoving = true;
     this.registry.remove(this.record(), undefined, (result) => {
       this.isRemoving = false;
       if (this.isTargetHeard()) {
-        this.begin();
+        this.registerIfReady();
       } else if (result.err) {
-        const next = Math.min(delay * 2, LONGEST_RETRY);
+        const next = Math.min(delay * 2, MAXIMUM_RETRY_DELAY_MS);
         const wait = delay * (0.5 + this.environment.random());
-        this.timers.once(wait, () => this.remove(next));
+        this.timers.scheduleOnce(wait, () => this.remove(next));
       }
     });
   }
--- a/src/packets/agent-reports.ts
+++ b/src/packets/agent-report-handler.ts
@@ -7,24 +7,24 @@
 import { TargetState, type ReportMessage } from './packet-messages';
 
 /** What the intake works with. */
-export interface AgentReportsDependencies {
+export interface AgentReportHandlerDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
   readonly link: PacketLink;
   /** A report names another balancer. */
   learnPeer(balancer: Endpoint): void;
   /** An agent is heard that was not: what waits for it can go there. */
-  agentReturned(agent: Endpoint): void;
+  onAgentReturned(agent: Endpoint): void;
   /** More agents are heard than before. */
-  changed(): void;
+  onHeardAgentsChanged(): void;
 }
 
 /** The intake of one balancer. */
-export class AgentReports {
-  constructor(private readonly dependencies: AgentReportsDependencies) {}
+export class AgentReportHandler {
+  constructor(private readonly dependencies: AgentReportHandlerDependencies) {}
 
   /** Takes a report; one that a later one has overtaken changes nothing. */
-  take(from: Endpoint, report: ReportMessage): void {
+  handleReport(from: Endpoint, report: ReportMessage): void {
     const { directory, environment, link, learnPeer } = this.dependencies;
     const now = environment.now();
     const known = directory.find(from);
@@ -39,36 +39,36 @@
     report.balancers.forEach((peer) => learnPeer(peer));
     // Not the first report of each agent: a balancer that starts hears all of them at once.
     if (before !== undefined && (before !== report.state || !wasHeard)) {
-      this.report(entry, report, wasHeard);
+      this.logStateChange(entry, report, wasHeard);
     }
     if (report.state === TargetState.gone && entry.registryRevision === undefined) {
       directory.forget(from);
     }
     if (wasZoneSilent) {
-      this.zoneReturned(report.zone, now);
+      this.handleZoneReturned(report.zone, now);
     } else if (!wasHeard) {
-      this.agentReturned(entry, now);
+      this.handleAgentReturned(entry, now);
     }
   }
 
   /** The way to a zone is open again: all of its agents that were heard lately are. */
-  private zoneReturned(zone: string, now: number): void {
+  private handleZoneReturned(zone: string, now: number): void {
     for (const entry of this.dependencies.directory.all()) {
       if (entry.zone === zone) {
-        this.agentReturned(entry, now);
+        this.handleAgentReturned(entry, now);
       }
     }
   }
 
-  private agentReturned(entry: AgentEntry, now: number): void {
-    const { agentReturned, changed, directory } = this.dependencies;
+  private handleAgentReturned(entry: AgentEntry, now: number): void {
+    const { onAgentReturned: agentReturned, onHeardAgentsChanged: changed, directory } = this.dependencies;
     if (directory.isHeard(entry, now)) {
       agentReturned(entry.address);
     }
     changed();
   }
 
-  private report(entry: AgentEntry, report: ReportMessage, wasHeard: boolean): void {
+  private logStateChange(entry: AgentEntry, report: ReportMessage, wasHeard: boolean): void {
     this.dependencies.environment.report(Events.agentStateSeen, {
       agent: formatEndpoint(entry.address),
       service: entry.service,
--- a/src/packets/agent-subscriptions.ts
+++ b/src/packets/agent-subscriptions.ts
@@ -9,7 +9,7 @@
   type ListingStateValue,
   type SubscribeMessage,
 } from './packet-messages';
-import { reportInterval } from './report-interval';
+import { computeReportInterval } from './report-interval';
 
 /** Milliseconds between subscriptions at an agent that is heard. */
 const SUBSCRIPTION_INTERVAL = 2_000;
@@ -97,7 +97,7 @@
     return {
       type: PacketMessageType.subscribe,
       zone: this.zone,
-      interval: reportInterval(this.directory.size),
+      interval: computeReportInterval(this.directory.size),
       listing,
       frameVersion: REPAIR_VERSION,
       ...this.eras(),
--- a/src/packets/choice/outlier-ejection.ts
+++ b/src/packets/choice/outlier-ejection.ts
@@ -9,7 +9,7 @@
 import { Events } from '../../logging/events';
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
 import { MINIMUM_ANSWERS, findOutliers, type ComparedTarget, type OutlierReason } from './outliers';
-import { reportInterval } from '../report-interval';
+import { computeReportInterval } from '../report-interval';
 import { acceptsNewFlows, type OutlierStatus } from './selection';
 
 /**
@@ -86,7 +86,7 @@
   /** Compares the targets of a service, unless it was done a moment ago. */
   compareTargets(service: string, now: number): void {
     const { directory, share } = this.dependencies;
-    const interval = reportInterval(directory.size) / COMPARISONS_PER_REPORT;
+    const interval = computeReportInterval(directory.size) / COMPARISONS_PER_REPORT;
     if (share === 0 || now - (this.comparedAt.get(service) ?? -Infinity) < interval) {
       return;
     }
@@ -201,7 +201,7 @@
       case 'suspected':
         if (!reason) {
           this.states.delete(entry);
-        } else if (now - state.since >= reportInterval(this.dependencies.directory.size)) {
+        } else if (now - state.since >= computeReportInterval(this.dependencies.directory.size)) {
           this.eject(entry, reason, now);
         }
         return;
--- a/src/packets/client-intake.ts
+++ b/src/packets/client-intake.ts
@@ -101,7 +101,7 @@
       const flow = Buffer.from(packet.flow, 'latin1');
       link.send(balancer, { type: PacketMessageType.held, flow });
       this.admit(packet, balancer, searchId);
-    } else if (tracker.isOfEnded(packet)) {
+    } else if (tracker.belongsToEndedFlow(packet)) {
       this.admit(packet, balancer, searchId);
     } else if (this.mustOffer(message.phase, packet)) {
       this.handToTarget(packet, balancer, this.pending.add(balancer, searchId, message));
@@ -113,7 +113,7 @@
   /** Tells a balancer that the target holds a flow, if it does; says nothing else. */
   tellIfHeld(flow: Buffer, balancer: Endpoint): void {
     const { link, tracker } = this.dependencies;
-    if (tracker.isHeldFor(flow.toString('latin1'), balancer)) {
+    if (tracker.confirmHeldFor(flow.toString('latin1'), balancer)) {
       link.send(balancer, { type: PacketMessageType.held, flow });
     }
   }
@@ -128,11 +128,11 @@
     const { admission, answers, counters, environment, format, health, tracker } =
       this.dependencies;
     counters.packetsReturned++;
-    tracker.returned(packet);
+    tracker.recordReturnedPacket(packet);
     answers.removeFlow(packet.flow);
-    admission.returned(packet);
+    admission.dropReturnedRequest(packet);
     if (packet.opens) {
-      health.openingReturned(environment.now());
+      health.recordReturnedOpening(environment.now());
     }
     admission.releaseWaiting(environment.now());
     const delivery = this.pending.take(format.readToken(packet.bytes));
@@ -162,14 +162,14 @@
     services: readonly string[],
   ): RefusalReasonValue | undefined {
     const { guard, isTargetMissing } = this.dependencies;
-    return isTargetMissing() ? RefusalReason.noTarget : guard.refusalOf(opens, services);
+    return isTargetMissing() ? RefusalReason.noTarget : guard.findRefusalReason(opens, services);
   }
 
   /** Whether the target holds a packet's flow, or will as soon as it has this packet. */
   private isHolderFor(packet: FlowPacket, balancer: Endpoint): boolean {
     const { knowsHandshakes, tracker } = this.dependencies;
-    const isHeld = tracker.isHeldFor(packet.flow, balancer);
-    return isHeld || (knowsHandshakes && tracker.isOpenedBy(packet, balancer));
+    const isHeld = tracker.confirmHeldFor(packet.flow, balancer);
+    return isHeld || (knowsHandshakes && tracker.confirmOpenedBy(packet, balancer));
   }
 
   /** Whether only the target itself can tell if it holds a searched packet's flow. */
@@ -182,7 +182,7 @@
       case SearchPhase.offer:
         return true;
       case SearchPhase.sure:
-        return !target.isKnownFromStart || tracker.hasSeen(flow);
+        return !target.isKnownFromStart || tracker.hasSeenFlow(flow);
     }
   }
 
@@ -224,9 +224,9 @@
       this.dependencies;
     counters.packetsDelivered++;
     flowBytes.addClientPacket(packet);
-    tracker.delivered(packet, balancer, environment.now());
+    tracker.recordDelivery(packet, balancer, environment.now());
     if (packet.opens) {
-      guard.openingDelivered();
+      guard.recordOpening();
     }
     this.reportRequest(packet, balancer);
     format.writeToken(packet.bytes, token);
@@ -244,7 +244,7 @@
         balancer: formatEndpoint(balancer),
         state: state(),
         busy: tracker.busyRequests + admission.waitingRequests,
-        priority: admission.priorityOf(packet),
+        priority: admission.getPriority(packet),
         working: tracker.workingRequests,
         waiting: admission.waitingRequests,
       });
--- a/src/packets/cold-limit.ts
+++ b/src/packets/cold-start-limiter.ts
@@ -14,10 +14,10 @@
  * Milliseconds over which openings are counted: a second, and a little more for the way from the
  * agent to its target, which may draw two openings closer together.
  */
-const WINDOW = 1_050;
+const WINDOW_MS = 1_050;
 
 /** What operators let pass beyond a service's own rate. */
-export interface ColdLimitSettings {
+export interface ColdStartLimitSettings {
   /** Times the service's rate. */
   readonly overshoot: number;
   /** New flows a second on top of that. */
@@ -25,7 +25,7 @@
 }
 
 /** The limit of one agent. */
-export class ColdLimit {
+export class ColdStartLimiter {
   /** Times of the openings of the last second, oldest first. */
   private openedAt: number[] = [];
 
@@ -36,7 +36,7 @@
   constructor(
     private readonly target: TargetLifecycle,
     private readonly profiles: ServiceProfileView,
-    private readonly settings: ColdLimitSettings | undefined,
+    private readonly settings: ColdStartLimitSettings | undefined,
     private readonly startedAt: number,
   ) {}
 
@@ -45,16 +45,16 @@
     if (!this.settings || !this.target.mayBeCold(now)) {
       return false;
     }
-    const limit = this.limit(this.settings);
-    if (limit < Infinity && this.mayLackOpenings(now)) {
+    const maximumOpenings = this.computeLimit(this.settings);
+    if (maximumOpenings < Infinity && this.mayMissOpenings(now)) {
       return true;
     }
     this.expire(now);
-    return this.openedAt.length >= limit;
+    return this.openedAt.length >= maximumOpenings;
   }
 
   /** An opening is handed to the target. */
-  opened(now: number): void {
+  recordOpening(now: number): void {
     if (this.settings) {
       this.expire(now);
       this.openedAt.push(now);
@@ -62,22 +62,22 @@
   }
 
   /** Whether an earlier run of this agent may have handed the target openings in this second. */
-  private mayLackOpenings(now: number): boolean {
-    const isNew = now - this.startedAt < WINDOW;
+  private mayMissOpenings(now: number): boolean {
+    const isNew = now - this.startedAt < WINDOW_MS;
     return isNew && !this.target.hasStartedSince(this.startedAt);
   }
 
   /** Openings a second; only what holds for any rate while no balancer has told the rate. */
-  private limit({ overshoot, slack }: ColdLimitSettings): number {
+  private computeLimit({ overshoot, slack }: ColdStartLimitSettings): number {
     if (!this.profiles.isKnown) {
       return slack;
     }
-    const rate = this.profiles.own?.coldRate ?? 0;
+    const rate = this.profiles.ownProfile?.coldRate ?? 0;
     return rate > 0 ? Math.floor(rate * overshoot + slack) : Infinity;
   }
 
   private expire(now: number): void {
-    const kept = this.openedAt.findIndex((at) => at > now - WINDOW);
+    const kept = this.openedAt.findIndex((at) => at > now - WINDOW_MS);
     this.openedAt = kept === -1 ? [] : this.openedAt.slice(kept);
   }
 }
--- a/src/packets/collection-port.ts
+++ b/src/packets/collection-port.ts
@@ -9,10 +9,10 @@
 import type { StorePosition } from './store-position';
 
 /** Receives one answer, exactly once. */
-export type Answer<T> = (result: Result<T, HallholdError>) => void;
+export type ResultCallback<T> = (result: Result<T, HallholdError>) => void;
 
 /** One item with the revision of its last change. */
-export interface Revised<T> {
+export interface RevisionedItem<T> {
   readonly name: string;
   readonly revision: number;
   readonly item: T;
@@ -20,13 +20,13 @@
 
 /** All items as of one moment of the store. */
 export interface Listing<T> extends StorePosition {
-  readonly items: readonly Revised<T>[];
+  readonly items: readonly RevisionedItem<T>[];
   /** Entries that name nothing to use: of another form, as other programs may write them. */
   readonly skipped: number;
 }
 
 /** One change; `item` is the last state for a removal. */
-export interface Change<T> extends Revised<T> {
+export interface Change<T> extends RevisionedItem<T> {
   readonly removed: boolean;
 }
 
@@ -43,12 +43,12 @@
  */
 export interface CollectionPort<T> {
   /** A whole, linearizable listing. */
-  list(answer: Answer<Listing<T>>): void;
+  list(answer: ResultCallback<Listing<T>>): void;
   /**
    * Waits so many milliseconds for changes after a moment; may answer none. Error 1205 as soon as the
    * store turns out to be of a later era than that moment, whatever else it answers.
    */
-  awaitChanges(after: StorePosition, waitTime: number, answer: Answer<Changes<T>>): void;
+  awaitChanges(after: StorePosition, waitTime: number, answer: ResultCallback<Changes<T>>): void;
 }
 
 /** Shows whether the connections to the store still carry answers. */
@@ -58,13 +58,13 @@
    * within `timeout` milliseconds all open connections are dropped, so that calls which wait on
    * them end and can be repeated.
    */
-  check(timeout: number, answer: Answer<void>): void;
+  check(timeout: number, answer: ResultCallback<void>): void;
 }
 
 /** The registry of agents. */
 export interface AgentRegistryPort extends CollectionPort<AgentRecord> {
   /** Makes the registry list an agent as given; answers when it does. */
-  register(agent: AgentRecord, answer: Answer<void>): void;
+  register(agent: AgentRecord, answer: ResultCallback<void>): void;
   /** Removes an agent if its entry is still that of a moment, or any when undefined. */
-  remove(agent: AgentRecord, entered: StorePosition | undefined, answer: Answer<void>): void;
+  remove(agent: AgentRecord, entered: StorePosition | undefined, answer: ResultCallback<void>): void;
 }
--- a/src/packets/collection-follower.ts
+++ b/src/packets/collection-watcher.ts
@@ -11,14 +11,14 @@
 import type { Changes, CollectionPort, Listing } from './collection-port';
 import { UNKNOWN_POSITION, type StorePosition } from './store-position';
 
-const FIRST_RETRY_DELAY = 150;
+const INITIAL_RETRY_DELAY_MS = 150;
 /**
  * Milliseconds that the first call after a failure waits at the store: it is answered at once, and so
  * tells at once whether the store is still the one of before.
  */
-const WAIT_AFTER_FAILURE = 1;
+const WAIT_AFTER_FAILURE_MS = 1;
 /** Milliseconds: a store that is back is noticed well within the 2 s that entries may be missing. */
-const LONGEST_RETRY_DELAY = 1_000;
+const MAXIMUM_RETRY_DELAY_MS = 1_000;
 
 /** Takes what a follower learns. */
 export interface CollectionObserver<T> {
@@ -29,7 +29,7 @@
 }
 
 /** How a follower waits for changes. */
-export interface FollowerPace {
+export interface WatchPacing {
   /** Milliseconds that a call may wait at the store. */
   readonly waitTime: number;
   /** Milliseconds from an answer with changes to the next call, in which further ones gather. */
@@ -39,16 +39,16 @@
 }
 
 /** Calls that a follower has made, for the metrics page. */
-export interface FollowerCalls {
+export interface WatchCallCounts {
   listings: number;
   watches: number;
 }
 
 /** Follower of one collection. */
-export class CollectionFollower<T> {
-  readonly calls: FollowerCalls = { listings: 0, watches: 0 };
+export class CollectionWatcher<T> {
+  readonly calls: WatchCallCounts = { listings: 0, watches: 0 };
   /** Rises with each start and stop: answers to calls of an earlier run are ignored. */
-  private run = 0;
+  private generation = 0;
   private running = false;
   private failures = 0;
   private timer: TimerHandle | undefined;
@@ -65,7 +65,7 @@
     private readonly port: CollectionPort<T>,
     private readonly environment: Environment,
     private readonly observer: CollectionObserver<T>,
-    private readonly pace: () => FollowerPace,
+    private readonly pacing: () => WatchPacing,
   ) {}
 
   get isRunning(): boolean {
@@ -80,43 +80,43 @@
   start(): void {
     if (!this.running) {
       this.running = true;
-      this.run++;
+      this.generation++;
       this.list();
     }
   }
 
   stop(): void {
     this.running = false;
-    this.run++;
+    this.generation++;
     this.failures = 0;
     this.timer?.cancel();
   }
 
   private list(): void {
-    const { run } = this;
+    const { generation: generation } = this;
     this.calls.listings++;
     this.port.list((result) => {
-      if (run !== this.run) {
+      if (generation !== this.generation) {
         return;
       }
       if (result.err) {
         this.retry(result.val, () => this.list());
         return;
       }
-      this.succeeded();
-      this.notePosition(result.val);
+      this.recordSuccess();
+      this.recordPosition(result.val);
       const { era, items, revision, skipped } = result.val;
       const listed = { collection: this.name, era, revision, items: items.length };
       this.environment.report(Events.storeListed, listed);
-      this.noteSkipped(skipped);
+      this.reportSkipped(skipped);
       this.observer.listed(result.val);
-      this.goOn(result.val, this.pace().firstPause, run);
+      this.scheduleWatch(result.val, this.pacing().firstPause, generation);
     });
   }
 
   /** An observer may have stopped this follower by what it was told. */
-  private goOn(after: StorePosition, pause: number, run: number): void {
-    if (run !== this.run) {
+  private scheduleWatch(after: StorePosition, pause: number, generation: number): void {
+    if (generation !== this.generation) {
       return;
     }
     if (pause === 0) {
@@ -127,23 +127,23 @@
   }
 
   private watch(after: StorePosition): void {
-    const { run } = this;
+    const { generation: generation } = this;
     this.calls.watches++;
-    const waitTime = this.failures > 0 ? WAIT_AFTER_FAILURE : this.pace().waitTime;
+    const waitTime = this.failures > 0 ? WAIT_AFTER_FAILURE_MS : this.pacing().waitTime;
     this.port.awaitChanges(after, waitTime, (result) => {
-      if (run !== this.run) {
+      if (generation !== this.generation) {
         return;
       }
       if (result.ok) {
-        this.succeeded();
+        this.recordSuccess();
         this.isListingForEra = false;
-        this.notePosition(result.val);
-        this.noteSkipped(result.val.skipped);
+        this.recordPosition(result.val);
+        this.reportSkipped(result.val.skipped);
         this.observer.changed(result.val);
-        this.goOn(result.val, result.val.changes.length > 0 ? this.pace().pause : 0, run);
+        this.scheduleWatch(result.val, result.val.changes.length > 0 ? this.pacing().pause : 0, generation);
         return;
       }
-      this.watchFailed(result.val, after);
+      this.handleWatchFailure(result.val, after);
     });
   }
 
@@ -151,19 +151,19 @@
    * After a return from a copy everything is listed at once, since a change of the table may already
    * be waiting; a second time in a row only after a pause.
    */
-  private watchFailed(error: HallholdError, after: StorePosition): void {
-    const hasReturned = error.resultCode === ResultCodes.storeEraChanged;
-    if (hasReturned && !this.isListingForEra) {
+  private handleWatchFailure(error: HallholdError, after: StorePosition): void {
+    const hasEraChanged = error.resultCode === ResultCodes.storeEraChanged;
+    if (hasEraChanged && !this.isListingForEra) {
       this.isListingForEra = true;
       this.list();
       return;
     }
-    const mustList = hasReturned || error.resultCode === ResultCodes.storeWatchExpired;
+    const mustList = hasEraChanged || error.resultCode === ResultCodes.storeWatchExpired;
     this.retry(error, mustList ? () => this.list() : () => this.watch(after));
   }
 
   /** Reports when the store is another one than before. */
-  private notePosition({ era, revision }: StorePosition): void {
+  private recordPosition({ era, revision }: StorePosition): void {
     const before = this.position;
     this.position = { era, revision };
     if (before.era !== era && before !== UNKNOWN_POSITION) {
@@ -177,7 +177,7 @@
   }
 
   /** A listing without such entries is worth no line, nor are the same ones at each listing. */
-  private noteSkipped(skipped: number): void {
+  private reportSkipped(skipped: number): void {
     if (skipped > 0 && skipped !== this.skipped) {
       this.environment.report(Events.entriesSkipped, { collection: this.name, skipped });
     }
@@ -194,13 +194,13 @@
         reason: `${name}: ${error.message}`,
       });
     }
-    const ceiling = Math.min(LONGEST_RETRY_DELAY, FIRST_RETRY_DELAY * 2 ** (this.failures - 1));
+    const ceiling = Math.min(MAXIMUM_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** (this.failures - 1));
     const delay = ceiling * (0.5 + this.environment.random() / 2);
     this.timer = this.environment.startTimer(delay, action);
     this.observer.failed?.();
   }
 
-  private succeeded(): void {
+  private recordSuccess(): void {
     if (this.failures > 0) {
       const { failures } = this;
       this.environment.report(Events.storeRegained, { collection: this.name, failures });
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -17,7 +17,7 @@
 import type { PacketLink } from './packet-link';
 import { PacketMessageType, TERMS_VERSION } from './packet-messages';
 import type { PacketOutlet } from './packet-outlet';
-import { servicesOf, type Route, type RoutingTable } from './routing-table';
+import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 import { ServiceRotation } from './service-rotation';
 import { findLessUrgentRoutes, getTerms } from './terms/route-terms';
 import { SentTermsTracker } from './terms/sent-terms-tracker';
@@ -94,7 +94,7 @@
     const now = environment.now();
     const known = cache.use(packet.flow, now);
     if (known?.confirmed) {
-      outlet.deliver(packet, servicesOf(route), known.agent, 0);
+      outlet.deliver(packet, getServiceNames(route), known.agent, 0);
       return;
     }
     const service = known?.service ?? this.rotation.next(route);
@@ -107,7 +107,7 @@
   resume(packet: FlowPacket, route: Route): FlowSearch {
     const { cache, environment, searches } = this.dependencies;
     const now = environment.now();
-    const services = servicesOf(route);
+    const services = getServiceNames(route);
     const opened = cache.use(packet.flow, now)?.service;
     const service = opened !== undefined && services.includes(opened) ? opened : services[0]!;
     return searches.beginOpening(packet.flow, route, [service], now);
--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -22,7 +22,7 @@
   type NotHeldMessage,
 } from './packet-messages';
 import { PacketOutlet, type PacketOutletDependencies, type RoutingCounters } from './packet-outlet';
-import { servicesOf, type Route, type RoutingTable } from './routing-table';
+import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 
 /** Milliseconds for which it is remembered who has refused a flow. */
 const SEARCH_LIFETIME = 10_000;
@@ -102,7 +102,7 @@
     const route = this.routes?.get(packet.destination);
     const isKnown = this.dependencies.directory.find(agent) !== undefined;
     if (route && !packet.opens && isKnown) {
-      this.outlet.deliver(packet, servicesOf(route), agent, 0);
+      this.outlet.deliver(packet, getServiceNames(route), agent, 0);
       return;
     }
     if (!isKnown) {
@@ -186,7 +186,7 @@
     this.searches.forgetFlow(flow);
     this.dependencies.cache.confirm(flow, agent, this.dependencies.environment.now());
     for (const { packet, route } of this.holders.takeWaiting(flow)) {
-      this.outlet.deliver(packet, servicesOf(route), agent, 0);
+      this.outlet.deliver(packet, getServiceNames(route), agent, 0);
     }
   }
 
@@ -227,7 +227,7 @@
       this.placement.notePacket(packet, known.use);
     }
     if (known && directory.find(known.agent)) {
-      this.outlet.deliver(packet, servicesOf(route), known.agent, 0);
+      this.outlet.deliver(packet, getServiceNames(route), known.agent, 0);
     } else {
       this.holders.find(packet, route);
     }
--- a/src/packets/flow-tracker.ts
+++ b/src/packets/flow-tracker.ts
@@ -10,28 +10,28 @@
 /** Flows tracked at once; the least recently used one is dropped beyond that. */
 const MAXIMUM_FLOWS = 20_000;
 /** Milliseconds after which a request without an answer counts as failed. */
-const REQUEST_TIMEOUT = 1_500;
+const REQUEST_TIMEOUT_MS = 1_500;
 
 /** One flow. */
 interface TrackedFlow {
   /** The balancer that sent its latest packet; undefined before the first. */
   balancer: Endpoint | undefined;
   /** The balancer that was last told that the target holds the flow. */
-  told: Endpoint | undefined;
+  notifiedBalancer: Endpoint | undefined;
   /** The target has sent something that only the holder of an open flow sends. */
-  held: boolean;
+  isHeld: boolean;
   /** The target has ended the flow; its last packets may still pass. */
-  ended: boolean;
+  hasEnded: boolean;
   /** A request has been delivered and its answer has not begun. */
-  busy: boolean;
+  isBusy: boolean;
   /** That request is complete, so that the target works on it or has it waiting. */
-  working: boolean;
+  isWorking: boolean;
   /** Time at which that request was delivered. */
   busySince: number;
   /** Sequence number of the target's answer to an opening packet; undefined before it. */
   openingSequence: number | undefined;
   /** Sequence number behind all that the target has sent; undefined before any. */
-  sentUntil: number | undefined;
+  sentEnd: number | undefined;
   /** Highest sequence number of data delivered, to tell repeats; undefined before any. */
   lastSequence: number | undefined;
   usedAt: number;
@@ -40,38 +40,38 @@
 /** Flows of one target. */
 export class FlowTracker {
   private readonly flows = new Map<FlowKey, TrackedFlow>();
-  private busy = 0;
-  private working = 0;
-  private held = 0;
-  private readonly clock: ServiceTimeTracker<TrackedFlow>;
+  private busyCount = 0;
+  private workingCount = 0;
+  private heldCount = 0;
+  private readonly serviceTimes: ServiceTimeTracker<TrackedFlow>;
   /** The latest time that the tracker was told. */
-  private lastTold = 0;
+  private lastUpdateAt = 0;
 
   /** @param slots requests that the target works on at a time; 0 while unknown */
   constructor(slots: () => number = () => 0) {
-    this.clock = new ServiceTimeTracker(slots);
+    this.serviceTimes = new ServiceTimeTracker(slots);
   }
 
   /** Requests that have begun to arrive at the target and have no answer yet. */
   get busyRequests(): number {
-    return this.busy;
+    return this.busyCount;
   }
 
   /** Complete requests that the target works on or has waiting. */
   get workingRequests(): number {
-    return this.working;
+    return this.workingCount;
   }
 
   /** Flows that the target is known to hold. */
   get openFlows(): number {
-    return this.held;
+    return this.heldCount;
   }
 
   /** A client's packet is about to be delivered. */
-  delivered(packet: FlowPacket, balancer: Endpoint, now: number): void {
-    const flow = this.flowOf(packet.flow, now);
+  recordDelivery(packet: FlowPacket, balancer: Endpoint, now: number): void {
+    const flow = this.touchFlow(packet.flow, now);
     flow.balancer = balancer;
-    flow.ended = flow.ended && !packet.opens;
+    flow.hasEnded = flow.hasEnded && !packet.opens;
     if (packet.resets) {
       this.remove(packet.flow);
     } else if (packet.payloadLength > 0 && isNewer(packet.sequence, flow.lastSequence)) {
@@ -94,51 +94,51 @@
     if (!flow || !isNewer(packet.sequence, flow.lastSequence)) {
       return false;
     }
-    return flow.held || acknowledgesOpening(packet, flow.openingSequence);
+    return flow.isHeld || acknowledgesOpening(packet, flow.openingSequence);
   }
 
   /**
    * Milliseconds for which the target has worked on a flow's request; undefined when it has none,
    * or has it waiting.
    */
-  workTime(key: FlowKey, now: number): number | undefined {
+  getServiceTime(key: FlowKey, now: number): number | undefined {
     const flow = this.flows.get(key);
-    return flow && this.clock.getServiceTime(flow, now);
+    return flow && this.serviceTimes.getServiceTime(flow, now);
   }
 
   /** Milliseconds for which the target has worked on the request that it began with longest ago. */
-  longestWork(now: number): number {
-    return this.clock.getLongestServiceTime(now);
+  getLongestServiceTime(now: number): number {
+    return this.serviceTimes.getLongestServiceTime(now);
   }
 
   /** Whether a flow's request has been delivered and its answer has not begun. */
   awaitsAnswer(flow: FlowKey): boolean {
-    return this.flows.get(flow)?.busy === true;
+    return this.flows.get(flow)?.isBusy === true;
   }
 
   /**
    * The target has sent a packet of its own.
    * @returns the balancer that must be told that the flow is held here, if any
    */
-  sent(packet: FlowPacket, now: number): Endpoint | undefined {
-    const flow = this.flowOf(packet.flow, now);
+  recordSentPacket(packet: FlowPacket, now: number): Endpoint | undefined {
+    const flow = this.touchFlow(packet.flow, now);
     if (packet.payloadLength > 0 || packet.resets || packet.ends) {
       this.setBusy(flow, false);
     }
     flow.openingSequence = packet.opens ? packet.sequence : flow.openingSequence;
-    flow.sentUntil = findEndOfSent(packet, flow.sentUntil);
+    flow.sentEnd = computeSentEnd(packet, flow.sentEnd);
     if (packet.resets || packet.ends) {
       this.setHeld(flow, false);
-      flow.ended = true;
+      flow.hasEnded = true;
       return undefined;
     }
-    if (!packet.opens && !flow.ended) {
+    if (!packet.opens && !flow.hasEnded) {
       this.setHeld(flow, true);
     }
-    if (!flow.held || flow.balancer === undefined || flow.told === flow.balancer) {
+    if (!flow.isHeld || flow.balancer === undefined || flow.notifiedBalancer === flow.balancer) {
       return undefined;
     }
-    flow.told = flow.balancer;
+    flow.notifiedBalancer = flow.balancer;
     return flow.balancer;
   }
 
@@ -146,13 +146,13 @@
    * A balancer asks who holds a flow; it counts as told when the target does.
    * @returns whether the target is known to hold it
    */
-  isHeldFor(key: FlowKey, balancer: Endpoint): boolean {
+  confirmHeldFor(key: FlowKey, balancer: Endpoint): boolean {
     const flow = this.flows.get(key);
-    if (!flow?.held) {
+    if (!flow?.isHeld) {
       return false;
     }
     flow.balancer = balancer;
-    flow.told = balancer;
+    flow.notifiedBalancer = balancer;
     return true;
   }
 
@@ -160,12 +160,12 @@
    * Whether a client's packet ends the handshake that the target has begun: its flow opens there and
    * nowhere else. Its balancer counts as told then.
    */
-  isOpenedBy(packet: FlowPacket, balancer: Endpoint): boolean {
+  confirmOpenedBy(packet: FlowPacket, balancer: Endpoint): boolean {
     const flow = this.flows.get(packet.flow);
-    if (!flow || flow.ended || !acknowledgesOpening(packet, flow.openingSequence)) {
+    if (!flow || flow.hasEnded || !acknowledgesOpening(packet, flow.openingSequence)) {
       return false;
     }
-    flow.told = balancer;
+    flow.notifiedBalancer = balancer;
     return true;
   }
 
@@ -173,18 +173,18 @@
    * Whether a client's packet belongs to a flow that the target has ended. Only one that acknowledges
    * what the target has sent does: a later flow of the same ends may have opened elsewhere.
    */
-  isOfEnded(packet: FlowPacket): boolean {
+  belongsToEndedFlow(packet: FlowPacket): boolean {
     const flow = this.flows.get(packet.flow);
-    return flow !== undefined && flow.ended && acknowledgesSent(packet, flow);
+    return flow !== undefined && flow.hasEnded && acknowledgesSent(packet, flow);
   }
 
   /** Whether any packet of a flow has been delivered that the target did not return. */
-  hasSeen(flow: FlowKey): boolean {
+  hasSeenFlow(flow: FlowKey): boolean {
     return this.flows.has(flow);
   }
 
   /** The target returned a packet of a flow: it does not hold it. */
-  returned(packet: FlowPacket): void {
+  recordReturnedPacket(packet: FlowPacket): void {
     this.remove(packet.flow);
   }
 
@@ -192,33 +192,33 @@
    * The target was replaced: no flow is known to be held. All stay noted as seen, since the new target
    * may have opened some of them before its first heartbeat told of it: only it can say which.
    */
-  targetReplaced(): void {
+  handleTargetReplaced(): void {
     for (const [key, { usedAt }] of this.flows) {
       this.flows.set(key, createFlow(usedAt));
     }
-    this.clock.clear();
-    this.busy = 0;
-    this.working = 0;
-    this.held = 0;
+    this.serviceTimes.clear();
+    this.busyCount = 0;
+    this.workingCount = 0;
+    this.heldCount = 0;
   }
 
   /**
    * Gives up requests that have waited too long: they no longer count as under way.
    * @returns their number
    */
-  giveUpRequests(now: number): number {
-    this.lastTold = now;
-    if (this.busy === 0) {
+  timeOutRequests(now: number): number {
+    this.lastUpdateAt = now;
+    if (this.busyCount === 0) {
       return 0;
     }
-    let givenUp = 0;
+    let timedOut = 0;
     for (const flow of this.flows.values()) {
-      if (flow.busy && now - flow.busySince > REQUEST_TIMEOUT) {
+      if (flow.isBusy && now - flow.busySince > REQUEST_TIMEOUT_MS) {
         this.setBusy(flow, false);
-        givenUp++;
+        timedOut++;
       }
     }
-    return givenUp;
+    return timedOut;
   }
 
   /** Drops flows that have rested longer than `lifetime` milliseconds. */
@@ -231,8 +231,8 @@
     }
   }
 
-  private flowOf(key: FlowKey, now: number): TrackedFlow {
-    this.lastTold = now;
+  private touchFlow(key: FlowKey, now: number): TrackedFlow {
+    this.lastUpdateAt = now;
     const known = this.flows.get(key);
     if (known) {
       this.flows.delete(key);
@@ -249,32 +249,32 @@
     return flow;
   }
 
-  private setBusy(flow: TrackedFlow, busy: boolean): void {
-    if (flow.busy !== busy) {
-      flow.busy = busy;
-      this.busy += busy ? 1 : -1;
+  private setBusy(flow: TrackedFlow, isBusy: boolean): void {
+    if (flow.isBusy !== isBusy) {
+      flow.isBusy = isBusy;
+      this.busyCount += isBusy ? 1 : -1;
     }
-    if (!busy) {
+    if (!isBusy) {
       this.setWorking(flow, false);
     }
   }
 
-  private setWorking(flow: TrackedFlow, working: boolean): void {
-    if (flow.working !== working) {
-      flow.working = working;
-      this.working += working ? 1 : -1;
-      if (working) {
-        this.clock.startRequest(flow, this.lastTold);
+  private setWorking(flow: TrackedFlow, isWorking: boolean): void {
+    if (flow.isWorking !== isWorking) {
+      flow.isWorking = isWorking;
+      this.workingCount += isWorking ? 1 : -1;
+      if (isWorking) {
+        this.serviceTimes.startRequest(flow, this.lastUpdateAt);
       } else {
-        this.clock.endRequest(flow, this.lastTold);
+        this.serviceTimes.endRequest(flow, this.lastUpdateAt);
       }
     }
   }
 
-  private setHeld(flow: TrackedFlow, held: boolean): void {
-    if (flow.held !== held) {
-      flow.held = held;
-      this.held += held ? 1 : -1;
+  private setHeld(flow: TrackedFlow, isHeld: boolean): void {
+    if (flow.isHeld !== isHeld) {
+      flow.isHeld = isHeld;
+      this.heldCount += isHeld ? 1 : -1;
     }
   }
 
@@ -292,14 +292,14 @@
 function createFlow(usedAt: number): TrackedFlow {
   return {
     balancer: undefined,
-    told: undefined,
-    held: false,
-    ended: false,
-    busy: false,
-    working: false,
+    notifiedBalancer: undefined,
+    isHeld: false,
+    hasEnded: false,
+    isBusy: false,
+    isWorking: false,
     busySince: 0,
     openingSequence: undefined,
-    sentUntil: undefined,
+    sentEnd: undefined,
     lastSequence: undefined,
     usedAt,
   };
@@ -320,15 +320,15 @@
 }
 
 /** The sequence number behind all that a target has sent, with a packet of its own that it sends now. */
-function findEndOfSent(packet: FlowPacket, sentUntil: number | undefined): number {
+function computeSentEnd(packet: FlowPacket, sentEnd: number | undefined): number {
   const end = computeEndSequence(packet);
-  return packet.opens || sentUntil === undefined || isNewer(end, sentUntil) ? end : sentUntil;
+  return packet.opens || sentEnd === undefined || isNewer(end, sentEnd) ? end : sentEnd;
 }
 
 /** Whether a client's packet acknowledges what the target has sent on a flow, its opening or more. */
 function acknowledgesSent(
   { acknowledgement }: FlowPacket,
-  { openingSequence, sentUntil }: TrackedFlow,
+  { openingSequence, sentEnd: sentUntil }: TrackedFlow,
 ): boolean {
   if (openingSequence === undefined || sentUntil === undefined) {
     return false;
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -16,8 +16,8 @@
 import type { Locality } from './locality/locality';
 import type { PacketLink } from './packet-link';
 import type { PacketOutlet } from './packet-outlet';
-import { ResetNotes } from './reset-notes';
-import { servicesOf, type Route } from './routing-table';
+import { RecentResets } from './recent-resets';
+import { getServiceNames, type Route } from './routing-table';
 import { planSearch, type SearchView } from './search-plan';
 import { SearchDispatch } from './search-dispatch';
 import { GROUP_LENGTH } from './search-order';
@@ -46,7 +46,7 @@
 export class HolderSearch {
   private readonly locator: FlowLocator;
   private readonly dispatch: SearchDispatch;
-  private readonly resetNotes = new ResetNotes();
+  private readonly resetNotes = new RecentResets();
   private timer: TimerHandle | undefined;
 
   constructor(private readonly dependencies: HolderSearchDependencies) {
@@ -79,7 +79,7 @@
   /** The search for a packet's holder, begun now unless one is noted. */
   searchOf(packet: FlowPacket, route: Route): FlowSearch {
     const { environment, searches } = this.dependencies;
-    return searches.forHolder(packet.flow, route, servicesOf(route), environment.now());
+    return searches.forHolder(packet.flow, route, getServiceNames(route), environment.now());
   }
 
   /**
--- a/src/packets/load-reporter.ts
+++ b/src/packets/load-reporter.ts
@@ -16,7 +16,7 @@
 import type { TargetLifecycle } from './target-lifecycle';
 
 /** Balancers named in a report, so that balancers find each other. */
-const BALANCERS_IN_REPORT = 4;
+const MAXIMUM_REPORTED_BALANCERS = 4;
 const RUN_RANGE = 2 ** 48;
 
 /** What a reporter tells of. */
@@ -28,17 +28,17 @@
   readonly tracker: FlowTracker;
   readonly health: TargetHealth;
   /** The agent's state, which may differ from its target's. */
-  state(): TargetStateValue;
+  getState(): TargetStateValue;
   /** Requests that wait at the agent or are under way at its target. */
-  busyRequests(): number;
+  countBusyRequests(): number;
   /** Mean bytes of a flow of the target of late; 0 while unknown. */
-  flowBytes(): number;
+  getFlowBytes(): number;
   /** Milliseconds that the target takes for an answer of late. */
-  answerTime(now: number): number;
+  computeAnswerTime(now: number): number;
   /** Answers of late that this time rests on, fading. */
-  answers(now: number): number;
+  countRecentAnswers(now: number): number;
   /** What the agent knows of its target's flows. */
-  flowKnowledge(): FlowKnowledgeValue;
+  getFlowKnowledge(): FlowKnowledgeValue;
 }
 
 /** Reporter of one agent. */
@@ -46,8 +46,8 @@
   private readonly subscribers = new Subscribers();
   private readonly run: number;
   private reportsSent = 0;
-  private readonly alarm = new DegradationDetector();
-  private readonly crowding = new LoadSpikeDetector();
+  private readonly degradationDetector = new DegradationDetector();
+  private readonly loadSpikeDetector = new LoadSpikeDetector();
 
   constructor(private readonly dependencies: LoadReporterDependencies) {
     this.run = Math.floor(dependencies.environment.random() * RUN_RANGE);
@@ -61,35 +61,35 @@
   subscribe(balancer: Endpoint, interval?: number): void {
     const now = this.dependencies.environment.now();
     if (this.subscribers.renew(balancer, now, interval)) {
-      const others = this.subscribers.present(now).filter((one) => one !== balancer);
+      const others = this.subscribers.listActive(now).filter((one) => one !== balancer);
       this.dependencies.link.send(balancer, this.createReport(others));
     }
   }
 
   /** Reports to every subscriber. */
-  report(): void {
-    this.reportTo(this.subscribers.present(this.dependencies.environment.now()));
+  reportToAll(): void {
+    this.reportTo(this.subscribers.listActive(this.dependencies.environment.now()));
   }
 
   /** Reports to every subscriber at once if the target has become much worse. */
   reportIfWorse(): void {
     const now = this.dependencies.environment.now();
-    if (this.alarm.shouldReport(this.figuresAt(now), now, () => this.subscribers.longestInterval)) {
-      this.report();
+    if (this.degradationDetector.shouldReport(this.measureTarget(now), now, () => this.subscribers.longestInterval)) {
+      this.reportToAll();
     }
   }
 
   /** Reports to every subscriber at once if the target has got much more since they were told. */
-  reportIfCrowded(): void {
-    const { busyRequests, environment, tracker } = this.dependencies;
+  reportIfLoadSpiked(): void {
+    const { countBusyRequests: busyRequests, environment, tracker } = this.dependencies;
     const held = tracker.openFlows + busyRequests();
-    if (this.crowding.shouldReport(held, environment.now(), this.subscribers.longestInterval)) {
-      this.report();
+    if (this.loadSpikeDetector.shouldReport(held, environment.now(), this.subscribers.longestInterval)) {
+      this.reportToAll();
     }
   }
 
   /** Reports to the subscribers that are due for it. */
-  reportWhereDue(): void {
+  sendDueReports(): void {
     this.reportTo(this.subscribers.takeDue(this.dependencies.environment.now()));
   }
 
@@ -110,27 +110,27 @@
       sequence: ++this.reportsSent,
       service: target.service,
       zone,
-      state: this.dependencies.state(),
+      state: this.dependencies.getState(),
       slots: target.slots,
-      busyRequests: this.dependencies.busyRequests(),
+      busyRequests: this.dependencies.countBusyRequests(),
       openFlows: tracker.openFlows,
-      ...this.figuresAt(now),
+      ...this.measureTarget(now),
       targetChanges: health.targetChanges,
       coldLeft: target.coldLeft(now),
-      flowBytes: this.dependencies.flowBytes(),
+      flowBytes: this.dependencies.getFlowBytes(),
       frameVersion: TERMS_VERSION,
-      flowKnowledge: this.dependencies.flowKnowledge(),
+      flowKnowledge: this.dependencies.getFlowKnowledge(),
       balancerCount: this.subscribers.count,
-      balancers: balancers.slice(0, BALANCERS_IN_REPORT),
+      balancers: balancers.slice(0, MAXIMUM_REPORTED_BALANCERS),
     };
   }
 
-  private figuresAt(now: number): TargetMetrics {
-    const { answers, answerTime, health } = this.dependencies;
+  private measureTarget(now: number): TargetMetrics {
+    const { countRecentAnswers: answers, computeAnswerTime: answerTime, health } = this.dependencies;
     return {
       answerTime: Math.round(answerTime(now)),
       answers: Math.round(answers(now)),
-      failurePercent: Math.round(100 * health.failureShare(now)),
+      failurePercent: Math.round(100 * health.computeFailureShare(now)),
     };
   }
 }
--- a/src/packets/node-timers.ts
+++ b/src/packets/node-timers.ts
@@ -8,7 +8,7 @@
   constructor(private readonly environment: Environment) {}
 
   /** Runs an action once after a delay in milliseconds. */
-  once(delay: number, action: () => void): void {
+  scheduleOnce(delay: number, action: () => void): void {
     const handle = this.environment.startTimer(delay, () => {
       this.timers.delete(handle);
       action();
@@ -17,15 +17,15 @@
   }
 
   /** Runs an action at regular intervals in milliseconds. */
-  repeat(interval: number, action: () => void): void {
-    this.once(interval, () => {
-      this.repeat(interval, action);
+  scheduleRepeating(interval: number, action: () => void): void {
+    this.scheduleOnce(interval, () => {
+      this.scheduleRepeating(interval, action);
       action();
     });
   }
 
   /** Ends them all. */
-  cancel(): void {
+  cancelAll(): void {
     this.timers.forEach((timer) => timer.cancel());
     this.timers.clear();
   }
--- a/src/packets/packet-agent-contracts.ts
+++ b/src/packets/packet-agent-contracts.ts
@@ -1,6 +1,6 @@
 /** Settings, needs and counters of a packet agent. */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
-import type { ColdLimitSettings } from './cold-limit';
+import type { ColdStartLimitSettings } from './cold-start-limiter';
 import type { AgentRegistryPort } from './collection-port';
 import type { PacketFormat } from './flow-packet';
 import type { PacketFrameCodec } from './packet-frames';
@@ -19,7 +19,7 @@
   /** Milliseconds between two heartbeats of the target. */
   readonly heartbeatInterval: number;
   /** Limits of cold targets; undefined in a deployment without them. */
-  readonly coldLimit: ColdLimitSettings | undefined;
+  readonly coldLimit: ColdStartLimitSettings | undefined;
   /** Milliseconds for which a flow may rest. */
   readonly flowLifetime: number;
   /** Whether refusals lost on the way to a balancer are sent once more. */
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -35,18 +35,18 @@
 import { AnswerRepair } from './repair/answer-repair';
 import type { PlainMessage } from './repair/hop-messages';
 import { HopRepair } from './repair/hop-repair';
-import { SHORTEST_REPORT_INTERVAL } from './report-interval';
+import { MINIMUM_REPORT_INTERVAL_MS } from './report-interval';
 import { TargetPresence } from './startup/target-presence';
 import { TargetAdmission } from './target-admission';
-import { TargetDeath } from './target-death';
+import { TargetLiveness } from './target-liveness';
 import { TargetGuard } from './target-guard';
 import { TargetHealth } from './target-health';
 import { TargetLifecycle, type TargetHeartbeat } from './target-lifecycle';
 import { RouteTermsCache } from './terms/route-terms-cache';
 
 /** Milliseconds after a change of state at which the report is repeated, against loss. */
-const REPORT_REPEATS = [15, 60] as const;
-const EXPIRY_INTERVAL = 1_000;
+const REPORT_REPEAT_DELAYS_MS = [15, 60] as const;
+const EXPIRY_INTERVAL_MS = 1_000;
 /** One packet agent. */
 export class PacketAgent {
   readonly counters: PacketAgentCounters = {
@@ -75,12 +75,12 @@
   private readonly answers: AnswerRepair;
   private readonly presence: TargetPresence;
   private readonly terms = new RouteTermsCache();
-  private readonly death: TargetDeath;
-  private restarting = false;
+  private readonly liveness: TargetLiveness;
+  private isRestarting = false;
   /** The target has sent a packet of its own in this run. */
   private hasTargetSent = false;
   /** The earliest era of the store that this run has heard of; 0 before any. */
-  private firstEra = 0;
+  private firstStoreEra = 0;
   private seeds: readonly Endpoint[];
 
   constructor(
@@ -113,9 +113,9 @@
     );
     const { coldLimit, zone } = settings;
     const { health, target } = this;
-    this.death = new TargetDeath(dependencies.targetProbe, () => this.targetDied());
-    const { death } = this;
-    this.guard = new TargetGuard({ environment, zone, coldLimit, target, health, death });
+    this.liveness = new TargetLiveness(dependencies.targetProbe, () => this.handleTargetDeath());
+    const { liveness: death } = this;
+    this.guard = new TargetGuard({ environment, zone, coldLimit, target, health, liveness: death });
     this.admission = this.createAdmission();
     this.reporter = new LoadReporter({
       environment,
@@ -124,12 +124,12 @@
       target: this.target,
       tracker: this.tracker,
       health: this.health,
-      state: () => this.state,
-      busyRequests: () => this.busyRequests,
-      answerTime: (now) => this.admission.answerTimeAt(now),
-      answers: (now) => this.admission.answersAt(now),
-      flowBytes: () => this.flowBytes.mean,
-      flowKnowledge: () => this.flowKnowledge,
+      getState: () => this.state,
+      countBusyRequests: () => this.busyRequests,
+      computeAnswerTime: (now) => this.admission.computeAnswerTime(now),
+      countRecentAnswers: (now) => this.admission.countRecentAnswers(now),
+      getFlowBytes: () => this.flowBytes.mean,
+      getFlowKnowledge: () => this.flowKnowledge,
     });
     this.answers = new AnswerRepair({
       environment,
@@ -143,8 +143,8 @@
   start(): void {
     const { environment } = this.dependencies;
     this.reporter.reportTo(this.seeds);
-    this.timers.repeat(SHORTEST_REPORT_INTERVAL, () => this.report());
-    this.timers.repeat(EXPIRY_INTERVAL, () => {
+    this.timers.scheduleRepeating(MINIMUM_REPORT_INTERVAL_MS, () => this.runPeriodicChecks());
+    this.timers.scheduleRepeating(EXPIRY_INTERVAL_MS, () => {
       this.tracker.expire(this.settings.flowLifetime, environment.now());
       this.hops.expire(environment.now());
     });
@@ -167,7 +167,7 @@
     this.answers.stop();
     this.guard.stop();
     this.presence.stop();
-    this.timers.cancel();
+    this.timers.cancelAll();
   }
 
   /**
@@ -176,9 +176,9 @@
    * @param done called when nothing is left to do
    */
   beginStop(done: () => void): void {
-    this.restarting = true;
+    this.isRestarting = true;
     this.admission.releaseAll();
-    this.announce();
+    this.announceState();
     if (this.settings.earlyStart) {
       this.presence.probeBeforeStop(() => this.endStop(done));
     } else {
@@ -196,14 +196,14 @@
 
   get state(): TargetStateValue {
     const state = this.presence.isMissing ? TargetState.gone : this.target.state;
-    return this.restarting && state !== TargetState.gone ? TargetState.agentRestarting : state;
+    return this.isRestarting && state !== TargetState.gone ? TargetState.agentRestarting : state;
   }
 
   get figures(): PacketAgentFigures {
     return {
       busyRequests: this.busyRequests,
       openFlows: this.tracker.openFlows,
-      registrations: this.registration.calls,
+      registrations: this.registration.callCount,
       ...this.hops.counters,
       ...this.answers.figures,
       targetLooks: this.presence.looks,
@@ -221,10 +221,10 @@
    */
   heartbeat(heartbeat: TargetHeartbeat): boolean {
     const { service } = heartbeat;
-    if (service !== this.settings.service && !this.guard.mayExist(service)) {
+    if (service !== this.settings.service && !this.guard.mayServiceExist(service)) {
       return false;
     }
-    this.takeHeartbeat(heartbeat);
+    this.applyHeartbeat(heartbeat);
     return true;
   }
 
@@ -234,28 +234,28 @@
     this.dependencies.environment.report(Events.heartbeatRefused, { refused });
   }
 
-  private takeHeartbeat(heartbeat: TargetHeartbeat): void {
+  private applyHeartbeat(heartbeat: TargetHeartbeat): void {
     this.counters.heartbeats++;
-    this.death.heard();
+    this.liveness.recordActivity();
     const wasMissing = this.presence.isMissing;
-    const change = this.target.heartbeat(heartbeat, this.dependencies.environment.now());
+    const change = this.target.applyHeartbeat(heartbeat, this.dependencies.environment.now());
     if (change === 'incarnation') {
-      this.tracker.targetReplaced();
+      this.tracker.handleTargetReplaced();
       this.answers.clear();
       this.health.clear();
       this.flowBytes.clear();
-      this.admission.targetReplaced();
+      this.admission.handleTargetReplaced();
     }
     if (change !== 'none') {
-      this.health.stateTold();
-      this.reportTarget();
-      this.announce();
+      this.health.recordStateChange();
+      this.logTargetState();
+      this.announceState();
     }
     if (wasMissing && !this.presence.isMissing) {
       // Balancers forget an agent without a target, and the store may be out of reach.
       this.reporter.reportTo(this.seeds);
     }
-    this.registration.targetHeard();
+    this.registration.handleTargetHeard();
   }
 
   /**
@@ -263,22 +263,22 @@
    * @param born as in its heartbeats
    */
   targetLeaves(incarnation: string, born: number | undefined): void {
-    if (this.target.leave({ incarnation, born }) !== 'none') {
-      this.reportTarget();
-      this.announce();
+    if (this.target.applyLeave({ incarnation, born }) !== 'none') {
+      this.logTargetState();
+      this.announceState();
     }
   }
 
   /** A frame of another node. */
-  frame(bytes: Buffer, from: Endpoint): void {
+  handleFrame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
     const unpacked = message && this.hops.receive(from, message);
     if (unpacked) {
-      this.take(unpacked, from);
+      this.handleMessage(unpacked, from);
     }
   }
 
-  private take(message: PlainMessage, from: Endpoint): void {
+  private handleMessage(message: PlainMessage, from: Endpoint): void {
     switch (message.type) {
       case PacketMessageType.deliver:
         this.intake.deliver(message, from);
@@ -291,59 +291,59 @@
         return;
       case PacketMessageType.subscribe:
         this.link.noteRepairs(from, message.frameVersion);
-        this.learnNews(message, from);
-        this.tellEra(message, from);
+        this.learnDeploymentState(message, from);
+        this.sendFirstStoreEra(message, from);
         this.reporter.subscribe(from, message.interval);
-        this.takeListing(message.listing);
+        this.applyListingState(message.listing);
         return;
       case PacketMessageType.distanceProbe:
         this.link.send(from, { ...message, type: PacketMessageType.distanceReply });
         return;
       case PacketMessageType.routeTerms:
-        this.learnTerms(message);
+        this.learnRouteTerms(message);
         return;
       default:
-        this.refuseMessage(message);
+        this.reportUnexpectedMessage(message);
     }
   }
 
   /** Without the setting all requests are served alike, as of routes of which nothing is known. */
-  private learnTerms(message: RouteTermsMessage): void {
+  private learnRouteTerms(message: RouteTermsMessage): void {
     if (this.settings.priorityQueue) {
       this.terms.learn(message);
     }
   }
 
-  private refuseMessage({ type }: MessageToBalancer): void {
+  private reportUnexpectedMessage({ type }: MessageToBalancer): void {
     this.dependencies.environment.report(Events.frameUnexpected, { type });
   }
 
   /** Balancers are told at once if the agent knows its target from its start, by what it learns. */
-  private learnNews(message: SubscribeMessage, balancer: Endpoint): void {
+  private learnDeploymentState(message: SubscribeMessage, balancer: Endpoint): void {
     const wasKnown = this.target.isKnownFromStart;
     this.guard.learn(message, balancer);
     if (this.target.isKnownFromStart !== wasKnown) {
-      this.reporter.report();
+      this.reporter.reportToAll();
     }
   }
 
   /** A balancer that starts learns whether the store has come back from a copy in this run's time. */
-  private tellEra({ asksEra, storeEra }: SubscribeMessage, balancer: Endpoint): void {
-    this.firstEra = this.firstEra === 0 ? storeEra : this.firstEra;
-    if (asksEra === 1 && this.firstEra < storeEra) {
-      this.link.send(balancer, { type: PacketMessageType.eraSeen, era: this.firstEra });
+  private sendFirstStoreEra({ asksEra, storeEra }: SubscribeMessage, balancer: Endpoint): void {
+    this.firstStoreEra = this.firstStoreEra === 0 ? storeEra : this.firstStoreEra;
+    if (asksEra === 1 && this.firstStoreEra < storeEra) {
+      this.link.send(balancer, { type: PacketMessageType.eraSeen, era: this.firstStoreEra });
     }
   }
 
   /** A target that leaves takes its entry with it. */
-  private takeListing(listing: ListingStateValue): void {
+  private applyListingState(listing: ListingStateValue): void {
     if (this.target.state !== TargetState.gone) {
-      this.registration.takeListing(listing);
+      this.registration.applyListingState(listing);
     }
   }
 
   /** A datagram that the target sent or returned. */
-  targetDatagram(bytes: Buffer): void {
+  handleTargetDatagram(bytes: Buffer): void {
     const { environment, format, sendToClient } = this.dependencies;
     const packet = format.decodeFromTarget(bytes);
     if (!packet) {
@@ -351,8 +351,8 @@
       environment.report(Events.packetMalformed, { length: bytes.length });
       return;
     }
-    this.health.heard();
-    this.death.heard();
+    this.health.recordActivity();
+    this.liveness.recordActivity();
     if (packet.refused) {
       this.intake.returned(packet);
       return;
@@ -361,9 +361,9 @@
     this.flowBytes.addTargetPacket(packet);
     sendToClient(packet.client, bytes);
     this.answers.recordSent(packet);
-    this.noteTargetSends();
-    this.judgeAnswer(packet);
-    const balancer = this.tracker.sent(packet, environment.now());
+    this.recordTargetPacket();
+    this.recordRequestOutcome(packet);
+    const balancer = this.tracker.recordSentPacket(packet, environment.now());
     if (balancer !== undefined) {
       const flow = Buffer.from(packet.flow, 'latin1');
       this.link.send(balancer, { type: PacketMessageType.held, flow });
@@ -371,11 +371,11 @@
     this.admission.releaseWaiting(environment.now());
   }
 
-  private noteTargetSends(): void {
-    this.health.served();
+  private recordTargetPacket(): void {
+    this.health.recordSentPacket();
     if (!this.hasTargetSent) {
       this.hasTargetSent = true;
-      this.registration.targetHeard();
+      this.registration.handleTargetHeard();
     }
   }
 
@@ -408,8 +408,8 @@
       target: this.target,
       tracker: this.tracker,
       lowerShare: this.settings.lowerPriorityShare,
-      termsOf: (destination) => this.terms.getTerms(destination),
-      latencyGoal: () => this.guard.latencyGoal,
+      getTerms: (destination) => this.terms.getTerms(destination),
+      getLatencyGoal: () => this.guard.latencyGoal,
       handOver: (packet, balancer, searchId) => this.intake.handOver(packet, balancer, searchId),
     });
   }
@@ -433,7 +433,7 @@
       tracker,
       isTargetMissing: () => this.isTargetAbsent(),
       state: () => this.state,
-      noteLoad: () => this.reporter.reportIfCrowded(),
+      noteLoad: () => this.reporter.reportIfLoadSpiked(),
       noteBalancer: (balancer) => this.reporter.subscribe(balancer),
       sendToTarget: (packet) => dependencies.sendToTarget(packet),
     });
@@ -449,48 +449,48 @@
       isTargetHeard: () => this.isTargetHeard,
       onMissing: () => {
         this.registration.withdraw();
-        this.announce();
+        this.announceState();
       },
     });
   }
 
   /** Notes how a request ended when the target's packet begins its answer or breaks it off. */
-  private judgeAnswer(packet: FlowPacket): void {
+  private recordRequestOutcome(packet: FlowPacket): void {
     const { environment, format } = this.dependencies;
     const endsRequest = packet.payloadLength > 0 || packet.resets;
     if (endsRequest && this.tracker.awaitsAnswer(packet.flow)) {
       const now = environment.now();
       const succeeded = !packet.resets && !format.isFailure(packet);
-      this.health.requestEnded(succeeded, now);
-      const workTime = this.tracker.workTime(packet.flow, now);
+      this.health.recordOutcome(succeeded, now);
+      const workTime = this.tracker.getServiceTime(packet.flow, now);
       if (succeeded && workTime !== undefined) {
-        this.admission.answered(workTime, now);
+        this.admission.recordAnswer(workTime, now);
       }
       this.reporter.reportIfWorse();
     }
   }
 
   /** Tells the balancers of the target's load and health, and looks at the clock for both. */
-  private report(): void {
+  private runPeriodicChecks(): void {
     const now = this.dependencies.environment.now();
     const wasDown = this.health.isDown(now);
-    this.health.tick();
-    for (let left = this.tracker.giveUpRequests(now); left > 0; left--) {
-      this.health.requestGivenUp(now);
+    this.health.recordTick();
+    for (let left = this.tracker.timeOutRequests(now); left > 0; left--) {
+      this.health.recordTimeout(now);
     }
     const isDown = this.health.isDown(now);
     if (isDown && !wasDown) {
-      this.reportTarget();
+      this.logTargetState();
     }
-    this.death.check(isDown, now);
-    this.dropGivenUp(now);
+    this.liveness.probeIfSilent(isDown, now);
+    this.dropAbandonedRequests(now);
     this.admission.releaseWaiting(now);
     this.reporter.reportIfWorse();
-    this.reporter.reportWhereDue();
+    this.reporter.sendDueReports();
   }
 
   /** Nobody awaits the answers of these any more. */
-  private dropGivenUp(now: number): void {
+  private dropAbandonedRequests(now: number): void {
     const dropped = this.admission.expire(now);
     if (dropped.length === 0) {
       return;
@@ -505,18 +505,18 @@
   }
 
   /** Clients of its flows are told now, those whose requests wait here among them. */
-  private targetDied(): void {
-    this.reportTarget();
+  private handleTargetDeath(): void {
+    this.logTargetState();
     this.intake.refuseWaiting();
   }
 
   /** Tells every balancer of a change at once, and again shortly after. */
-  private announce(): void {
-    this.reporter.report();
-    REPORT_REPEATS.forEach((delay) => this.timers.once(delay, () => this.reporter.report()));
+  private announceState(): void {
+    this.reporter.reportToAll();
+    REPORT_REPEAT_DELAYS_MS.forEach((delay) => this.timers.scheduleOnce(delay, () => this.reporter.reportToAll()));
   }
 
-  private reportTarget(): void {
+  private logTargetState(): void {
     this.dependencies.environment.report(Events.targetStateChanged, {
       incarnation: this.target.incarnation,
       born: this.target.born,
@@ -526,7 +526,7 @@
       openFlows: this.tracker.openFlows,
       knowsAllFlows: this.target.isKnownFromStart,
       isDown: this.health.isDown(this.dependencies.environment.now()),
-      isDead: this.death.isProved,
+      isDead: this.liveness.isDead,
     });
   }
 }
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -6,7 +6,7 @@
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import { AgentDirectory } from './agent-directory';
-import { AgentReports } from './agent-reports';
+import { AgentReportHandler } from './agent-report-handler';
 import { AgentSubscriptions, KNOCK_INTERVAL, type SubscriptionEras } from './agent-subscriptions';
 import { FlowCache } from './flow-cache';
 import { locateTimeout } from './flow-locator';
@@ -32,7 +32,7 @@
 import { StartupRelay } from './startup/startup-relay';
 import { ViewConvergence } from './startup/view-convergence';
 import { StoreReading } from './store-reading';
-import { TableInForce } from './table-in-force';
+import { ActiveRoutingTable } from './active-routing-table';
 import { TrafficRelay, type BalancerStatus } from './traffic-relay';
 import { ZoneDetour } from './zone-detour';
 import { ZoneEvacuationView } from './zone-evacuations';
@@ -54,7 +54,7 @@
   private readonly link: PacketLink;
   private readonly hops: HopRepair;
   private readonly peers: PeerExchange;
-  private readonly reports: AgentReports;
+  private readonly reports: AgentReportHandler;
   private readonly view: RegistryView;
   private readonly upkeep: RegistryUpkeep;
   private readonly subscriptions: AgentSubscriptions;
@@ -62,7 +62,7 @@
   private readonly evacuations: ZoneEvacuationView;
   private readonly locality: Locality;
   private readonly timers: NodeTimers;
-  private readonly table: TableInForce;
+  private readonly table: ActiveRoutingTable;
   private stopping = false;
   private wasReady = false;
   private wasRelaying = false;
@@ -86,7 +86,7 @@
     this.cache = new FlowCache(CACHED_FLOWS, settings.flowLifetime);
     this.link = new PacketLink(codec, transport, environment);
     this.hops = this.createHopRepair();
-    this.table = new TableInForce(environment, (table, hasOtherProfiles) =>
+    this.table = new ActiveRoutingTable(environment, (table, hasOtherProfiles) =>
       this.applyTable(table, hasOtherProfiles),
     );
     this.evacuations = new ZoneEvacuationView(environment, (zones) => this.tellOfZones(zones));
@@ -103,13 +103,13 @@
     this.subscriptions = this.createSubscriptions();
     this.view = this.createView();
     this.peers = this.createPeerExchange();
-    this.reports = new AgentReports({
+    this.reports = new AgentReportHandler({
       environment,
       directory: this.directory,
       link: this.link,
       learnPeer: (peer) => this.peers.learnPeer(peer),
-      agentReturned: (agent) => this.router.agentReturned(agent),
-      changed: () => this.updateReadiness(),
+      onAgentReturned: (agent) => this.router.agentReturned(agent),
+      onHeardAgentsChanged: () => this.updateReadiness(),
     });
     this.reading = this.createReading();
     this.gate = this.createGate();
@@ -121,15 +121,15 @@
     this.reading.start();
     this.peers.start();
     this.peers.askForView();
-    this.timers.repeat(KNOCK_INTERVAL, () => {
+    this.timers.scheduleRepeating(KNOCK_INTERVAL, () => {
       if (!this.hasView) {
         this.peers.askForView();
       }
       this.reading.run();
       this.subscribe();
     });
-    this.timers.repeat(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
-    this.timers.repeat(UPKEEP_INTERVAL, () => this.maintain());
+    this.timers.scheduleRepeating(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
+    this.timers.scheduleRepeating(UPKEEP_INTERVAL, () => this.maintain());
   }
 
   /** Takes no new part of the traffic from now on; packets that still come are served. */
@@ -153,7 +153,7 @@
     this.hops.stop();
     this.gate.stop();
     this.evacuations.stop();
-    this.timers.cancel();
+    this.timers.cancelAll();
   }
 
   /**
@@ -318,7 +318,7 @@
         this.router.confirmed(message.flow.toString('latin1'), from);
         return;
       case PacketMessageType.report:
-        this.reports.take(from, message);
+        this.reports.handleReport(from, message);
         return;
       case PacketMessageType.peerStatus:
         this.peers.receive(from, message);
@@ -451,7 +451,7 @@
       clusterSize: () => this.peers.clusterSize,
       hasView: () => this.hasView,
       isFetching: () => this.peers.isFetching,
-      takeTable: (table) => this.table.take(table, 'store'),
+      takeTable: (table) => this.table.applyIfNewer(table, 'store'),
       takeListing: (listing) => {
         this.view.takeListing(listing);
         this.peers.announce();
@@ -480,7 +480,7 @@
     const { agents, registryRevision, routingTable, storeEra, viewComplete } = snapshot;
     const origin = formatEndpoint(peer);
     if (routingTable) {
-      this.table.take(routingTable, origin);
+      this.table.applyIfNewer(routingTable, origin);
     }
     if (viewComplete) {
       this.view.takeSnapshot(agents, { era: storeEra, revision: registryRevision }, origin);
--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -47,7 +47,7 @@
   type SearchMessage,
   type SearchPhaseValue,
 } from './packet-messages';
-import { decodeReport, encodeReport, isShortReport } from './report-frame';
+import { decodeReport, encodeReport, fitsCompactReport } from './report-frame';
 import type { HopMessage } from './repair/hop-messages';
 
 /** A message that has a compact form. */
@@ -144,7 +144,7 @@
 
   /** Encodes a report with fields at fixed places, for a node that knows them; else as a document. */
   encodeReport(report: ReportMessage): Buffer {
-    if (!isShortReport(report)) {
+    if (!fitsCompactReport(report)) {
       return this.encode(report);
     }
     const frame = encodeReport(report, BODY_OFFSET);
--- a/src/packets/packet-settings.ts
+++ b/src/packets/packet-settings.ts
@@ -5,7 +5,7 @@
 import { failure, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { DEFAULT_CHOICE, type ChoiceSettings } from './choice/choice-settings';
-import type { ColdLimitSettings } from './cold-limit';
+import type { ColdStartLimitSettings } from './cold-start-limiter';
 
 const DEFAULT_FLOW_LIFETIME = 60_000;
 const DEFAULT_STOP_TIME = 5_000;
@@ -50,7 +50,7 @@
   readonly storeAddress: Endpoint;
   readonly seeds: readonly Endpoint[];
   /** Limits of cold targets (agent); undefined in a deployment without them. */
-  readonly coldLimit: ColdLimitSettings | undefined;
+  readonly coldLimit: ColdStartLimitSettings | undefined;
   /** Milliseconds between two heartbeats of a target. */
   readonly heartbeatInterval: number;
   /** Milliseconds for which a flow may rest before it is forgotten. */
@@ -271,7 +271,7 @@
   };
 }
 
-function readColdLimit(reader: SettingsReader): ColdLimitSettings | undefined {
+function readColdLimit(reader: SettingsReader): ColdStartLimitSettings | undefined {
   const overshoot = reader.optionalPositive('coldOvershoot');
   const slack = reader.optionalCount('coldSlack');
   if (overshoot === undefined) {
--- a/src/packets/peer-exchange.ts
+++ b/src/packets/peer-exchange.ts
@@ -7,7 +7,7 @@
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment, TimerHandle } from '../environment';
 import type { AgentDirectory } from './agent-directory';
-import type { Answer } from './collection-port';
+import type { ResultCallback } from './collection-port';
 import type { PacketLink } from './packet-link';
 import {
   PacketMessageType,
@@ -40,7 +40,7 @@
 
 /** Fetches the snapshot of another balancer. */
 export interface SnapshotPort {
-  fetch(peer: Endpoint, answer: Answer<PeerSnapshot>): void;
+  fetch(peer: Endpoint, answer: ResultCallback<PeerSnapshot>): void;
 }
 
 /** What the exchange reads and changes. */
--- a/src/packets/reset-notes.ts
+++ b/src/packets/recent-resets.ts
@@ -5,40 +5,40 @@
 import type { FlowKey } from './flow-packet';
 
 /** Milliseconds for which a flow is noted: its client's copies under way come within that. */
-const NOTE_LIFETIME = 3_000;
+const RETENTION_MS = 3_000;
 /** Flows noted at most; the oldest note is dropped beyond that. */
-const MAXIMUM_NOTES = 8_192;
+const MAXIMUM_FLOWS = 8_192;
 
 /** Notes of one balancer. */
-export class ResetNotes {
+export class RecentResets {
   /** Times at which flows were found dead, oldest first. */
-  private readonly notedAt = new Map<FlowKey, number>();
+  private readonly resetTimes = new Map<FlowKey, number>();
 
   add(flow: FlowKey, now: number): void {
-    this.notedAt.delete(flow);
-    this.notedAt.set(flow, now);
-    if (this.notedAt.size > MAXIMUM_NOTES) {
-      const [oldest] = this.notedAt.keys();
-      this.notedAt.delete(oldest!);
+    this.resetTimes.delete(flow);
+    this.resetTimes.set(flow, now);
+    if (this.resetTimes.size > MAXIMUM_FLOWS) {
+      const [oldest] = this.resetTimes.keys();
+      this.resetTimes.delete(oldest!);
     }
   }
 
   has(flow: FlowKey, now: number): boolean {
-    const notedAt = this.notedAt.get(flow);
-    return notedAt !== undefined && now - notedAt <= NOTE_LIFETIME;
+    const resetAt = this.resetTimes.get(flow);
+    return resetAt !== undefined && now - resetAt <= RETENTION_MS;
   }
 
   forget(flow: FlowKey): void {
-    this.notedAt.delete(flow);
+    this.resetTimes.delete(flow);
   }
 
   /** Drops notes that no longer hold. */
   expire(now: number): void {
-    for (const [flow, notedAt] of this.notedAt) {
-      if (now - notedAt <= NOTE_LIFETIME) {
+    for (const [flow, resetAt] of this.resetTimes) {
+      if (now - resetAt <= RETENTION_MS) {
         return;
       }
-      this.notedAt.delete(flow);
+      this.resetTimes.delete(flow);
     }
   }
 }
--- a/src/packets/registry-upkeep.ts
+++ b/src/packets/registry-upkeep.ts
@@ -6,7 +6,7 @@
 import { formatEndpoint } from '../core/endpoint';
 import { Events } from '../logging/events';
 import type { AgentDirectory, AgentEntry } from './agent-directory';
-import type { AgentRegistryPort, Answer } from './collection-port';
+import type { AgentRegistryPort, ResultCallback } from './collection-port';
 import { TargetState } from './packet-messages';
 
 /** Calls under way at once: entries that lapsed together come back together. */
@@ -97,7 +97,7 @@
   }
 
   /** Counts a call; what it returns takes the answer, and the next round tries again. */
-  private beginCall(call: 'registration' | 'removal', agent: Endpoint): Answer<void> {
+  private beginCall(call: 'registration' | 'removal', agent: Endpoint): ResultCallback<void> {
     this.calling.add(agent);
     this.callsMade++;
     return (result) => {
--- a/src/packets/report-frame.ts
+++ b/src/packets/report-frame.ts
@@ -18,7 +18,7 @@
 import { unpackFlowKnowledge } from './packet-message-schema';
 
 /** Fields that are sent as counts. */
-const COUNTS = [
+const COUNT_FIELDS = [
   'sequence',
   'slots',
   'busyRequests',
@@ -31,29 +31,29 @@
   'balancerCount',
 ] as const;
 /** Fields of one byte. */
-const SMALL = ['state', 'failurePercent', 'frameVersion', 'flowKnowledge'] as const;
+const BYTE_FIELDS = ['state', 'failurePercent', 'frameVersion', 'flowKnowledge'] as const;
 
 const RUN_OFFSET = 1;
 const RUN_BYTES = 6;
 const COUNTS_OFFSET = RUN_OFFSET + RUN_BYTES;
 const COUNT_BYTES = 4;
-const SMALL_OFFSET = COUNTS_OFFSET + COUNTS.length * COUNT_BYTES;
-const TEXTS_OFFSET = SMALL_OFFSET + SMALL.length;
+const BYTE_FIELDS_OFFSET = COUNTS_OFFSET + COUNT_FIELDS.length * COUNT_BYTES;
+const STRINGS_OFFSET = BYTE_FIELDS_OFFSET + BYTE_FIELDS.length;
 const ENDPOINT_BYTES = 6;
-const LARGEST_COUNT = 2 ** 32 - 1;
-const LARGEST_BYTE = 255;
+const MAXIMUM_COUNT = 2 ** 32 - 1;
+const MAXIMUM_BYTE = 255;
 const STATES: readonly number[] = Object.values(TargetState);
 
 /** A text or list, and where it ends. */
-interface Part<T> {
+interface DecodedPart<T> {
   readonly value: T;
   readonly end: number;
 }
 
 /** Whether a report fits: names of 255 bytes and as many balancers at most. */
-export function isShortReport({ service, zone, balancers }: ReportMessage): boolean {
+export function fitsCompactReport({ service, zone, balancers }: ReportMessage): boolean {
   const lengths = [Buffer.byteLength(service), Buffer.byteLength(zone), balancers.length];
-  return lengths.every((length) => length <= LARGEST_BYTE);
+  return lengths.every((length) => length <= MAXIMUM_BYTE);
 }
 
 /** Writes a short report behind the head of a frame. */
@@ -61,19 +61,19 @@
   const service = Buffer.from(report.service);
   const zone = Buffer.from(report.zone);
   const { balancers } = report;
-  const length = TEXTS_OFFSET + service.length + zone.length + 3;
+  const length = STRINGS_OFFSET + service.length + zone.length + 3;
   const frame = Buffer.allocUnsafe(headBytes + length + balancers.length * ENDPOINT_BYTES);
   const body = frame.subarray(headBytes);
   body[0] = report.type;
   body.writeUIntBE(report.run, RUN_OFFSET, RUN_BYTES);
-  COUNTS.forEach((field, index) => {
-    const count = Math.min(report[field], LARGEST_COUNT);
+  COUNT_FIELDS.forEach((field, index) => {
+    const count = Math.min(report[field], MAXIMUM_COUNT);
     body.writeUInt32BE(count, COUNTS_OFFSET + index * COUNT_BYTES);
   });
-  SMALL.forEach((field, index) => {
-    body[SMALL_OFFSET + index] = Math.min(report[field], LARGEST_BYTE);
+  BYTE_FIELDS.forEach((field, index) => {
+    body[BYTE_FIELDS_OFFSET + index] = Math.min(report[field], MAXIMUM_BYTE);
   });
-  let offset = writeText(body, TEXTS_OFFSET, service);
+  let offset = writeText(body, STRINGS_OFFSET, service);
   offset = writeText(body, offset, zone);
   writeBalancers(body, offset, balancers);
   return frame;
@@ -81,13 +81,13 @@
 
 /** The report of a body; undefined when it has another form. */
 export function decodeReport(body: Buffer): ReportMessage | undefined {
-  const service = readText(body, TEXTS_OFFSET);
+  const service = readText(body, STRINGS_OFFSET);
   const zone = service && readText(body, service.end);
   const balancers = zone && readBalancers(body, zone.end);
   if (!service || !zone || !balancers || balancers.end !== body.length) {
     return undefined;
   }
-  const state = body[SMALL_OFFSET]!;
+  const state = body[BYTE_FIELDS_OFFSET]!;
   if (!STATES.includes(state)) {
     return undefined;
   }
@@ -105,16 +105,16 @@
     flowBytes: readCount(body, 8),
     balancerCount: readCount(body, 9),
     state: state as TargetStateValue,
-    failurePercent: body[SMALL_OFFSET + 1]!,
-    frameVersion: body[SMALL_OFFSET + 2]!,
-    flowKnowledge: unpackFlowKnowledge(body[SMALL_OFFSET + 3]),
+    failurePercent: body[BYTE_FIELDS_OFFSET + 1]!,
+    frameVersion: body[BYTE_FIELDS_OFFSET + 2]!,
+    flowKnowledge: unpackFlowKnowledge(body[BYTE_FIELDS_OFFSET + 3]),
     service: service.value,
     zone: zone.value,
     balancers: balancers.value,
   };
 }
 
-/** @param index place of the field in {@link COUNTS} */
+/** @param index place of the field in {@link COUNT_FIELDS} */
 function readCount(body: Buffer, index: number): number {
   return body.readUInt32BE(COUNTS_OFFSET + index * COUNT_BYTES);
 }
@@ -125,7 +125,7 @@
   return offset + 1 + text.length;
 }
 
-function readText(body: Buffer, offset: number): Part<string> | undefined {
+function readText(body: Buffer, offset: number): DecodedPart<string> | undefined {
   const length = body[offset];
   if (length === undefined || offset + 1 + length > body.length) {
     return undefined;
@@ -141,7 +141,7 @@
   );
 }
 
-function readBalancers(body: Buffer, offset: number): Part<Endpoint[]> | undefined {
+function readBalancers(body: Buffer, offset: number): DecodedPart<Endpoint[]> | undefined {
   const count = body[offset];
   if (count === undefined || offset + 1 + count * ENDPOINT_BYTES > body.length) {
     return undefined;
--- a/src/packets/routing-table.ts
+++ b/src/packets/routing-table.ts
@@ -55,15 +55,15 @@
   readonly routesWithoutTerms?: number;
 }
 
-const serviceNames = new WeakMap<Route, readonly string[]>();
+const serviceNamesByRoute = new WeakMap<Route, readonly string[]>();
 
 /** The names of a route's services; the same list each time. */
-export function servicesOf(route: Route): readonly string[] {
-  const known = serviceNames.get(route);
+export function getServiceNames(route: Route): readonly string[] {
+  const known = serviceNamesByRoute.get(route);
   if (known) {
     return known;
   }
   const names = route.services.map(({ service }) => service);
-  serviceNames.set(route, names);
+  serviceNamesByRoute.set(route, names);
   return names;
 }
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -7,7 +7,7 @@
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
 import { KNOCK_INTERVAL } from '../agent-subscriptions';
 import type { FlowPacket, PacketFormat } from '../flow-packet';
-import { servicesOf, type Route, type RoutingTable } from '../routing-table';
+import { getServiceNames, type Route, type RoutingTable } from '../routing-table';
 import type { StartupRelay } from './startup-relay';
 import { StartupBacklog, type GroupFinder, type OpeningGroup } from './startup-backlog';
 
@@ -196,7 +196,7 @@
       if (!route) {
         return undefined;
       }
-      const services = servicesOf(route);
+      const services = getServiceNames(route);
       const group = groups.get(services) ?? this.createGroup(services, now);
       groups.set(services, group);
       return group;
--- a/src/packets/store-reading.ts
+++ b/src/packets/store-reading.ts
@@ -2,7 +2,7 @@
 import type { Endpoint, Environment, TimerHandle } from '../environment';
 import type { HallholdError } from '../errors/hallhold-error';
 import { Events } from '../logging/events';
-import { CollectionFollower, type FollowerPace } from './collection-follower';
+import { CollectionWatcher, type WatchPacing } from './collection-watcher';
 import type {
   AgentRegistryPort,
   Changes,
@@ -92,9 +92,9 @@
 /** The reading of one balancer. */
 export class StoreReading {
   private readonly readers: StoreReaders;
-  private readonly routing: CollectionFollower<RoutingTable>;
-  private readonly registry: CollectionFollower<AgentRecord>;
-  private readonly evacuations: CollectionFollower<EvacuatedZone> | undefined;
+  private readonly routing: CollectionWatcher<RoutingTable>;
+  private readonly registry: CollectionWatcher<AgentRecord>;
+  private readonly evacuations: CollectionWatcher<EvacuatedZone> | undefined;
   private stopped = false;
   private timer: TimerHandle | undefined;
   private discoveryTimer: TimerHandle | undefined;
@@ -268,9 +268,9 @@
     this.evacuations?.stop();
   }
 
-  private createRoutingFollower(): CollectionFollower<RoutingTable> {
+  private createRoutingFollower(): CollectionWatcher<RoutingTable> {
     const { environment, routingTables, takeTable } = this.dependencies;
-    return new CollectionFollower(
+    return new CollectionWatcher(
       'routing',
       routingTables,
       environment,
@@ -293,7 +293,7 @@
     );
   }
 
-  private createRegistryFollower(): CollectionFollower<AgentRecord> {
+  private createRegistryFollower(): CollectionWatcher<AgentRecord> {
     const { environment, registry, takeListing, takeChanges } = this.dependencies;
     const observer = {
       listed: (listing: Listing<AgentRecord>): void => {
@@ -302,7 +302,7 @@
       },
       changed: takeChanges,
     };
-    return new CollectionFollower('agents', registry, environment, observer, () => {
+    return new CollectionWatcher('agents', registry, environment, observer, () => {
       const isForAll = this.readers.readForAll(this.circumstances);
       return {
         waitTime: REGISTRY_WAIT,
@@ -312,7 +312,7 @@
     });
   }
 
-  private createEvacuationFollower(): CollectionFollower<EvacuatedZone> | undefined {
+  private createEvacuationFollower(): CollectionWatcher<EvacuatedZone> | undefined {
     const { environment, evacuatedZones, evacuations } = this.dependencies;
     if (!evacuatedZones) {
       return undefined;
@@ -324,14 +324,14 @@
       },
       changed: (changes: Changes<EvacuatedZone>): void => evacuations.takeChanges(changes),
     };
-    return new CollectionFollower('evacuations', evacuatedZones, environment, observer, () => ({
+    return new CollectionWatcher('evacuations', evacuatedZones, environment, observer, () => ({
       waitTime: EVACUATIONS_WAIT,
       pause: 0,
       firstPause: LISTING_TIME,
     }));
   }
 
-  private get routingPace(): FollowerPace {
+  private get routingPace(): WatchPacing {
     const isForAll = this.readers.readForAll(this.circumstances);
     return { waitTime: this.readers.waitTime(isForAll), pause: 0, firstPause: LISTING_TIME };
   }
--- a/src/packets/subscribers.ts
+++ b/src/packets/subscribers.ts
@@ -1,12 +1,12 @@
 /** The balancers that an agent reports to: those that asked for it or sent packets lately. */
 import type { Endpoint } from '../environment';
-import { SHORTEST_REPORT_INTERVAL } from './report-interval';
+import { MINIMUM_REPORT_INTERVAL_MS } from './report-interval';
 
 /** Milliseconds for which one subscription holds. */
-const SUBSCRIPTION_LIFETIME = 5_000;
+const SUBSCRIPTION_LIFETIME_MS = 5_000;
 const MAXIMUM_SUBSCRIBERS = 2_000;
 /** Timers fire a little early or late. */
-const TOLERANCE = 20;
+const TIMER_TOLERANCE_MS = 20;
 
 interface Subscriber {
   seenAt: number;
@@ -29,7 +29,7 @@
       known.seenAt = now;
       known.interval = interval ?? known.interval;
     } else if (this.subscribers.size < MAXIMUM_SUBSCRIBERS) {
-      const wanted = interval ?? SHORTEST_REPORT_INTERVAL;
+      const wanted = interval ?? MINIMUM_REPORT_INTERVAL_MS;
       this.subscribers.set(balancer, { seenAt: now, interval: wanted, reportedAt: now });
     }
     return !known;
@@ -50,9 +50,9 @@
   }
 
   /** The present subscribers; drops those that have not been seen for long. */
-  present(now: number): Endpoint[] {
+  listActive(now: number): Endpoint[] {
     for (const [balancer, { seenAt }] of this.subscribers) {
-      if (now - seenAt > SUBSCRIPTION_LIFETIME) {
+      if (now - seenAt > SUBSCRIPTION_LIFETIME_MS) {
         this.subscribers.delete(balancer);
       }
     }
@@ -61,9 +61,9 @@
 
   /** The present subscribers whose interval is over, which counts as reported to now. */
   takeDue(now: number): Endpoint[] {
-    return this.present(now).filter((balancer) => {
+    return this.listActive(now).filter((balancer) => {
       const subscriber = this.subscribers.get(balancer)!;
-      const isDue = now - subscriber.reportedAt >= subscriber.interval - TOLERANCE;
+      const isDue = now - subscriber.reportedAt >= subscriber.interval - TIMER_TOLERANCE_MS;
       subscriber.reportedAt = isDue ? now : subscriber.reportedAt;
       return isDue;
     });
--- a/src/packets/target-admission.ts
+++ b/src/packets/target-admission.ts
@@ -3,7 +3,7 @@
 import type { FlowPacket } from './flow-packet';
 import type { FlowTracker } from './flow-tracker';
 import { RequestQueue, type WaitingRequest } from './queue/request-queue';
-import { ServiceTime } from './service-time';
+import { ServiceTimeEstimator } from './service-time-estimator';
 import type { TargetLifecycle } from './target-lifecycle';
 import { UNKNOWN_TERMS, type RouteTerms } from './terms/route-terms';
 
@@ -11,12 +11,12 @@
  * Part of its slots that a target may have waiting, so that it goes on working while its agent
  * is held up for a moment.
  */
-const SLOTS_IN_RESERVE = 0.5;
+const QUEUED_SLOT_SHARE = 0.5;
 /**
  * Slots assumed of a target that has not told them, as balancers do: targets work on a few requests
  * and queue a few more, and turn away what comes beyond that.
  */
-const ASSUMED_SLOTS = 4;
+const DEFAULT_SLOTS = 4;
 
 /** What the admission works with. */
 export interface TargetAdmissionDependencies {
@@ -25,9 +25,9 @@
   /** Turns in a hundred that each lower priority keeps where more urgent requests wait as well. */
   readonly lowerShare: number;
   /** Milliseconds from a request to its answer that are aimed at; 0 while unknown. */
-  latencyGoal(): number;
+  getLatencyGoal(): number;
   /** What the callers of a route expect; undefined while unknown. */
-  termsOf(destination: Endpoint): RouteTerms | undefined;
+  getTerms(destination: Endpoint): RouteTerms | undefined;
   /** Hands a packet to the target. */
   handOver(packet: FlowPacket, balancer: Endpoint, searchId: number): void;
 }
@@ -35,7 +35,7 @@
 /** Admission of one target. */
 export class TargetAdmission {
   private readonly queue: RequestQueue;
-  private readonly serviceTime = new ServiceTime();
+  private readonly serviceTime = new ServiceTimeEstimator();
 
   constructor(private readonly dependencies: TargetAdmissionDependencies) {
     this.queue = new RequestQueue(dependencies.lowerShare);
@@ -52,8 +52,8 @@
    */
   admit(packet: FlowPacket, balancer: Endpoint, searchId: number, now: number): boolean {
     const { handOver, tracker } = this.dependencies;
-    if (!this.hasRoom && tracker.completesRequest(packet)) {
-      const terms = this.termsOf(packet);
+    if (!this.hasCapacity && tracker.completesRequest(packet)) {
+      const terms = this.getTermsOrDefault(packet);
       const times = { since: now, seenAt: now };
       this.release(this.queue.add({ packet, balancer, searchId, terms, ...times }));
       return true;
@@ -66,35 +66,35 @@
   }
 
   /** Milliseconds that the target takes for an answer of late, by what is under way as well. */
-  answerTimeAt(now: number): number {
-    return this.serviceTime.expectedTime(this.dependencies.tracker.longestWork(now), now);
+  computeAnswerTime(now: number): number {
+    return this.serviceTime.computeExpectedTime(this.dependencies.tracker.getLongestServiceTime(now), now);
   }
 
   /** Answers of late that this time rests on, fading. */
-  answersAt(now: number): number {
-    return this.serviceTime.answersAt(now);
+  countRecentAnswers(now: number): number {
+    return this.serviceTime.countRecentAnswers(now);
   }
 
   /** The target has answered a request well, by so many milliseconds of work. */
-  answered(milliseconds: number, now: number): void {
-    this.serviceTime.answered(milliseconds, now);
+  recordAnswer(milliseconds: number, now: number): void {
+    this.serviceTime.recordAnswer(milliseconds, now);
   }
 
   /** Another target has taken its place: it gets all that waits, and nothing is known of it. */
-  targetReplaced(): void {
+  handleTargetReplaced(): void {
     this.serviceTime.clear();
     this.releaseAll();
   }
 
   /** The target has returned a packet: no request of its flow can be served here. */
-  returned(packet: FlowPacket): void {
+  dropReturnedRequest(packet: FlowPacket): void {
     this.queue.remove(packet.flow);
   }
 
   /** Hands over waiting requests as far as the target has room. */
   releaseWaiting(now: number): void {
-    while (this.queue.size > 0 && this.hasRoom) {
-      const next = this.queue.take(now, (terms) => this.patienceOf(terms));
+    while (this.queue.size > 0 && this.hasCapacity) {
+      const next = this.queue.take(now, (terms) => this.computeWaitLimit(terms));
       if (!next) {
         return;
       }
@@ -121,25 +121,25 @@
   }
 
   /** The priority of a packet's route; undefined while unknown. */
-  priorityOf({ destination }: FlowPacket): number | undefined {
-    return this.dependencies.termsOf(destination)?.priority;
+  getPriority({ destination }: FlowPacket): number | undefined {
+    return this.dependencies.getTerms(destination)?.priority;
   }
 
-  private termsOf({ destination }: FlowPacket): RouteTerms {
-    return this.dependencies.termsOf(destination) ?? UNKNOWN_TERMS;
+  private getTermsOrDefault({ destination }: FlowPacket): RouteTerms {
+    return this.dependencies.getTerms(destination) ?? UNKNOWN_TERMS;
   }
 
   /** Milliseconds of waiting after which a request of some terms is late. */
-  private patienceOf({ latencyGoal }: RouteTerms): number {
-    const goal = latencyGoal || this.dependencies.latencyGoal();
-    return goal > 0 ? this.serviceTime.patienceFor(goal) : this.serviceTime.patience;
+  private computeWaitLimit({ latencyGoal }: RouteTerms): number {
+    const goal = latencyGoal || this.dependencies.getLatencyGoal();
+    return goal > 0 ? this.serviceTime.computeWaitLimit(goal) : this.serviceTime.defaultWaitLimit;
   }
 
   /** Whether the target would begin with another request soon. */
-  private get hasRoom(): boolean {
+  private get hasCapacity(): boolean {
     const { target, tracker } = this.dependencies;
-    const slots = target.slots || ASSUMED_SLOTS;
-    const limit = slots + Math.ceil(slots * SLOTS_IN_RESERVE);
+    const slots = target.slots || DEFAULT_SLOTS;
+    const limit = slots + Math.ceil(slots * QUEUED_SLOT_SHARE);
     return tracker.workingRequests < limit;
   }
 
--- a/src/packets/target-guard.ts
+++ b/src/packets/target-guard.ts
@@ -4,10 +4,10 @@
  */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
-import { ColdLimit, type ColdLimitSettings } from './cold-limit';
+import { ColdStartLimiter, type ColdStartLimitSettings } from './cold-start-limiter';
 import { refusalOf, type TargetCondition } from './delivery-rules';
 import type { RefusalReasonValue, SubscribeMessage } from './packet-messages';
-import type { TargetDeath } from './target-death';
+import type { TargetLiveness } from './target-liveness';
 import type { TargetHealth } from './target-health';
 import type { TargetLifecycle } from './target-lifecycle';
 import { ServiceProfileView } from './service-profile-view';
@@ -17,23 +17,23 @@
 export interface TargetGuardDependencies {
   readonly environment: Environment;
   readonly zone: string;
-  readonly coldLimit: ColdLimitSettings | undefined;
+  readonly coldLimit: ColdStartLimitSettings | undefined;
   readonly target: TargetLifecycle;
   readonly health: TargetHealth;
-  readonly death: TargetDeath;
+  readonly liveness: TargetLiveness;
 }
 
 /** The guard of one target. */
 export class TargetGuard {
   private readonly evacuations: ZoneEvacuationView;
-  private readonly coldLimit: ColdLimit;
+  private readonly coldLimit: ColdStartLimiter;
   private readonly profiles: ServiceProfileView;
 
   constructor(private readonly dependencies: TargetGuardDependencies) {
     const { environment, target, coldLimit } = dependencies;
-    this.evacuations = new ZoneEvacuationView(environment, (zones) => this.zonesChanged(zones));
+    this.evacuations = new ZoneEvacuationView(environment, (zones) => this.handleZoneChange(zones));
     this.profiles = new ServiceProfileView(target);
-    this.coldLimit = new ColdLimit(target, this.profiles, coldLimit, environment.now());
+    this.coldLimit = new ColdStartLimiter(target, this.profiles, coldLimit, environment.now());
   }
 
   /** Takes what a balancer tells of the deployment. */
@@ -43,28 +43,28 @@
   }
 
   /** Whether a service may exist, as far as balancers have told. */
-  mayExist(service: string): boolean {
-    return this.profiles.mayExist(service);
+  mayServiceExist(service: string): boolean {
+    return this.profiles.mayServiceExist(service);
   }
 
   /** Milliseconds from a request to its answer that are aimed at; 0 while unknown. */
   get latencyGoal(): number {
-    return this.profiles.own?.latencyGoal ?? 0;
+    return this.profiles.ownProfile?.latencyGoal ?? 0;
   }
 
   /**
    * Why the target must not get a packet; undefined when it may.
    * @param services services that the packet's route allows
    */
-  refusalOf(opens: boolean, services: readonly string[]): RefusalReasonValue | undefined {
+  findRefusalReason(opens: boolean, services: readonly string[]): RefusalReasonValue | undefined {
     return refusalOf(opens, services, this.condition);
   }
 
   /** An opening packet is handed to the target. */
-  openingDelivered(): void {
+  recordOpening(): void {
     const now = this.dependencies.environment.now();
-    this.dependencies.health.openingDelivered(now);
-    this.coldLimit.opened(now);
+    this.dependencies.health.recordOpening(now);
+    this.coldLimit.recordOpening(now);
   }
 
   /** Ends the timer. */
@@ -73,13 +73,13 @@
   }
 
   private get condition(): TargetCondition {
-    const { death, environment, health, target, zone } = this.dependencies;
+    const { liveness: death, environment, health, target, zone } = this.dependencies;
     const now = environment.now();
     return {
       service: target.service,
       state: target.state,
       isDown: health.isDown(now),
-      isDead: death.isProved,
+      isDead: death.isDead,
       isProbeDue: health.isProbeDue(now),
       isServiceDisputed: target.isServiceDisputed,
       isEvacuated: this.evacuations.isEvacuated(zone),
@@ -88,7 +88,7 @@
   }
 
   /** Targets of a zone that comes back into service may be cold, before a heartbeat tells so. */
-  private zonesChanged(zones: readonly string[]): void {
+  private handleZoneChange(zones: readonly string[]): void {
     const { target, zone } = this.dependencies;
     if (zones.includes(zone) && !this.evacuations.isEvacuated(zone)) {
       target.forgetAge();
--- a/src/packets/target-lifecycle.ts
+++ b/src/packets/target-lifecycle.ts
@@ -12,12 +12,12 @@
 import { TargetState, type TargetStateValue } from './packet-messages';
 
 /** Incarnations noted that have said that they leave; they never come back. */
-const ENDED_KEPT = 64;
+const MAXIMUM_REMEMBERED_INCARNATIONS = 64;
 /**
  * Part of the time between two heartbeats that lies between two of a living rival at least:
  * heartbeats that were held up together arrive together.
  */
-const RIVAL_SPACING = 0.5;
+const CANDIDATE_SPACING_SHARE = 0.5;
 
 /**
  * Part of the time between two heartbeats that a target may have run when its first heartbeat
@@ -29,15 +29,15 @@
  * a machine starts both. An earlier agent would have had to begin, to end and to be replaced in that
  * time; the replacement alone took 500 to 850 in the logs of real processes killed twice in a row.
  */
-const LONGEST_START_GAP = 300;
+const MAXIMUM_START_GAP_MS = 300;
 /**
  * Calls that a target makes at most until its first heartbeat is taken, in a starting cluster. One
  * that has made more has been running, and is cold for another reason than its start.
  */
-const CALLS_OF_A_START = 10;
+const MAXIMUM_STARTUP_HEARTBEATS = 10;
 
 /** Names one life of a target, from its start to its end. */
-export interface TargetLife {
+export interface TargetIncarnation {
   /** What the target calls itself; it may keep that when it starts again. */
   readonly incarnation: string;
   /** Unix time of its start in milliseconds; undefined from a target that does not tell it. */
@@ -45,7 +45,7 @@
 }
 
 /** One heartbeat of a target. */
-export interface TargetHeartbeat extends TargetLife {
+export interface TargetHeartbeat extends TargetIncarnation {
   readonly service: string;
   readonly slots: number;
   readonly draining: boolean;
@@ -65,8 +65,8 @@
 export type LifecycleChange = 'none' | 'state' | 'incarnation';
 
 /** Another incarnation that may have taken over, or may be one whose heartbeats come late. */
-interface Rival {
-  readonly life: string;
+interface CandidateIncarnation {
+  readonly incarnationKey: string;
   readonly service: string;
   readonly sequence: number;
   readonly firstHeardAt: number;
@@ -78,19 +78,19 @@
   private heardAt = -Infinity;
   /** When the present incarnation began, by its first heartbeat here. */
   private startedAt = -Infinity;
-  private rival: Rival | undefined;
-  private left = false;
+  private candidate: CandidateIncarnation | undefined;
+  private hasLeft = false;
   private coldUntil = 0;
   /** The target's next heartbeat is to tell whether it is cold; until then it may be. */
   private isAgeUnknown = true;
   /** This agent was there when the present incarnation began. */
-  private hasSeenStart = false;
+  private wasPresentAtStart = false;
   private firstHeartbeat: FirstHeartbeat | undefined;
   /** Milliseconds for which a target of this service is slow after its start; if known. */
   private coldTime: number | undefined;
-  /** Incarnations, named by {@link nameLife}, that this agent has taken for its target before. */
-  private readonly replaced = new Set<string>();
-  private readonly ended = new Set<string>();
+  /** Incarnations, named by {@link createIncarnationKey}, that this agent has taken for its target before. */
+  private readonly replacedIncarnations = new Set<string>();
+  private readonly endedIncarnations = new Set<string>();
 
   /**
    * @param configuredService the service that the agent's settings name
@@ -120,7 +120,7 @@
   }
 
   get state(): TargetStateValue {
-    if (this.left) {
+    if (this.hasLeft) {
       return TargetState.gone;
     }
     if (!this.current) {
@@ -134,7 +134,7 @@
    * is heard again, nobody knows which service the target belongs to.
    */
   get isServiceDisputed(): boolean {
-    return this.rival !== undefined && this.rival.service !== this.service;
+    return this.candidate !== undefined && this.candidate.service !== this.service;
   }
 
   /** Milliseconds for which the target is still slow. */
@@ -150,18 +150,18 @@
    */
   get isKnownFromStart(): boolean {
     const { coldTime, firstHeartbeat } = this;
-    if (this.hasSeenStart || coldTime === undefined || firstHeartbeat === undefined) {
-      return this.hasSeenStart;
+    if (this.wasPresentAtStart || coldTime === undefined || firstHeartbeat === undefined) {
+      return this.wasPresentAtStart;
     }
     const { at, coldLeft, sequence } = firstHeartbeat;
     const age = coldTime - coldLeft;
     const isYoung = age < this.heartbeatInterval * FIRST_HEARTBEAT_SHARE;
-    const isFirstAgent = age - (at - this.agentStartedAt) <= LONGEST_START_GAP;
-    return isYoung && isFirstAgent && sequence <= CALLS_OF_A_START;
+    const isFirstAgent = age - (at - this.agentStartedAt) <= MAXIMUM_START_GAP_MS;
+    return isYoung && isFirstAgent && sequence <= MAXIMUM_STARTUP_HEARTBEATS;
   }
 
   /** Takes the milliseconds for which targets of this service are slow after a start; 0: unknown. */
-  learnColdTime(coldTime: number | undefined): void {
+  setColdTime(coldTime: number | undefined): void {
     this.coldTime = coldTime === 0 ? undefined : coldTime;
   }
 
@@ -181,66 +181,66 @@
   }
 
   /** Takes a heartbeat; one that is late changes nothing. */
-  heartbeat(heartbeat: TargetHeartbeat, now: number): LifecycleChange {
-    if (this.ended.has(nameLife(heartbeat))) {
+  applyHeartbeat(heartbeat: TargetHeartbeat, now: number): LifecycleChange {
+    if (this.endedIncarnations.has(createIncarnationKey(heartbeat))) {
       return 'none';
     }
-    if (this.current !== undefined && isSameLife(this.current, heartbeat)) {
-      return this.goOn(this.current, heartbeat, now);
+    if (this.current !== undefined && isSameIncarnation(this.current, heartbeat)) {
+      return this.updateCurrent(this.current, heartbeat, now);
     }
     const isSuccessor = this.isSuccessor(heartbeat, now);
-    if (isSuccessor || this.isLivingRival(heartbeat, now)) {
-      this.hasSeenStart = isSuccessor && this.current !== undefined;
+    if (isSuccessor || this.isConfirmedCandidate(heartbeat, now)) {
+      this.wasPresentAtStart = isSuccessor && this.current !== undefined;
       this.firstHeartbeat = isSuccessor ? { ...heartbeat, at: now } : undefined;
-      return this.replace(heartbeat, now);
+      return this.replaceCurrent(heartbeat, now);
     }
-    this.noteRival(heartbeat, now);
+    this.recordCandidate(heartbeat, now);
     return 'none';
   }
 
   /** An incarnation has said that it leaves for good. */
-  leave(life: TargetLife): LifecycleChange {
+  applyLeave(incarnation: TargetIncarnation): LifecycleChange {
     const { current } = this;
-    const isPresent = current !== undefined && isSameLife(current, life);
-    const name = nameLife(isPresent ? current : life);
-    addBounded(this.ended, name);
-    if (this.rival?.life === name) {
-      this.rival = undefined;
+    const isPresent = current !== undefined && isSameIncarnation(current, incarnation);
+    const name = createIncarnationKey(isPresent ? current : incarnation);
+    addBounded(this.endedIncarnations, name);
+    if (this.candidate?.incarnationKey === name) {
+      this.candidate = undefined;
     }
     if (current !== undefined && !isPresent) {
       return 'none';
     }
     const before = this.state;
-    this.left = true;
+    this.hasLeft = true;
     return before === TargetState.gone ? 'none' : 'state';
   }
 
-  private goOn(current: TargetHeartbeat, heartbeat: TargetHeartbeat, now: number): LifecycleChange {
+  private updateCurrent(current: TargetHeartbeat, heartbeat: TargetHeartbeat, now: number): LifecycleChange {
     if (heartbeat.sequence <= current.sequence) {
       return 'none';
     }
     const before = this.state;
     const born = heartbeat.born ?? current.born;
-    this.take({ ...heartbeat, born, draining: heartbeat.draining || current.draining }, now);
+    this.setCurrent({ ...heartbeat, born, draining: heartbeat.draining || current.draining }, now);
     return this.state === before ? 'none' : 'state';
   }
 
-  private replace(heartbeat: TargetHeartbeat, now: number): LifecycleChange {
+  private replaceCurrent(heartbeat: TargetHeartbeat, now: number): LifecycleChange {
     const before = this.current;
     if (before) {
-      addBounded(this.replaced, nameLife(before));
+      addBounded(this.replacedIncarnations, createIncarnationKey(before));
     }
-    this.replaced.delete(nameLife(heartbeat));
-    this.left = false;
-    this.startedAt = now - this.runningTime(heartbeat);
-    this.take(heartbeat, now);
+    this.replacedIncarnations.delete(createIncarnationKey(heartbeat));
+    this.hasLeft = false;
+    this.startedAt = now - this.computeMinimumRunningTime(heartbeat);
+    this.setCurrent(heartbeat, now);
     return before ? 'incarnation' : 'state';
   }
 
-  private take(heartbeat: TargetHeartbeat, now: number): void {
+  private setCurrent(heartbeat: TargetHeartbeat, now: number): void {
     this.current = heartbeat;
     this.heardAt = now;
-    this.rival = undefined;
+    this.candidate = undefined;
     this.coldUntil = now + heartbeat.coldLeft;
     this.isAgeUnknown = false;
   }
@@ -252,54 +252,54 @@
    */
   private isSuccessor(heartbeat: TargetHeartbeat, now: number): boolean {
     if (this.current === undefined) {
-      return heartbeat.service === this.configuredService || this.left;
+      return heartbeat.service === this.configuredService || this.hasLeft;
     }
-    if (this.replaced.has(nameLife(heartbeat)) || isBornBefore(heartbeat, this.current)) {
+    if (this.replacedIncarnations.has(createIncarnationKey(heartbeat)) || hasStartedBefore(heartbeat, this.current)) {
       return false;
     }
     if (heartbeat.incarnation === this.current.incarnation) {
       return true;
     }
-    return this.runningTime(heartbeat) <= now - this.heardAt;
+    return this.computeMinimumRunningTime(heartbeat) <= now - this.heardAt;
   }
 
   /** Milliseconds for which an incarnation has been running at least, by its sequence number. */
-  private runningTime({ sequence }: TargetHeartbeat): number {
+  private computeMinimumRunningTime({ sequence }: TargetHeartbeat): number {
     return (sequence - 1) * this.heartbeatInterval;
   }
 
   /** Whether a rival has been heard long enough while the present incarnation was silent. */
-  private isLivingRival(heartbeat: TargetHeartbeat, now: number): boolean {
-    const { rival } = this;
+  private isConfirmedCandidate(heartbeat: TargetHeartbeat, now: number): boolean {
+    const { candidate: candidate } = this;
     return (
-      rival?.life === nameLife(heartbeat) &&
-      heartbeat.sequence > rival.sequence &&
-      now - rival.firstHeardAt >= this.heartbeatInterval * RIVAL_SPACING
+      candidate?.incarnationKey === createIncarnationKey(heartbeat) &&
+      heartbeat.sequence > candidate.sequence &&
+      now - candidate.firstHeardAt >= this.heartbeatInterval * CANDIDATE_SPACING_SHARE
     );
   }
 
-  private noteRival(heartbeat: TargetHeartbeat, now: number): void {
+  private recordCandidate(heartbeat: TargetHeartbeat, now: number): void {
     const { service, sequence } = heartbeat;
-    const life = nameLife(heartbeat);
-    const isKnown = this.rival?.life === life;
-    const firstHeardAt = isKnown ? this.rival!.firstHeardAt : now;
-    this.rival = { life, service, sequence, firstHeardAt };
+    const incarnationKey = createIncarnationKey(heartbeat);
+    const isKnown = this.candidate?.incarnationKey === incarnationKey;
+    const firstHeardAt = isKnown ? this.candidate!.firstHeardAt : now;
+    this.candidate = { incarnationKey: incarnationKey, service, sequence, firstHeardAt };
   }
 }
 
 /** A text that differs from life to life of a target. */
-function nameLife({ incarnation, born }: TargetLife): string {
+function createIncarnationKey({ incarnation, born }: TargetIncarnation): string {
   return born === undefined ? incarnation : `${incarnation} ${born}`;
 }
 
 /** Whether two are of one life; a target that tells no start has one life for each name. */
-function isSameLife(one: TargetLife, other: TargetLife): boolean {
+function isSameIncarnation(one: TargetIncarnation, other: TargetIncarnation): boolean {
   const isStartTold = one.born !== undefined && other.born !== undefined;
   return one.incarnation === other.incarnation && (!isStartTold || one.born === other.born);
 }
 
 /** Whether a life began before another one, by the word of both. */
-function isBornBefore(one: TargetLife, other: TargetLife): boolean {
+function hasStartedBefore(one: TargetIncarnation, other: TargetIncarnation): boolean {
   return one.born !== undefined && other.born !== undefined && one.born < other.born;
 }
 
@@ -307,7 +307,7 @@
 function addBounded(names: Set<string>, name: string): void {
   names.delete(name);
   names.add(name);
-  if (names.size > ENDED_KEPT) {
+  if (names.size > MAXIMUM_REMEMBERED_INCARNATIONS) {
     const [oldest] = names;
     names.delete(oldest!);
   }
--- a/src/packets/target-death.ts
+++ b/src/packets/target-liveness.ts
@@ -8,46 +8,46 @@
 import type { TargetProbePort } from './startup/target-presence';
 
 /** Milliseconds between two looks at the address of a target that stays silent. */
-const LOOK_INTERVAL = 500;
+const PROBE_INTERVAL_MS = 500;
 
 /** The death of one target. */
-export class TargetDeath {
-  private isVacant = false;
-  private isLooking = false;
-  private lookedAt = -Infinity;
+export class TargetLiveness {
+  private isConfirmedDead = false;
+  private isProbing = false;
+  private probedAt = -Infinity;
   /** Times that the target was heard: a look that began before the latest proves nothing. */
-  private timesHeard = 0;
+  private activityCount = 0;
 
-  /** @param proved called when a death is proved */
+  /** @param onDead called when a death is proved */
   constructor(
     private readonly probe: TargetProbePort,
-    private readonly proved: () => void,
+    private readonly onDead: () => void,
   ) {}
 
   /** Whether nobody has listened at the target's address since it was heard last. */
-  get isProved(): boolean {
-    return this.isVacant;
+  get isDead(): boolean {
+    return this.isConfirmedDead;
   }
 
   /** The target has sent a packet or a heartbeat. */
-  heard(): void {
-    this.isVacant = false;
-    this.timesHeard++;
+  recordActivity(): void {
+    this.isConfirmedDead = false;
+    this.activityCount++;
   }
 
   /** To be called at regular intervals. */
-  check(isSilent: boolean, now: number): void {
-    if (!isSilent || this.isVacant || this.isLooking || now - this.lookedAt < LOOK_INTERVAL) {
+  probeIfSilent(isSilent: boolean, now: number): void {
+    if (!isSilent || this.isConfirmedDead || this.isProbing || now - this.probedAt < PROBE_INTERVAL_MS) {
       return;
     }
-    this.isLooking = true;
-    this.lookedAt = now;
-    const { timesHeard } = this;
-    this.probe.checkVacant((isVacant) => {
-      this.isLooking = false;
-      if (isVacant && timesHeard === this.timesHeard) {
-        this.isVacant = true;
-        this.proved();
+    this.isProbing = true;
+    this.probedAt = now;
+    const { activityCount: activityCount } = this;
+    this.probe.checkVacant((isPortClosed) => {
+      this.isProbing = false;
+      if (isPortClosed && activityCount === this.activityCount) {
+        this.isConfirmedDead = true;
+        this.onDead();
       }
     });
   }
--- a/src/packets/zone-reach.ts
+++ b/src/packets/zone-reach.ts
@@ -5,7 +5,7 @@
  * report independently of each other, so silence of all of them shows much sooner that the way to
  * the zone is cut, or that it has lost power.
  */
-import { reportInterval } from './report-interval';
+import { computeReportInterval } from './report-interval';
 
 /** Agents of a zone from which on their common silence says something. */
 const AGENTS_NEEDED = 6;
@@ -63,7 +63,7 @@
       return false;
     }
     const silentSince = Math.max(contact.heardAt, listeningSince);
-    const limit = Math.max(SHORTEST_SILENCE, reportInterval(agents) * SILENT_SHARE);
+    const limit = Math.max(SHORTEST_SILENCE, computeReportInterval(agents) * SILENT_SHARE);
     return now - silentSince > limit && this.hearsOther(zone, silentSince + limit * OTHERS_SHARE);
   }
 
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -173,7 +173,7 @@
     const service = requireSetting(settings.service, 'service');
     const packets = await bind(outbound, (bytes) => started.process?.targetDatagram(bytes));
     const frames = await bind(settings.listenAddress, (bytes, from) =>
-      started.process?.node.frame(bytes, from),
+      started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketAgent(
       { ...settings, service },
@@ -215,7 +215,7 @@
 
   private targetDatagram(bytes: Buffer): void {
     const before = this.environment.now();
-    this.node.targetDatagram(bytes);
+    this.node.handleTargetDatagram(bytes);
     this.packetObserver?.(this.environment.now() - before);
   }
 }
--- a/src/runtime/snapshot-exchange.ts
+++ b/src/runtime/snapshot-exchange.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '../environment';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
-import type { Answer } from '../packets/collection-port';
+import type { ResultCallback } from '../packets/collection-port';
 import type { SnapshotPort } from '../packets/peer-exchange';
 import {
   decodeSnapshotText,
@@ -74,7 +74,7 @@
 
 /** Fetches snapshots of other balancers; one of an earlier version has none in this form. */
 export class HttpSnapshots implements SnapshotPort {
-  fetch(peer: Endpoint, answer: Answer<PeerSnapshot>): void {
+  fetch(peer: Endpoint, answer: ResultCallback<PeerSnapshot>): void {
     let answered = false;
     const fail = (error: Error): void => {
       clearTimeout(timer);
--- a/src/simulation/packets/model-store.ts
+++ b/src/simulation/packets/model-store.ts
@@ -4,7 +4,7 @@
 import { ResultCodes } from '../../errors/result-codes';
 import type {
   AgentRegistryPort,
-  Answer,
+  ResultCallback,
   Change,
   Changes,
   CollectionPort,
@@ -170,7 +170,7 @@
 
   private port<T>(collection: ModelCollection<T>, process: SimulatedProcess): CollectionPort<T> {
     return {
-      list: (answer: Answer<Listing<T>>) =>
+      list: (answer: ResultCallback<Listing<T>>) =>
         this.call(process, answer, () => {
           const items = [...collection.items.values()];
           return new Ok({ items, skipped: 0, era: this.era, revision: this.revision });
@@ -185,7 +185,7 @@
     process: SimulatedProcess,
     after: StorePosition,
     waitTime: number,
-    answer: Answer<Changes<T>>,
+    answer: ResultCallback<Changes<T>>,
   ): void {
     if (!this.reaches(process)) {
       this.call(process, answer, () => undefined);
@@ -246,7 +246,7 @@
   /** Runs a call after the store's answer time; `act` answers undefined to say nothing yet. */
   private call<T>(
     process: SimulatedProcess,
-    answer: Answer<T>,
+    answer: ResultCallback<T>,
     act: () => Result<T, HallholdError> | undefined,
   ): void {
     this.calls++;
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -6,7 +6,7 @@
 import { packEndpoint } from '../../core/endpoint';
 import { computeRendezvousScore } from '../../core/hashing';
 import type { Endpoint } from '../../environment';
-import type { Answer } from '../../packets/collection-port';
+import type { ResultCallback } from '../../packets/collection-port';
 import type { FlowKey } from '../../packets/flow-packet';
 import { PacketAgent } from '../../packets/packet-agent';
 import { PacketBalancer } from '../../packets/packet-balancer';
@@ -259,7 +259,7 @@
     );
     agent.process = process;
     agent.node = node;
-    this.network.bind(address, process, (frame, from) => node.frame(Buffer.from(frame), from));
+    this.network.bind(address, process, (frame, from) => node.handleFrame(Buffer.from(frame), from));
     node.start();
   }
 
@@ -289,7 +289,7 @@
     }
     const incarnation = `incarnation-${this.nextIncarnation++}`;
     const output = (packet: Buffer): void =>
-      agent.process.run(() => agent.node.targetDatagram(packet));
+      agent.process.run(() => agent.node.handleTargetDatagram(packet));
     const firstSequence = Math.floor(this.random.next() * SEQUENCE_RANGE);
     const target = new ModelTarget(
       { incarnation, id, born: Math.round(this.clock.now) },
@@ -421,7 +421,7 @@
   private fetchSnapshot(
     process: SimulatedProcess,
     peer: Endpoint,
-    answer: Answer<PeerSnapshot>,
+    answer: ResultCallback<PeerSnapshot>,
   ): void {
     const balancer = this.balancers.find(({ address }) => address === peer);
     const reachable = balancer?.process.isRunning && !this.network.isCut(process, balancer.process);
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -4,7 +4,7 @@
 import { HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type {
-  Answer,
+  ResultCallback,
   MachineRecord,
   StoredTable,
   StorePort,
@@ -85,7 +85,7 @@
   }
 
   /** Runs a read at the store and answers; a store that is down or slow answers by time-out. */
-  private call<T>(process: SimulatedProcess, answer: Answer<T>, read: () => T): void {
+  private call<T>(process: SimulatedProcess, answer: ResultCallback<T>, read: () => T): void {
     const delay = this.delay();
     if (this.faults.down || delay > CALL_TIMEOUT) {
       this.timeOut(process, answer);
@@ -97,7 +97,7 @@
     });
   }
 
-  private timeOut<T>(process: SimulatedProcess, answer: Answer<T>): void {
+  private timeOut<T>(process: SimulatedProcess, answer: ResultCallback<T>): void {
     process.startTimer(CALL_TIMEOUT, () => {
       answer(new Err(new HallholdError(ResultCodes.storeUnavailable, 'no answer in time')));
     });
@@ -107,7 +107,7 @@
     process: SimulatedProcess,
     write: TableWrite,
     expected: number,
-    answer: Answer<number>,
+    answer: ResultCallback<number>,
   ): void {
     const lost = this.random.next() < this.faults.lostAnswers;
     if (this.faults.down) {
--- a/src/table-store/http-store.ts
+++ b/src/table-store/http-store.ts
@@ -7,7 +7,7 @@
 import { failure, HallholdError, messageOf } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type {
-  Answer,
+  ResultCallback,
   MachineRecord,
   StoredTable,
   StorePort,
@@ -49,7 +49,7 @@
   /** @param url base address, for example "http://127.0.0.1:7900" */
   constructor(private readonly url: string) {}
 
-  list(answer: Answer<TableDelta>): void {
+  list(answer: ResultCallback<TableDelta>): void {
     void this.fetchChecked('GET', TABLES_PATH, tableList).then((result) =>
       answer(
         result.map((list) => ({
@@ -75,15 +75,15 @@
     return { close: () => abort.abort() };
   }
 
-  read(service: string, answer: Answer<StoredTable | undefined>): void {
+  read(service: string, answer: ResultCallback<StoredTable | undefined>): void {
     void this.readTable(service).then(answer);
   }
 
-  write(write: TableWrite, expectedRevision: number, answer: Answer<number>): void {
+  write(write: TableWrite, expectedRevision: number, answer: ResultCallback<number>): void {
     void this.writeTable(write, expectedRevision).then(answer);
   }
 
-  machines(answer: Answer<readonly MachineRecord[]>): void {
+  machines(answer: ResultCallback<readonly MachineRecord[]>): void {
     void this.fetchChecked('GET', NODES_PATH, nodeList).then((result) =>
       answer(result.map(toMachines)),
     );
--- a/src/table-store/store-port.ts
+++ b/src/table-store/store-port.ts
@@ -34,12 +34,12 @@
 }
 
 /** Receives one answer. */
-export type Answer<T> = (result: Result<T, HallholdError>) => void;
+export type ResultCallback<T> = (result: Result<T, HallholdError>) => void;
 
 /** Calls on the store. Each answers once; a lost answer is error 1201 after a time-out. */
 export interface StorePort {
   /** All tables, complete through one revision. */
-  list(answer: Answer<TableDelta>): void;
+  list(answer: ResultCallback<TableDelta>): void;
   /** Changes after a revision, in order; `ended` is called once when the watch breaks. */
   watch(
     fromRevision: number,
@@ -47,14 +47,14 @@
     ended: (error: HallholdError) => void,
   ): WatchHandle;
   /** One table; undefined when the service has none. */
-  read(service: string, answer: Answer<StoredTable | undefined>): void;
+  read(service: string, answer: ResultCallback<StoredTable | undefined>): void;
   /**
    * Writes a table if its revision is still `expectedRevision` (0: it must not exist).
    * Answers the new revision, or error 1202 on a conflict.
    */
-  write(write: TableWrite, expectedRevision: number, answer: Answer<number>): void;
+  write(write: TableWrite, expectedRevision: number, answer: ResultCallback<number>): void;
   /** The machine list. */
-  machines(answer: Answer<readonly MachineRecord[]>): void;
+  machines(answer: ResultCallback<readonly MachineRecord[]>): void;
 }
 
 /** Write ids that a stored table keeps, so that a writer can recognise its own write later. */
--- a/test/answer-repair.test.ts
+++ b/test/answer-repair.test.ts
@@ -11,7 +11,7 @@
 import { PacketWorld } from '../src/simulation/packets/packet-world';
 import { AnswerTiming } from '../src/packets/repair/answer-timing';
 import { VirtualClock } from '../src/simulation/virtual-clock';
-import { AgentScene, type Arrival } from './support/agent-scene';
+import { AgentHarness, type Arrival } from './support/agent-harness';
 import { encodePacket, Flag } from './support/packet-cluster';
 
 const ROUTE = ['198.18.0.1', 443] as const;
@@ -647,7 +647,7 @@
 });
 
 /** An agent of a ready target, and one flow. */
-class RepairingAgentHarness extends AgentScene {
+class RepairingAgentHarness extends AgentHarness {
   constructor(repairAnswers: boolean) {
     super({ repairAnswers, repairHops: true, priorityQueue: true });
     this.sendHeartbeat('i-1');
@@ -664,13 +664,13 @@
     const payload = encodePacket(client, ROUTE, flags, 7, acknowledgement, data);
     const services = ['map'];
     const message = { type: PacketMessageType.deliver, searchId: 1, services, payload } as const;
-    this.take(message);
+    this.receive(message);
   }
 
   send(sequence: number, data: string, flags: number = Flag.ack): Buffer {
     const bytes = encodePacket(ROUTE, [CLIENT_ADDRESS, 1], flags, sequence, 7, data);
     const asWritten = Buffer.from(bytes);
-    this.agent.targetDatagram(bytes);
+    this.agent.handleTargetDatagram(bytes);
     return asWritten;
   }
 
@@ -678,7 +678,7 @@
   open(): void {
     this.deliver(Flag.syn, 0);
     this.send(OPENING_SEQUENCE, '', Flag.syn | Flag.ack);
-    this.pass(ROUND_TRIP_MS);
+    this.runFor(ROUND_TRIP_MS);
     this.deliver(Flag.ack, OPENING_SEQUENCE + 1, 'GET');
   }
 }
@@ -687,14 +687,14 @@
   const scene = new RepairingAgentHarness(true);
   scene.open();
   const packets = [0, 1, 2, 3].map((index) => scene.send(computeSequenceAfter(index), FULL_PAYLOAD));
-  scene.pass(ROUND_TRIP_MS);
+  scene.runFor(ROUND_TRIP_MS);
   scene.deliver(Flag.ack, computeSequenceAfter(1));
   scene.deliver(Flag.ack, computeSequenceAfter(1));
-  scene.pass(4 * ROUND_TRIP_MS);
+  scene.runFor(4 * ROUND_TRIP_MS);
   t.is(scene.toClient.length, 6);
   t.deepEqual(scene.toClient[5]!.bytes, packets[1]);
   scene.deliver(Flag.ack, computeSequenceAfter(4));
-  scene.pass(1_000);
+  scene.runFor(1_000);
   t.is(scene.toClient.length, 6);
   t.is(scene.agent.figures.answersRepeated, 1);
   t.is(scene.toTarget.length, 5);
@@ -705,7 +705,7 @@
   scene.open();
   scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
   scene.sendHeartbeat('i-2');
-  scene.pass(1_000);
+  scene.runFor(1_000);
   t.is(scene.toClient.length, 2);
 });
 
@@ -713,7 +713,7 @@
   const scene = new RepairingAgentHarness(false);
   scene.open();
   scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
-  scene.pass(1_000);
+  scene.runFor(1_000);
   t.is(scene.toClient.length, 2);
 });
 
@@ -723,8 +723,8 @@
   scene.send(computeSequenceAfter(0), FULL_PAYLOAD);
   const returned = Buffer.from(scene.toTarget.at(-1)!);
   returned[30]! |= Flag.bounced;
-  scene.agent.targetDatagram(returned);
-  scene.pass(1_000);
+  scene.agent.handleTargetDatagram(returned);
+  scene.runFor(1_000);
   t.is(scene.toClient.length, 2);
 });
 
--- a/test/ended-flows.test.ts
+++ b/test/ended-flows.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { packEndpoint } from '../src/core/endpoint';
 import { PacketMessageType, SearchPhase } from '../src/packets/packet-messages';
-import { AGENT, AgentScene, BALANCER } from './support/agent-scene';
+import { AGENT, AgentHarness, BALANCER } from './support/agent-harness';
 import { encodePacket, Flag } from './support/packet-cluster';
 
 const NEXT_AGENT = packEndpoint('10.0.0.3', 7_000);
@@ -14,7 +14,7 @@
 const ALL_SENT = OPENING + 1 + ANSWER.length + 1;
 
 /** An agent and one flow of its target, which ends. */
-class EndingScene extends AgentScene {
+class EndingFlowHarness extends AgentHarness {
   constructor() {
     super({ earlyStart: true });
   }
@@ -35,7 +35,7 @@
   }
 
   /** Another balancer asks this agent and the next one for the flow of a client's packet. */
-  ask(flags: number, acknowledgement: number, data = ''): void {
+  search(flags: number, acknowledgement: number, data = ''): void {
     const payload = encodePacket(CLIENT, ROUTE, flags, 8, acknowledgement, data);
     const message = {
       type: PacketMessageType.search,
@@ -49,25 +49,25 @@
     } as const;
     this.toTarget.length = 0;
     this.toNodes.length = 0;
-    this.take(message);
+    this.receive(message);
   }
 
   private deliver(flags: number, acknowledgement: number, data = ''): void {
     const payload = encodePacket(CLIENT, ROUTE, flags, 7, acknowledgement, data);
     const type = PacketMessageType.deliver;
-    this.take({ type, searchId: 1, services: ['map'], payload });
+    this.receive({ type, searchId: 1, services: ['map'], payload });
   }
 
   private answer(flags: number, sequence: number, data = ''): void {
-    this.agent.targetDatagram(encodePacket(ROUTE, CLIENT, flags, sequence, 7, data));
+    this.agent.handleTargetDatagram(encodePacket(ROUTE, CLIENT, flags, sequence, 7, data));
   }
 }
 
 // Guards against searches through all targets for the last packets of flows that have ended.
 test('the last packet of an ended flow goes to the target that has ended it', (t) => {
-  const scene = new EndingScene();
+  const scene = new EndingFlowHarness();
   scene.runFlow();
-  scene.ask(Flag.ack | Flag.fin, ALL_SENT);
+  scene.search(Flag.ack | Flag.fin, ALL_SENT);
   t.is(scene.toTarget.length, 1);
   t.deepEqual(
     scene.toNodes,
@@ -77,26 +77,26 @@
 });
 
 test('data that was sent before the end came goes to the target that has ended the flow', (t) => {
-  const scene = new EndingScene();
+  const scene = new EndingFlowHarness();
   scene.runFlow();
-  scene.ask(Flag.ack, OPENING + 1, 'GET');
+  scene.search(Flag.ack, OPENING + 1, 'GET');
   t.is(scene.toTarget.length, 1);
 });
 
 test('packets of a later flow of the same ends, which opened elsewhere, are searched for', (t) => {
-  const scene = new EndingScene();
+  const scene = new EndingFlowHarness();
   for (const acknowledgement of [OPENING, ALL_SENT + 1, OPENING + 2 ** 31 + 7]) {
     scene.runFlow();
-    scene.ask(Flag.ack, acknowledgement, 'GET');
+    scene.search(Flag.ack, acknowledgement, 'GET');
     t.is(scene.toTarget.length, 0);
     t.like(scene.toNodes[0], { type: PacketMessageType.search, position: 1 });
   }
 });
 
 test('a target that has given up an opening gets no packet of the flow that opened elsewhere', (t) => {
-  const scene = new EndingScene();
+  const scene = new EndingFlowHarness();
   scene.abortOpening();
-  scene.ask(Flag.ack | Flag.fin, OPENING + 5_000);
+  scene.search(Flag.ack | Flag.fin, OPENING + 5_000);
   t.is(scene.toTarget.length, 0);
   t.like(scene.toNodes[0], { type: PacketMessageType.search, position: 1 });
 });
--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -12,7 +12,7 @@
 import { ServiceTimeTracker } from '../src/packets/choice/service-time-tracker';
 import { TargetState, type ReportMessage } from '../src/packets/packet-messages';
 import { checkPacketSettings } from '../src/packets/packet-settings';
-import { ServiceTime } from '../src/packets/service-time';
+import { ServiceTimeEstimator } from '../src/packets/service-time-estimator';
 import { TargetHealth } from '../src/packets/target-health';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { createReport } from './support/reports';
@@ -206,46 +206,46 @@
 });
 
 test('a report follows a sixfold slowing within five answers, and its end', (t) => {
-  const time = new ServiceTime();
+  const time = new ServiceTimeEstimator();
   const random = new SeededRandom(1);
   let steadiest = 0;
   for (let answer = 0; answer < 500; answer++) {
-    time.answered(random.between(10, 30), answer * 40);
+    time.recordAnswer(random.between(10, 30), answer * 40);
     steadiest = answer < 20 ? 0 : Math.max(steadiest, Math.abs(time.answerTime - 20));
   }
   t.true(steadiest < 10, `normal spread moves the mean by ${steadiest} ms`);
   for (let answer = 0; answer < 5; answer++) {
-    time.answered(120, 20_000 + answer);
+    time.recordAnswer(120, 20_000 + answer);
   }
   t.true(time.answerTime > 80, `${time.answerTime}`);
-  t.is(Math.round(time.answersAt(20_005)) > 3, true);
-  t.true(time.answersAt(40_000) < 0.5, 'answers of long ago count for little');
+  t.is(Math.round(time.countRecentAnswers(20_005)) > 3, true);
+  t.true(time.countRecentAnswers(40_000) < 0.5, 'answers of long ago count for little');
   for (let answer = 0; answer < 8; answer++) {
-    time.answered(20, 40_000 + answer);
+    time.recordAnswer(20, 40_000 + answer);
   }
   t.true(time.answerTime < 40, `${time.answerTime}`);
 });
 
 test('the first answers replace the assumed time; a request under way tells before it ends', (t) => {
-  const time = new ServiceTime();
-  t.is(time.expectedTime(400), 50, 'nothing to compare with');
-  time.answered(12, 0);
+  const time = new ServiceTimeEstimator();
+  t.is(time.computeExpectedTime(400), 50, 'nothing to compare with');
+  time.recordAnswer(12, 0);
   t.is(time.answerTime, 12);
-  t.is(time.expectedTime(20), 12, 'within the normal spread');
-  t.is(time.expectedTime(90), 90);
+  t.is(time.computeExpectedTime(20), 12, 'within the normal spread');
+  t.is(time.computeExpectedTime(90), 90);
   time.clear();
   t.is(time.answerTime, 50);
-  t.is(time.answersAt(0), 0);
+  t.is(time.countRecentAnswers(0), 0);
 });
 
 test('one long request says nothing of a target that answers others meanwhile', (t) => {
-  const time = new ServiceTime();
+  const time = new ServiceTimeEstimator();
   for (let now = 0; now <= 1_000; now += 20) {
-    time.answered(20, now);
+    time.recordAnswer(20, now);
   }
-  t.is(time.expectedTime(600, 1_010), 20, 'its other slots do well');
-  t.is(Math.round(time.expectedTime(600, 1_300)), 300, 'none has been answered for so long');
-  t.is(time.expectedTime(90, 1_300), 90, 'it had nothing to do before');
+  t.is(time.computeExpectedTime(600, 1_010), 20, 'its other slots do well');
+  t.is(Math.round(time.computeExpectedTime(600, 1_300)), 300, 'none has been answered for so long');
+  t.is(time.computeExpectedTime(90, 1_300), 90, 'it had nothing to do before');
 });
 
 test('time that a request waits inside its target is no work', (t) => {
@@ -269,20 +269,20 @@
 test('failures in a row tell soon after a thousand successes; a single one is no verdict', (t) => {
   const health = new TargetHealth();
   for (let request = 0; request < 1_000; request++) {
-    health.requestEnded(true, request);
+    health.recordOutcome(true, request);
   }
-  health.requestEnded(false, 1_000);
-  t.true(health.failureShare(1_000) < 0.02);
+  health.recordOutcome(false, 1_000);
+  t.true(health.computeFailureShare(1_000) < 0.02);
   for (let request = 0; request < 4; request++) {
-    health.requestEnded(false, 1_000);
+    health.recordOutcome(false, 1_000);
   }
-  t.true(health.failureShare(1_000) > 0.5, `${health.failureShare(1_000)}`);
+  t.true(health.computeFailureShare(1_000) > 0.5, `${health.computeFailureShare(1_000)}`);
   for (let request = 0; request < 6; request++) {
-    health.requestEnded(true, 1_000);
+    health.recordOutcome(true, 1_000);
   }
-  t.true(health.failureShare(1_000) < 0.05);
+  t.true(health.computeFailureShare(1_000) < 0.05);
   health.clear();
-  t.is(health.failureShare(1_000), 0);
+  t.is(health.computeFailureShare(1_000), 0);
   t.is(health.targetChanges, 1);
 });
 
--- a/test/late-heartbeats.test.ts
+++ b/test/late-heartbeats.test.ts
@@ -7,7 +7,7 @@
 /** Heartbeats of a living target that may be left aside. */
 const IGNORED_AT_MOST = 2;
 
-function heartbeat(incarnation: string, service: string, sequence: number): TargetHeartbeat {
+function createHeartbeat(incarnation: string, service: string, sequence: number): TargetHeartbeat {
   return { incarnation, service, slots: 1, draining: false, coldLeft: 0, sequence };
 }
 
@@ -26,7 +26,7 @@
 ];
 
 /** All orders of up to three disturbances, repeats included. */
-function orders(): Disturbance[][] {
+function listOrders(): Disturbance[][] {
   const all: Disturbance[][] = [[]];
   let longest: Disturbance[][] = [[]];
   for (let length = 1; length <= 3; length++) {
@@ -48,13 +48,13 @@
   /** @param oldService service of the predecessor */
   constructor(private readonly oldService: string) {
     this.agent = new TargetLifecycle(oldService, INTERVAL, 0);
-    this.agent.heartbeat(heartbeat('old', oldService, 56), this.now);
+    this.agent.applyHeartbeat(createHeartbeat('old', oldService, 56), this.now);
     this.now += 3_000;
   }
 
-  beat(): void {
+  sendHeartbeat(): void {
     this.now += INTERVAL / 2;
-    this.agent.heartbeat(heartbeat('new', 'tiles', ++this.sequence), this.now);
+    this.agent.applyHeartbeat(createHeartbeat('new', 'tiles', ++this.sequence), this.now);
     const isIgnored = this.agent.incarnation !== 'new' || this.agent.state !== TargetState.ready;
     this.ignoredInARow = isIgnored ? this.ignoredInARow + 1 : 0;
     this.worstIgnored = Math.max(this.worstIgnored, this.ignoredInARow);
@@ -65,10 +65,10 @@
   disturb(disturbance: Disturbance): void {
     switch (disturbance.kind) {
       case 'late':
-        this.agent.heartbeat(heartbeat('old', this.oldService, disturbance.sequence), this.now);
+        this.agent.applyHeartbeat(createHeartbeat('old', this.oldService, disturbance.sequence), this.now);
         break;
       case 'leave':
-        this.agent.leave({ incarnation: 'old' });
+        this.agent.applyLeave({ incarnation: 'old' });
         break;
       case 'restart':
         // Settings are written anew at each start and name the present target's service.
@@ -88,17 +88,17 @@
 
 for (const oldService of ['map', 'tiles']) {
   test(`a living target is soon believed, whatever comes late of one of ${oldService}`, (t) => {
-    for (const order of orders()) {
+    for (const order of listOrders()) {
       for (const isSpaced of [true, false]) {
         const scene = new Scene(oldService);
-        scene.beat();
+        scene.sendHeartbeat();
         for (const disturbance of order) {
           scene.disturb(disturbance);
           if (isSpaced) {
-            scene.beat();
+            scene.sendHeartbeat();
           }
         }
-        Array.from({ length: 4 }, () => scene.beat());
+        Array.from({ length: 4 }, () => scene.sendHeartbeat());
         const name = `${JSON.stringify(order)} spaced: ${isSpaced}`;
         t.true(scene.worstIgnored <= IGNORED_AT_MOST, `${name}: ${scene.worstIgnored} ignored`);
         t.is(scene.ignoredInARow, 0, name);
@@ -110,21 +110,21 @@
 
 test('an incarnation that was replaced for a moment by a late one comes back', (t) => {
   const agent = new TargetLifecycle('map', INTERVAL, 0);
-  agent.heartbeat(heartbeat('old', 'map', 57), 0);
-  t.is(agent.heartbeat(heartbeat('new', 'map', 3), 100), 'none');
-  t.is(agent.heartbeat(heartbeat('new', 'map', 4), 870), 'incarnation');
-  t.is(agent.heartbeat(heartbeat('old', 'map', 58), 900), 'none');
-  t.is(agent.heartbeat(heartbeat('new', 'map', 5), 1_640), 'none');
+  agent.applyHeartbeat(createHeartbeat('old', 'map', 57), 0);
+  t.is(agent.applyHeartbeat(createHeartbeat('new', 'map', 3), 100), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat('new', 'map', 4), 870), 'incarnation');
+  t.is(agent.applyHeartbeat(createHeartbeat('old', 'map', 58), 900), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat('new', 'map', 5), 1_640), 'none');
   t.is(agent.incarnation, 'new');
 });
 
 test('heartbeats held up together are no proof of life', (t) => {
   const agent = new TargetLifecycle('tiles', INTERVAL, 0);
-  agent.heartbeat(heartbeat('new', 'tiles', 1), 0);
+  agent.applyHeartbeat(createHeartbeat('new', 'tiles', 1), 0);
   for (const sequence of [57, 58, 59]) {
-    t.is(agent.heartbeat(heartbeat('old', 'map', sequence), 300 + sequence), 'none');
+    t.is(agent.applyHeartbeat(createHeartbeat('old', 'map', sequence), 300 + sequence), 'none');
   }
   t.true(agent.isServiceDisputed);
-  t.is(agent.heartbeat(heartbeat('new', 'tiles', 2), 770), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat('new', 'tiles', 2), 770), 'none');
   t.false(agent.isServiceDisputed);
 });
--- a/test/packet-health.test.ts
+++ b/test/packet-health.test.ts
@@ -12,37 +12,37 @@
 
 test('a target that answers no opening packet is down, and is tried now and then', (t) => {
   const health = new TargetHealth();
-  health.openingDelivered(0);
-  health.openingDelivered(100);
-  health.tick();
+  health.recordOpening(0);
+  health.recordOpening(100);
+  health.recordTick();
   t.false(health.isDown(450));
-  health.tick();
+  health.recordTick();
   t.true(health.isDown(450));
   t.true(health.isProbeDue(450));
-  t.is(health.failureShare(450), 1);
-  health.heard();
+  t.is(health.computeFailureShare(450), 1);
+  health.recordActivity();
   t.false(health.isDown(451));
-  t.is(health.failureShare(451), 0);
+  t.is(health.computeFailureShare(451), 0);
 });
 
 test('a pause of the agent is not taken for silence of its target', (t) => {
   const health = new TargetHealth();
-  health.openingDelivered(0);
-  health.openingDelivered(10);
+  health.recordOpening(0);
+  health.recordOpening(10);
   // Frozen for four seconds; the answers wait in the socket when the first timer fires.
-  health.tick();
+  health.recordTick();
   t.false(health.isDown(4_000));
 });
 
 test('failures weigh by their share and are forgotten with time', (t) => {
   const health = new TargetHealth();
-  health.requestEnded(false, 0);
-  t.true(health.failureShare(0) < 0.3);
+  health.recordOutcome(false, 0);
+  t.true(health.computeFailureShare(0) < 0.3);
   for (let request = 0; request < 20; request++) {
-    health.requestEnded(false, 10);
+    health.recordOutcome(false, 10);
   }
-  t.true(health.failureShare(10) > 0.8);
-  t.true(health.failureShare(20_000) < 0.05);
+  t.true(health.computeFailureShare(10) > 0.8);
+  t.true(health.computeFailureShare(20_000) < 0.05);
 });
 
 function startWorld(seed = 5): PacketWorld {
@@ -90,27 +90,27 @@
 
 test('requests given up are no verdict on a target that is heard meanwhile', (t) => {
   const health = new TargetHealth();
-  health.requestGivenUp(2_000);
-  health.heard();
-  health.requestGivenUp(2_200);
+  health.recordTimeout(2_000);
+  health.recordActivity();
+  health.recordTimeout(2_200);
   t.false(health.isDown(2_200));
-  health.requestGivenUp(2_300);
+  health.recordTimeout(2_300);
   // The answers may wait in the socket of an agent that was frozen.
-  health.tick();
+  health.recordTick();
   t.false(health.isDown(2_300));
-  health.tick();
+  health.recordTick();
   t.true(health.isDown(2_550));
 });
 
 test('silence of long ago is no verdict: a target that gets no opening packets cannot answer any', (t) => {
   const health = new TargetHealth();
-  health.openingDelivered(1_000);
-  t.is(health.failureShare(1_100), 0, 'it may still answer');
-  t.is(health.failureShare(2_000), 1);
-  t.is(health.failureShare(10_900), 1);
-  t.is(health.failureShare(11_100), 0);
-  health.openingDelivered(12_000);
-  t.is(health.failureShare(12_200), 1, 'it is still silent');
+  health.recordOpening(1_000);
+  t.is(health.computeFailureShare(1_100), 0, 'it may still answer');
+  t.is(health.computeFailureShare(2_000), 1);
+  t.is(health.computeFailureShare(10_900), 1);
+  t.is(health.computeFailureShare(11_100), 0);
+  health.recordOpening(12_000);
+  t.is(health.computeFailureShare(12_200), 1, 'it is still silent');
 });
 
 test('a target whose answers fail draws few new flows', (t) => {
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -4,7 +4,7 @@
 import type { FlowPacket } from '../src/packets/flow-packet';
 import { FlowTracker } from '../src/packets/flow-tracker';
 import { RequestQueue, type WaitingRequest } from '../src/packets/queue/request-queue';
-import { ServiceTime } from '../src/packets/service-time';
+import { ServiceTimeEstimator } from '../src/packets/service-time-estimator';
 import { TargetAdmission } from '../src/packets/target-admission';
 import { TargetLifecycle } from '../src/packets/target-lifecycle';
 import { UNKNOWN_TERMS } from '../src/packets/terms/route-terms';
@@ -60,13 +60,13 @@
 });
 
 test('patience follows the time that a target takes', (t) => {
-  const time = new ServiceTime();
+  const time = new ServiceTimeEstimator();
   for (let answers = 0; answers < 200; answers++) {
-    time.answered(20);
+    time.recordAnswer(20);
   }
-  t.true(Math.abs(time.patience - 40) < 1);
-  t.true(Math.abs(time.patienceFor(200) - 110) < 1);
-  t.is(time.patienceFor(40), 0);
+  t.true(Math.abs(time.defaultWaitLimit - 40) < 1);
+  t.true(Math.abs(time.computeWaitLimit(200) - 110) < 1);
+  t.is(time.computeWaitLimit(40), 0);
 });
 
 function decodeClient(flags: number, sequence: number, ack: number, data = ''): FlowPacket {
@@ -80,25 +80,25 @@
 test('only the packet that completes a request of a flow of this target may wait', (t) => {
   const tracker = new FlowTracker();
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')));
-  tracker.delivered(decodeClient(Flag.syn, 0, 1), 1, 0);
-  tracker.sent(decodeTarget(Flag.syn | Flag.ack, 100, 1), 0);
+  tracker.recordDelivery(decodeClient(Flag.syn, 0, 1), 1, 0);
+  tracker.recordSentPacket(decodeTarget(Flag.syn | Flag.ack, 100, 1), 0);
   t.true(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')));
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 777, 'GET')), 'another target');
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101)), 'no data');
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200))), 'goes on');
-  tracker.delivered(decodeClient(Flag.ack, 1, 101, 'GET'), 1, 0);
+  tracker.recordDelivery(decodeClient(Flag.ack, 1, 101, 'GET'), 1, 0);
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')), 'a repeat');
   t.is(tracker.workingRequests, 1);
 });
 
 test('an upload that is under way takes no slot; an answer or a reset gives it back', (t) => {
   const tracker = new FlowTracker();
-  tracker.delivered(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200)), 1, 0);
+  tracker.recordDelivery(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200)), 1, 0);
   t.is(tracker.busyRequests, 1);
   t.is(tracker.workingRequests, 0);
-  tracker.delivered(decodeClient(Flag.ack, 1_201, 101, 'rest'), 1, 0);
+  tracker.recordDelivery(decodeClient(Flag.ack, 1_201, 101, 'rest'), 1, 0);
   t.is(tracker.workingRequests, 1);
-  tracker.sent(decodeTarget(Flag.rst, 101, 0), 10);
+  tracker.recordSentPacket(decodeTarget(Flag.rst, 101, 0), 10);
   t.is(tracker.workingRequests, 0);
   t.is(tracker.busyRequests, 0);
 });
@@ -151,29 +151,29 @@
     target,
     tracker,
     lowerShare: 10,
-    termsOf: () => undefined,
-    latencyGoal: () => 0,
+    getTerms: () => undefined,
+    getLatencyGoal: () => 0,
     handOver: (packet, balancer) => {
-      tracker.delivered(packet, balancer, 0);
+      tracker.recordDelivery(packet, balancer, 0);
       handedOver.push(packet.flow);
     },
   });
   const slots = 2;
   const coldLeft = 0;
   const heartbeat = { incarnation: 'a', service: 'map', draining: false, sequence: 1 };
-  target.heartbeat({ ...heartbeat, slots, coldLeft }, 0);
+  target.applyHeartbeat({ ...heartbeat, slots, coldLeft }, 0);
   const requests = Array.from({ length: 5 }, (_, index) => {
     const client = [CLIENT[0], CLIENT[1] + index] as const;
     const opening = packetFormat.decodeFromTarget(
       encodePacket(ROUTE, client, Flag.syn | Flag.ack, 100, 1),
     )!;
-    tracker.sent(opening, 0);
+    tracker.recordSentPacket(opening, 0);
     return packetFormat.decodeFromClient(encodePacket(client, ROUTE, Flag.ack, 1, 101, 'GET'))!;
   });
   const waits = requests.map((packet, index) => admission.admit(packet, 1, 0, index));
   t.deepEqual(waits, [false, false, false, true, true]);
   t.is(admission.waitingRequests, 2);
-  tracker.sent({ ...requests[0]!, payloadLength: 1 }, 10);
+  tracker.recordSentPacket({ ...requests[0]!, payloadLength: 1 }, 10);
   admission.releaseWaiting(10);
   t.is(handedOver.at(-1), requests[3]!.flow);
   t.deepEqual(
--- a/test/packet-reports.test.ts
+++ b/test/packet-reports.test.ts
@@ -1,14 +1,14 @@
 /** How often agents report, and to whom. */
 import test from 'ava';
-import { reportInterval, silenceLimit } from '../src/packets/report-interval';
+import { computeReportInterval, computeSilenceTimeout } from '../src/packets/report-interval';
 import { Subscribers } from '../src/packets/subscribers';
 
 test('reports come the more seldom the more agents there are, within bounds', (t) => {
-  t.is(reportInterval(0), 250);
-  t.is(reportInterval(24), 250);
-  t.is(reportInterval(48), 500);
-  t.is(reportInterval(9_700), 1_000);
-  t.is(silenceLimit(10), 700);
+  t.is(computeReportInterval(0), 250);
+  t.is(computeReportInterval(24), 250);
+  t.is(computeReportInterval(48), 500);
+  t.is(computeReportInterval(9_700), 1_000);
+  t.is(computeSilenceTimeout(10), 700);
 });
 
 test('each subscriber is reported to at its own pace, as long as it is seen', (t) => {
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -8,7 +8,7 @@
   type PacketMessage,
   type SearchMessage,
 } from '../src/packets/packet-messages';
-import { ResetNotes } from '../src/packets/reset-notes';
+import { RecentResets } from '../src/packets/recent-resets';
 import { CANDIDATES, orderCandidates } from '../src/packets/flow-candidates';
 import { orderSearch } from '../src/packets/search-order';
 import { stepAfter, type SearchStep } from '../src/packets/search-steps';
@@ -300,7 +300,7 @@
 });
 
 test('notes of resets hold for a while, and are bounded', (t) => {
-  const notes = new ResetNotes();
+  const notes = new RecentResets();
   notes.add('a', 0);
   t.true(notes.has('a', 3_000));
   t.false(notes.has('a', 3_001));
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -9,7 +9,7 @@
 import { Events } from '../src/logging/events';
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
 import { selectAgent } from '../src/packets/agent-selection';
-import { CollectionFollower } from '../src/packets/collection-follower';
+import { CollectionWatcher } from '../src/packets/collection-watcher';
 import type { CollectionPort } from '../src/packets/collection-port';
 import { DelayedDeliveries } from '../src/packets/delayed-deliveries';
 import { FlowCache } from '../src/packets/flow-cache';
@@ -39,25 +39,25 @@
 test('a late heartbeat neither undoes a drain nor brings back a replaced incarnation', (t) => {
   const target = new TargetLifecycle('map', 770, 0);
   t.is(target.state, TargetState.unknown);
-  t.is(target.heartbeat(heartbeat('a', 5), 0), 'state');
-  t.is(target.heartbeat(heartbeat('a', 7, true), 1), 'state');
-  t.is(target.heartbeat(heartbeat('a', 6), 2), 'none');
-  t.is(target.heartbeat(heartbeat('a', 8), 3), 'none');
+  t.is(target.applyHeartbeat(heartbeat('a', 5), 0), 'state');
+  t.is(target.applyHeartbeat(heartbeat('a', 7, true), 1), 'state');
+  t.is(target.applyHeartbeat(heartbeat('a', 6), 2), 'none');
+  t.is(target.applyHeartbeat(heartbeat('a', 8), 3), 'none');
   t.is(target.state, TargetState.draining);
-  t.is(target.heartbeat(heartbeat('b', 1), 4), 'incarnation');
+  t.is(target.applyHeartbeat(heartbeat('b', 1), 4), 'incarnation');
   t.is(target.state, TargetState.ready);
-  t.is(target.heartbeat(heartbeat('a', 9, true), 5), 'none');
-  t.is(target.leave({ incarnation: 'a' }), 'none');
+  t.is(target.applyHeartbeat(heartbeat('a', 9, true), 5), 'none');
+  t.is(target.applyLeave({ incarnation: 'a' }), 'none');
   t.is(target.state, TargetState.ready);
-  t.is(target.leave({ incarnation: 'b' }), 'state');
-  t.is(target.heartbeat(heartbeat('b', 2), 6), 'none');
+  t.is(target.applyLeave({ incarnation: 'b' }), 'state');
+  t.is(target.applyHeartbeat(heartbeat('b', 2), 6), 'none');
   t.is(target.state, TargetState.gone);
 });
 
 test('a target that leaves before its agent knows it is gone, also for late heartbeats', (t) => {
   const target = new TargetLifecycle('map', 770, 0);
-  t.is(target.leave({ incarnation: 'a' }), 'state');
-  t.is(target.heartbeat(heartbeat('a', 3), 1), 'none');
+  t.is(target.applyLeave({ incarnation: 'a' }), 'state');
+  t.is(target.applyHeartbeat(heartbeat('a', 3), 1), 'none');
   t.is(target.state, TargetState.gone);
 });
 
@@ -80,36 +80,36 @@
 test('a request is busy from its first packet to the first of its answer, repeats or not', (t) => {
   const tracker = new FlowTracker();
   const request = { ...EMPTY, payloadLength: 900 };
-  tracker.delivered(request, 7, 0);
+  tracker.recordDelivery(request, 7, 0);
   t.is(tracker.busyRequests, 1);
-  t.is(tracker.sent({ ...EMPTY, payloadLength: 100 }, 1), 7);
+  t.is(tracker.recordSentPacket({ ...EMPTY, payloadLength: 100 }, 1), 7);
   t.is(tracker.busyRequests, 0);
-  tracker.delivered(request, 7, 2);
+  tracker.recordDelivery(request, 7, 2);
   t.is(tracker.busyRequests, 0);
-  tracker.delivered({ ...request, sequence: 11 }, 7, 3);
+  tracker.recordDelivery({ ...request, sequence: 11 }, 7, 3);
   t.is(tracker.busyRequests, 1);
   t.is(tracker.openFlows, 1);
-  tracker.sent({ ...EMPTY, ends: true }, 4);
-  tracker.sent(EMPTY, 5);
+  tracker.recordSentPacket({ ...EMPTY, ends: true }, 4);
+  tracker.recordSentPacket(EMPTY, 5);
   t.is(tracker.openFlows, 0);
 });
 
 test('sequence numbers wrap', (t) => {
   const tracker = new FlowTracker();
-  tracker.delivered({ ...EMPTY, payloadLength: 1, sequence: 0xffff_fffe }, 7, 0);
-  tracker.sent({ ...EMPTY, payloadLength: 1 }, 1);
-  tracker.delivered({ ...EMPTY, payloadLength: 1, sequence: 3 }, 7, 2);
+  tracker.recordDelivery({ ...EMPTY, payloadLength: 1, sequence: 0xffff_fffe }, 7, 0);
+  tracker.recordSentPacket({ ...EMPTY, payloadLength: 1 }, 1);
+  tracker.recordDelivery({ ...EMPTY, payloadLength: 1, sequence: 3 }, 7, 2);
   t.is(tracker.busyRequests, 1);
 });
 
 test('each balancer is told once that a flow is held, and again when another takes over', (t) => {
   const tracker = new FlowTracker();
-  tracker.delivered(EMPTY, 7, 0);
-  t.is(tracker.sent(EMPTY, 1), 7);
-  t.is(tracker.sent(EMPTY, 2), undefined);
-  tracker.delivered(EMPTY, 8, 3);
-  t.is(tracker.sent(EMPTY, 4), 8);
-  t.is(new FlowTracker().sent({ ...EMPTY, opens: true }, 5), undefined);
+  tracker.recordDelivery(EMPTY, 7, 0);
+  t.is(tracker.recordSentPacket(EMPTY, 1), 7);
+  t.is(tracker.recordSentPacket(EMPTY, 2), undefined);
+  tracker.recordDelivery(EMPTY, 8, 3);
+  t.is(tracker.recordSentPacket(EMPTY, 4), 8);
+  t.is(new FlowTracker().recordSentPacket({ ...EMPTY, opens: true }, 5), undefined);
 });
 
 test('the cache keeps what is used, and falls back to another agent that was offered the flow', (t) => {
@@ -309,7 +309,7 @@
   };
   const observer = { listed: () => undefined, changed: () => undefined };
   const pace = { waitTime: 10_000, pause: 0, firstPause: 0 };
-  new CollectionFollower('c', port, environment, observer, () => pace).start();
+  new CollectionWatcher('c', port, environment, observer, () => pace).start();
   environment.due.shift()!();
   environment.due.shift()!();
   environment.due.shift()!();
--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -15,7 +15,7 @@
 import { formatEndpoint, packEndpoint, parseEndpoint } from '../src/core/endpoint';
 import type { HallholdError } from '../src/errors/hallhold-error';
 import { ResultCodes } from '../src/errors/result-codes';
-import type { Answer, Changes, Listing } from '../src/packets/collection-port';
+import type { ResultCallback, Changes, Listing } from '../src/packets/collection-port';
 import type { RoutingTable } from '../src/packets/routing-table';
 import type { EvacuatedZone } from '../src/packets/zone-evacuations';
 import type { TargetHeartbeat } from '../src/packets/target-lifecycle';
@@ -199,7 +199,7 @@
   const other = { ...AGENT, service: 'tiles' };
   t.true((await answerOf<void>((answer) => registry.register(other, answer))).ok);
   const listed = (
-    await answerOf((answer: Answer<never>) => registry.list(answer as never))
+    await answerOf((answer: ResultCallback<never>) => registry.list(answer as never))
   ).unwrap();
   t.deepEqual(
     (listed as { items: { item: unknown }[] }).items.map(({ item }) => item),
@@ -245,7 +245,7 @@
     standin.spoiler = spoiler;
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
-    const result = await answerOf((answer: Answer<never>) =>
+    const result = await answerOf((answer: ResultCallback<never>) =>
       routingTables(api).list(answer as never),
     );
     t.is(result.err && result.val.resultCode.name, expected);
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -477,14 +477,14 @@
     target,
     tracker,
     lowerShare: 10,
-    termsOf: () => undefined,
-    latencyGoal: () => 0,
-    handOver: (packet, balancer) => tracker.delivered(packet, balancer, 0),
+    getTerms: () => undefined,
+    getLatencyGoal: () => 0,
+    handOver: (packet, balancer) => tracker.recordDelivery(packet, balancer, 0),
   });
   const requests = Array.from({ length: 20 }, (_, index) => {
     const common = { client: 0x6440_0007_9c41 + index, destination: MAP_DESTINATION };
     const answer = { ...common, flags: ModelFlag.opens, sequence: 7, acknowledgement: 1 };
-    tracker.sent(
+    tracker.recordSentPacket(
       modelPacketFormat.decodeFromTarget(encodeModelPacket({ ...answer, payload: '' }))!,
       0,
     );
@@ -494,7 +494,7 @@
   requests.forEach((packet) => admission.admit(packet, 1, 0, 0));
   t.is(tracker.workingRequests, 6);
   t.is(admission.waitingRequests, 14);
-  target.heartbeat(
+  target.applyHeartbeat(
     { incarnation: 'a', service: 'map', draining: false, sequence: 1, slots: 8, coldLeft: 0 },
     0,
   );
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -11,7 +11,7 @@
 import test from 'ava';
 import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { TargetDeath } from '../src/packets/target-death';
+import { TargetLiveness } from '../src/packets/target-liveness';
 
 interface Scene {
   readonly world: PacketWorld;
@@ -63,27 +63,27 @@
 test('only a refused connection proves a death, and any packet of the target disproves it', (t) => {
   const answers: ((isVacant: boolean) => void)[] = [];
   let proved = 0;
-  const death = new TargetDeath(
+  const death = new TargetLiveness(
     { checkVacant: (answer) => answers.push(answer) },
     () => void proved++,
   );
-  death.check(true, 1_000);
-  death.check(true, 1_100);
+  death.probeIfSilent(true, 1_000);
+  death.probeIfSilent(true, 1_100);
   t.is(answers.length, 1, 'one look at a time');
   answers.shift()!(false);
-  t.false(death.isProved);
-  death.check(true, 1_100);
+  t.false(death.isDead);
+  death.probeIfSilent(true, 1_100);
   t.is(answers.length, 0, 'not at once again');
-  death.check(true, 1_600);
+  death.probeIfSilent(true, 1_600);
   answers.shift()!(true);
-  t.true(death.isProved);
+  t.true(death.isDead);
   t.is(proved, 1);
-  death.heard();
-  t.false(death.isProved);
-  death.check(true, 3_000);
-  death.heard();
+  death.recordActivity();
+  t.false(death.isDead);
+  death.probeIfSilent(true, 3_000);
+  death.recordActivity();
   answers.shift()!(true);
-  t.false(death.isProved, 'it was heard after the look had begun');
-  death.check(false, 4_000);
+  t.false(death.isDead, 'it was heard after the look had begun');
+  death.probeIfSilent(false, 4_000);
   t.is(answers.length, 0, 'no look at a target that is not silent');
 });
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -11,7 +11,7 @@
 import { ResultCodes } from '../src/errors/result-codes';
 import { Events, type EventFields, type EventKind } from '../src/logging/events';
 import { AgentDirectory } from '../src/packets/agent-directory';
-import type { Changes, Revised } from '../src/packets/collection-port';
+import type { Changes, RevisionedItem } from '../src/packets/collection-port';
 import type { AgentRecord } from '../src/packets/packet-messages';
 import { RegistryView } from '../src/packets/registry-view';
 import type { RoutingTable } from '../src/packets/routing-table';
@@ -137,7 +137,7 @@
   const { items, era } = (await answerOf(registry.list.bind(registry))).unwrap();
   standin.raiseEra();
   await answerOf(registry.list.bind(registry));
-  const [{ revision }] = items as [Revised<AgentRecord>];
+  const [{ revision }] = items as [RevisionedItem<AgentRecord>];
   const removal = await answerOf<void>((answer) =>
     registry.remove(AGENT, { era, revision }, answer),
   );
@@ -164,7 +164,7 @@
   const directory = new AgentDirectory();
   const { environment } = new RouterHarness([]);
   const view = new RegistryView({ environment, directory, changed: () => undefined });
-  const listed = (address: number): Revised<AgentRecord> => ({
+  const listed = (address: number): RevisionedItem<AgentRecord> => ({
     name: String(address),
     revision: 90,
     item: { ...AGENT, address },
--- a/test/support/agent-scene.ts
+++ b/test/support/agent-harness.ts
@@ -19,7 +19,7 @@
 }
 
 /** The agent of one test, with all that it sends. */
-export class AgentScene {
+export class AgentHarness {
   readonly clock = new VirtualClock();
   readonly toClient: Arrival[] = [];
   readonly toTarget: Buffer[] = [];
@@ -65,13 +65,13 @@
   }
 
   /** The balancer sends the agent a message. */
-  take(message: PacketMessage): void {
+  receive(message: PacketMessage): void {
     const isSearch = message.type === PacketMessageType.search;
     const frame = isSearch ? CODEC.encodeCompact(message) : CODEC.encode(message);
-    this.agent.frame(frame, BALANCER);
+    this.agent.handleFrame(frame, BALANCER);
   }
 
-  pass(milliseconds: number): void {
+  runFor(milliseconds: number): void {
     this.clock.runUntil(this.clock.now + milliseconds);
   }
 }
--- a/test/sure-search.test.ts
+++ b/test/sure-search.test.ts
@@ -22,8 +22,8 @@
 
 function createTarget(first: TargetHeartbeat): TargetLifecycle {
   const target = new TargetLifecycle('map', INTERVAL, 0);
-  target.learnColdTime(COLD_TIME);
-  target.heartbeat(first, 10_000);
+  target.setColdTime(COLD_TIME);
+  target.applyHeartbeat(first, 10_000);
   return target;
 }
 
@@ -34,17 +34,17 @@
   t.false(createTarget(heartbeat(90, COLD_TIME)).isKnownFromStart, 'cold, but no start');
   t.false(createTarget(heartbeat(90, 0)).isKnownFromStart);
   const unknown = new TargetLifecycle('map', INTERVAL, 0);
-  unknown.heartbeat(heartbeat(1, COLD_TIME), 10_000);
+  unknown.applyHeartbeat(heartbeat(1, COLD_TIME), 10_000);
   t.false(unknown.isKnownFromStart, 'nobody has told how long targets are cold');
 });
 
 test('a successor is known from its start, one that a late heartbeat hid for a while is not', (t) => {
   const target = createTarget(heartbeat(90, 0));
-  target.heartbeat(heartbeat(1, COLD_TIME, 'j'), 12_000);
+  target.applyHeartbeat(heartbeat(1, COLD_TIME, 'j'), 12_000);
   t.true(target.isKnownFromStart);
-  target.heartbeat(heartbeat(50, 0, 'k'), 12_100);
+  target.applyHeartbeat(heartbeat(50, 0, 'k'), 12_100);
   t.is(target.incarnation, 'j');
-  target.heartbeat(heartbeat(51, 0, 'k'), 12_900);
+  target.applyHeartbeat(heartbeat(51, 0, 'k'), 12_900);
   t.is(target.incarnation, 'k');
   t.false(target.isKnownFromStart);
 });
@@ -143,11 +143,11 @@
   ] as const) {
     const agentStartedAt = 10_000;
     const target = new TargetLifecycle('map', 1_100, agentStartedAt);
-    target.learnColdTime(2_000);
+    target.setColdTime(2_000);
     const now = agentStartedAt + 100;
     const coldLeft = 2_000 - (gap + 100);
     const state = { service: 'map', slots: 5, draining: false };
-    target.heartbeat({ incarnation: 'a', ...state, coldLeft, sequence: 2 }, now);
+    target.applyHeartbeat({ incarnation: 'a', ...state, coldLeft, sequence: 2 }, now);
     t.is(target.isKnownFromStart, isKnown, `${gap} ms`);
   }
 });
--- a/test/target-lives.test.ts
+++ b/test/target-incarnations.test.ts
@@ -12,7 +12,7 @@
 const INTERVAL = 1_000;
 const EARLIER = 1_796_000_000_000;
 const LATER = EARLIER + 20_000;
-function beat(fields: Partial<TargetHeartbeat>): TargetHeartbeat {
+function createHeartbeat(fields: Partial<TargetHeartbeat>): TargetHeartbeat {
   const state = { service: 'map', slots: 4, draining: false, coldLeft: 0, sequence: 1 };
   return { incarnation: 'i-1', ...state, ...fields };
 }
@@ -21,8 +21,8 @@
 function startDraining(): TargetLifecycle {
   const agent = new TargetLifecycle('map', INTERVAL, 0);
   for (let sequence = 1; sequence <= 6; sequence++) {
-    agent.heartbeat(
-      beat({ born: EARLIER, sequence, draining: sequence > 4 }),
+    agent.applyHeartbeat(
+      createHeartbeat({ born: EARLIER, sequence, draining: sequence > 4 }),
       10_000 + 300 * sequence,
     );
   }
@@ -32,8 +32,8 @@
 test('a later life begins anew, whatever the earlier one has said', (t) => {
   const agent = startDraining();
   t.is(agent.state, TargetState.draining);
-  const later = beat({ born: LATER, sequence: 1, slots: 7, coldLeft: 900 });
-  t.is(agent.heartbeat(later, 12_000), 'incarnation');
+  const later = createHeartbeat({ born: LATER, sequence: 1, slots: 7, coldLeft: 900 });
+  t.is(agent.applyHeartbeat(later, 12_000), 'incarnation');
   t.is(agent.state, TargetState.ready);
   t.is(agent.slots, 7);
   t.is(agent.coldLeft(12_000), 900);
@@ -42,35 +42,35 @@
 
 test('a late heartbeat of the earlier life changes nothing', (t) => {
   const agent = startDraining();
-  agent.heartbeat(beat({ born: LATER, sequence: 1 }), 12_000);
-  t.is(agent.heartbeat(beat({ born: EARLIER, sequence: 9, draining: true }), 12_100), 'none');
+  agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 1 }), 12_000);
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 12_100), 'none');
   t.is(agent.state, TargetState.ready);
-  t.is(agent.heartbeat(beat({ born: LATER, sequence: 2 }), 13_000), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 2 }), 13_000), 'none');
   t.is(agent.born, LATER);
 });
 
 test('so it is after the agent was restarted, in either order', (t) => {
   const restarted = new TargetLifecycle('map', INTERVAL, 0);
-  restarted.heartbeat(beat({ born: EARLIER, sequence: 9, draining: true }), 20_000);
-  t.is(restarted.heartbeat(beat({ born: LATER, sequence: 3 }), 20_100), 'incarnation');
+  restarted.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_000);
+  t.is(restarted.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_100), 'incarnation');
   t.is(restarted.state, TargetState.ready);
   const other = new TargetLifecycle('map', INTERVAL, 0);
-  other.heartbeat(beat({ born: LATER, sequence: 3 }), 20_000);
-  t.is(other.heartbeat(beat({ born: EARLIER, sequence: 9, draining: true }), 20_100), 'none');
+  other.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_000);
+  t.is(other.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_100), 'none');
   t.is(other.state, TargetState.ready);
 });
 
 test('leaving is said of one life', (t) => {
   const agent = startDraining();
-  t.is(agent.leave({ incarnation: 'i-1', born: EARLIER }), 'state');
+  t.is(agent.applyLeave({ incarnation: 'i-1', born: EARLIER }), 'state');
   t.is(agent.state, TargetState.gone);
-  t.is(agent.heartbeat(beat({ born: EARLIER, sequence: 7 }), 12_000), 'none');
-  t.is(agent.heartbeat(beat({ born: LATER, sequence: 1 }), 12_100), 'incarnation');
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 7 }), 12_000), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 1 }), 12_100), 'incarnation');
   t.is(agent.state, TargetState.ready);
-  t.is(agent.leave({ incarnation: 'i-1', born: EARLIER }), 'none', 'said late, of the earlier one');
+  t.is(agent.applyLeave({ incarnation: 'i-1', born: EARLIER }), 'none', 'said late, of the earlier one');
   t.is(agent.state, TargetState.ready);
   t.is(
-    agent.leave({ incarnation: 'i-1' }),
+    agent.applyLeave({ incarnation: 'i-1' }),
     'state',
     'without a start it is said of the present one',
   );
@@ -78,26 +78,26 @@
 
 test('a later life may belong to another service', (t) => {
   const agent = startDraining();
-  t.is(agent.heartbeat(beat({ born: LATER, service: 'tiles' }), 12_000), 'incarnation');
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, service: 'tiles' }), 12_000), 'incarnation');
   t.is(agent.service, 'tiles');
   t.false(agent.isServiceDisputed);
 });
 
 test('a target whose clock has gone back is believed once it is heard again', (t) => {
   const agent = new TargetLifecycle('map', INTERVAL, 0);
-  agent.heartbeat(beat({ born: LATER, sequence: 8 }), 10_000);
-  t.is(agent.heartbeat(beat({ born: EARLIER, sequence: 1 }), 11_500), 'none');
-  t.is(agent.heartbeat(beat({ born: EARLIER, sequence: 2 }), 12_500), 'incarnation');
+  agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 8 }), 10_000);
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 1 }), 11_500), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 2 }), 12_500), 'incarnation');
   t.is(agent.born, EARLIER);
 });
 
 test('targets that do not tell their start are as before, and one may begin to tell it', (t) => {
   const agent = new TargetLifecycle('map', INTERVAL, 0);
-  t.is(agent.heartbeat(beat({ sequence: 4, draining: true }), 10_000), 'state');
-  t.is(agent.heartbeat(beat({ sequence: 2 }), 10_100), 'none');
-  t.is(agent.heartbeat(beat({ sequence: 5, born: EARLIER }), 11_000), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 4, draining: true }), 10_000), 'state');
+  t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 2 }), 10_100), 'none');
+  t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 5, born: EARLIER }), 11_000), 'none');
   t.is(agent.state, TargetState.draining);
-  t.is(agent.heartbeat(beat({ sequence: 1, born: LATER }), 12_000), 'incarnation');
+  t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 1, born: LATER }), 12_000), 'incarnation');
 });
 
 test('the adapter reads the start of heartbeats, and of a target that leaves', async (t) => {
@@ -131,7 +131,7 @@
 }
 
 /** The target beside an agent crashes and starts again under its name. */
-function startAgain(world: PacketWorld, agent: WorldAgent, away: number, service?: string): void {
+function restartTarget(world: PacketWorld, agent: WorldAgent, away: number, service?: string): void {
   const { id } = agent.target.life;
   agent.target.alive = false;
   world.runFor(away);
@@ -156,7 +156,7 @@
         if (restartsAgent) {
           agent!.process.kill();
         }
-        startAgain(world, agent!, 700);
+        restartTarget(world, agent!, 700);
         if (restartsAgent) {
           world.runFor(200);
           world.startAgent(agent!);
@@ -183,7 +183,7 @@
   world.runFor(800);
   const held = world.clients.filter((client) => world.holderOf(client) === agent);
   t.true(held.length > 0);
-  startAgain(world, agent!, 500);
+  restartTarget(world, agent!, 500);
   world.runFor(2_000);
   t.deepEqual([...new Set(held.map(({ state }) => state))], ['reset']);
 });
--- a/test/target-start-unseen.test.ts
+++ b/test/target-start-unseen.test.ts
@@ -29,7 +29,7 @@
 }
 
 /** A heartbeat of an agent's present target; `age` is how long it has run by its own word. */
-function beat({ world, agent }: Scene, age: number, sequence: number): void {
+function sendHeartbeat({ world, agent }: Scene, age: number, sequence: number): void {
   const { service, draining } = agent.target;
   const { id: incarnation, born } = agent.target.life;
   const coldLeft = world.coldTime - age;
@@ -59,7 +59,7 @@
   world.runFor(50);
   openFlows(scene, 1_500);
   world.runFor(800);
-  beat(scene, 850, 2);
+  sendHeartbeat(scene, 850, 2);
   world.runFor(300);
   checkFlowsAreFound(t, scene);
 });
@@ -69,7 +69,7 @@
   const { world, agent } = scene;
   agent.heartbeats = false;
   world.startTarget(agent);
-  beat(scene, 0, 1);
+  sendHeartbeat(scene, 0, 1);
   world.runFor(50);
   openFlows(scene, 60);
   world.runFor(400);
@@ -77,7 +77,7 @@
   world.runFor(250);
   world.startAgent(agent);
   world.runFor(60);
-  beat(scene, 760, 3);
+  sendHeartbeat(scene, 760, 3);
   world.runFor(300);
   checkFlowsAreFound(t, scene);
 });
