--- a/src/bench/packets.ts
+++ b/src/bench/packets.ts
@@ -11,7 +11,7 @@
   COMPACT_FRAME_VERSION,
   FIRST_FRAME_VERSION,
   PacketMessageType,
-  REPAIR_VERSION,
+  HOP_REPAIR_VERSION,
   TargetState,
   type NumberedDeliverMessage,
   type ReportMessage,
@@ -39,7 +39,7 @@
 const AGENT_VERSIONS: Readonly<Record<PacketPath, number>> = {
   relay: FIRST_FRAME_VERSION,
   compact: COMPACT_FRAME_VERSION,
-  repaired: REPAIR_VERSION,
+  repaired: HOP_REPAIR_VERSION,
   document: FIRST_FRAME_VERSION,
 };
 
--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -7,7 +7,7 @@
  */
 import type { Endpoint } from '../environment';
 import { computeSilenceTimeout } from './report-interval';
-import { ZoneReach } from './zone-reach';
+import { ZoneReachability } from './zone-reachability';
 import {
   FlowKnowledge,
   TargetState,
@@ -20,37 +20,37 @@
  * Milliseconds between sending an opening packet and the first request of its flow at the
  * target: a report shows the load of openings that are older than this.
  */
-const OPENING_TIME = 10;
+const OPENING_DELAY_MS = 10;
 
 /**
  * Milliseconds for which the word of an agent holds that there is no target beside it, once it is
  * silent: a removal of its entry spreads in less, and a target that came later would be heard.
  */
-const NO_TARGET_TIME = 3_000;
+const NO_TARGET_VALIDITY_MS = 3_000;
 
 /**
  * Milliseconds between sending an opening packet and the first answer on its flow, by which its
  * agent knows that the flow is open, where requests hardly wait.
  */
-const FIRST_ANSWER_TIME = 100;
+const FIRST_ANSWER_DELAY_MS = 100;
 
 /**
  * Milliseconds in which every balancer hears of a new agent: changes of the registry gather for
  * one second at those who read them, and are told at once.
  */
-const SETTLING_TIME = 2_000;
+const SETTLING_TIME_MS = 2_000;
 
 /**
  * Milliseconds for which an agent is not tried again that has got as many new flows as its cold
  * target bears in a second: with all targets cold, each opening would else visit all of them.
  */
-const LIMITED_TIME = 100;
+const COLD_LIMIT_BACKOFF_MS = 100;
 
 /**
  * Openings noted of an agent that no report shows yet, the latest; more than a balancer sends one
  * agent between two reports, so that only those of a silent agent, which gather, are dropped.
  */
-const MAXIMUM_OPENINGS = 1_000;
+const MAXIMUM_RECENT_OPENINGS = 1_000;
 
 /** One agent. */
 export interface AgentEntry extends AgentRecord {
@@ -78,7 +78,7 @@
 /** The agents by address. */
 export class AgentDirectory {
   private readonly entries = new Map<Endpoint, AgentEntry>();
-  private readonly zones = new ZoneReach();
+  private readonly zoneReachability = new ZoneReachability();
   /** Time at which every registered agent was known first. */
   private completeSince = Infinity;
   /** Time since which agents are asked for reports; `Infinity` while they are not. */
@@ -89,7 +89,7 @@
     return this.completeSince < Infinity;
   }
 
-  all(): Iterable<AgentEntry> {
+  getAll(): Iterable<AgentEntry> {
     return this.entries.values();
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** The agents of some services, in no particular order. */
-  ofServices(services: readonly string[]): AgentEntry[] {
+  findByServices(services: readonly string[]): AgentEntry[] {
     return [...this.entries.values()].filter(({ service }) => services.includes(service));
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** Agents are asked for reports from now on, unless they were before. */
-  beginListening(now: number): void {
+  startListening(now: number): void {
     if (this.listeningSince === Infinity) {
       this.listeningSince = now;
     }
@@ -127,20 +127,20 @@
   }
 
   /** Milliseconds for which an agent has said nothing although it was asked for reports. */
-  silenceOf({ heardAt, knownSince }: AgentEntry, now: number): number {
+  getSilence({ heardAt, knownSince }: AgentEntry, now: number): number {
     return Math.max(0, now - Math.max(heardAt ?? knownSince, this.listeningSince));
   }
 
   /** Whether an agent is not heard, and has not been asked for reports long enough to be silent. */
-  isAwaited(entry: AgentEntry, now: number): boolean {
-    const isAway = entry.report?.state === TargetState.agentRestarting;
-    const isSilent = this.silenceOf(entry, now) > computeSilenceTimeout(this.size);
-    return !isAway && !isSilent && !this.isHeard(entry, now);
+  isReportPending(entry: AgentEntry, now: number): boolean {
+    const isRestarting = entry.report?.state === TargetState.agentRestarting;
+    const isSilent = this.getSilence(entry, now) > computeSilenceTimeout(this.size);
+    return !isRestarting && !isSilent && !this.isHeard(entry, now);
   }
 
   /** Whether all agents of a zone have fallen silent while others are heard. */
   isZoneSilent(zone: string, now: number): boolean {
-    return this.zones.isSilent(zone, this.size, now, this.listeningSince);
+    return this.zoneReachability.isSilent(zone, this.size, now, this.listeningSince);
   }
 
   /**
@@ -148,7 +148,7 @@
    * balancers may not know it. Of those known from the start nothing tells how new they are.
    */
   isSettling(entry: AgentEntry, now: number): boolean {
-    return entry.knownSince > this.completeSince && now - entry.knownSince < SETTLING_TIME;
+    return entry.knownSince > this.completeSince && now - entry.knownSince < SETTLING_TIME_MS;
   }
 
   /**
@@ -164,31 +164,31 @@
 
   /** Whether an agent has said, a moment ago, that there is no target beside it: it holds no flow. */
   hasNoTarget({ heardAt, report }: AgentEntry, now: number): boolean {
-    const wasTold = report?.flowKnowledge === FlowKnowledge.noTarget;
-    return wasTold && heardAt !== undefined && now - heardAt <= NO_TARGET_TIME;
+    const wasReported = report?.flowKnowledge === FlowKnowledge.noTarget;
+    return wasReported && heardAt !== undefined && now - heardAt <= NO_TARGET_VALIDITY_MS;
   }
 
   /**
    * An agent is sent an opening packet.
    * @param staysOpen whether the flow is expected to carry several requests
    */
-  noteOpening({ recentOpenings, recentFlows }: AgentEntry, staysOpen: boolean, now: number): void {
-    addTime(recentOpenings, now);
+  recordOpening({ recentOpenings, recentFlows }: AgentEntry, staysOpen: boolean, now: number): void {
+    appendBounded(recentOpenings, now);
     if (staysOpen) {
-      addTime(recentFlows, now);
+      appendBounded(recentFlows, now);
     }
   }
 
   /** An agent has refused a new flow because its target is cold and has got enough of them. */
-  noteLimit(address: Endpoint, now: number): void {
+  recordColdLimit(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
     if (entry) {
-      entry.limitedUntil = now + LIMITED_TIME;
+      entry.limitedUntil = now + COLD_LIMIT_BACKOFF_MS;
     }
   }
 
   /** Whether any agent has been heard lately. */
-  hearsAny(now: number): boolean {
+  hasHeardAny(now: number): boolean {
     for (const entry of this.entries.values()) {
       if (this.isHeard(entry, now)) {
         return true;
@@ -201,7 +201,7 @@
    * Takes an agent from the registry, or a peer when `revision` is undefined. What an agent that
    * is heard says of itself goes before what others say: its entry may be of an earlier target.
    */
-  learn(record: AgentRecord, revision: number | undefined, now: number): AgentEntry {
+  upsert(record: AgentRecord, revision: number | undefined, now: number): AgentEntry {
     const known = this.entries.get(record.address);
     if (known && isSameRecord(known, record)) {
       known.registryRevision = revision ?? known.registryRevision;
@@ -225,9 +225,9 @@
       recentOpenings: [],
       recentFlows: [],
     };
-    this.drop(record.address);
+    this.deleteEntry(record.address);
     this.entries.set(record.address, entry);
-    this.zones.count(record.zone, 1);
+    this.zoneReachability.adjustAgentCount(record.zone, 1);
     return entry;
   }
 
@@ -235,37 +235,37 @@
    * Takes a report; the sender becomes known by it.
    * @returns the agent's entry, or undefined for a report that a later one has overtaken
    */
-  hear(address: Endpoint, report: ReportMessage, now: number): AgentEntry | undefined {
+  recordReport(address: Endpoint, report: ReportMessage, now: number): AgentEntry | undefined {
     const { service, zone } = report;
     const record = { address, service, zone };
     const known = this.entries.get(address);
     const entry = known && isSameRecord(known, record) ? known : this.add(record, undefined, now);
-    if (isOvertaken(entry, report)) {
+    if (isStaleReport(entry, report)) {
       return undefined;
     }
     if (entry.report && entry.report.run !== report.run) {
       entry.previousRun = entry.report.run;
     }
-    const state = stateAfter(entry.lastTargetState, report.state);
-    entry.lastTargetState = isOfTarget(state) ? state : entry.lastTargetState;
+    const state = resolveState(entry.lastTargetState, report.state);
+    entry.lastTargetState = isTargetState(state) ? state : entry.lastTargetState;
     entry.report = { ...report, state };
     entry.heardAt = now;
-    this.zones.heard(zone, now);
-    entry.recentOpenings = entry.recentOpenings.filter((at) => at > now - OPENING_TIME);
-    entry.recentFlows = entry.recentFlows.filter((at) => at > now - FIRST_ANSWER_TIME);
+    this.zoneReachability.recordReport(zone, now);
+    entry.recentOpenings = entry.recentOpenings.filter((at) => at > now - OPENING_DELAY_MS);
+    entry.recentFlows = entry.recentFlows.filter((at) => at > now - FIRST_ANSWER_DELAY_MS);
     return entry;
   }
 
   /** The registry no longer lists an agent: it stays only while it is heard. */
-  unregister(address: Endpoint, now: number): void {
+  markUnregistered(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
     if (!entry) {
       return;
     }
     entry.registryRevision = undefined;
-    const gone = entry.report?.state === TargetState.gone;
-    if (gone || !this.isHeard(entry, now)) {
-      this.drop(address);
+    const isGone = entry.report?.state === TargetState.gone;
+    if (isGone || !this.isHeard(entry, now)) {
+      this.deleteEntry(address);
     }
   }
 
@@ -273,7 +273,7 @@
    * The store has come back from a copy without an agent's entry, which nobody has removed: the agent
    * stays known, silent or not, so that no flow of its target is taken for dead.
    */
-  noteLapse(address: Endpoint, now: number): void {
+  markLapsed(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
     if (entry) {
       entry.registryRevision = undefined;
@@ -283,26 +283,26 @@
 
   /** Drops an agent that is neither registered nor heard. */
   forget(address: Endpoint): void {
-    this.drop(address);
+    this.deleteEntry(address);
   }
 
   markComplete(now: number): void {
     this.completeSince = Math.min(this.completeSince, now);
   }
 
-  private drop(address: Endpoint): void {
+  private deleteEntry(address: Endpoint): void {
     const entry = this.entries.get(address);
     if (entry) {
       this.entries.delete(address);
-      this.zones.count(entry.zone, -1);
+      this.zoneReachability.adjustAgentCount(entry.zone, -1);
     }
   }
 }
 
 /** Adds a time to a list that is bounded: the earliest one goes. */
-function addTime(times: number[], now: number): void {
+function appendBounded(times: number[], now: number): void {
   times.push(now);
-  if (times.length > MAXIMUM_OPENINGS) {
+  if (times.length > MAXIMUM_RECENT_OPENINGS) {
     times.shift();
   }
 }
@@ -315,7 +315,7 @@
  * The state to go by after a report. A restarted agent does not know its target's state
  * until the next heartbeat; a target that was leaving before is still taken to leave.
  */
-function stateAfter(
+function resolveState(
   known: TargetStateValue | undefined,
   reported: TargetStateValue,
 ): TargetStateValue {
@@ -324,11 +324,11 @@
 }
 
 /** Whether a state is the target's own, not one of its agent. */
-function isOfTarget(state: TargetStateValue): boolean {
+function isTargetState(state: TargetStateValue): boolean {
   return state !== TargetState.unknown && state !== TargetState.agentRestarting;
 }
 
-function isOvertaken({ report: known, previousRun }: AgentEntry, report: ReportMessage): boolean {
+function isStaleReport({ report: known, previousRun }: AgentEntry, report: ReportMessage): boolean {
   if (known?.run === report.run) {
     return report.sequence <= known.sequence;
   }
--- a/src/packets/agent-report-handler.ts
+++ b/src/packets/agent-report-handler.ts
@@ -31,11 +31,11 @@
     const before = known?.report?.state;
     const wasHeard = known !== undefined && directory.isHeard(known, now);
     const wasZoneSilent = directory.isZoneSilent(report.zone, now);
-    const entry = directory.hear(from, report, now);
+    const entry = directory.recordReport(from, report, now);
     if (!entry) {
       return;
     }
-    link.noteVersion(from, report.frameVersion);
+    link.recordVersion(from, report.frameVersion);
     report.balancers.forEach((peer) => learnPeer(peer));
     // Not the first report of each agent: a balancer that starts hears all of them at once.
     if (before !== undefined && (before !== report.state || !wasHeard)) {
@@ -53,7 +53,7 @@
 
   /** The way to a zone is open again: all of its agents that were heard lately are. */
   private handleZoneReturned(zone: string, now: number): void {
-    for (const entry of this.dependencies.directory.all()) {
+    for (const entry of this.dependencies.directory.getAll()) {
       if (entry.zone === zone) {
         this.handleAgentReturned(entry, now);
       }
--- a/src/packets/agent-subscriptions.ts
+++ b/src/packets/agent-subscriptions.ts
@@ -1,11 +1,11 @@
 /** A balancer's requests for reports: often at agents that are silent, else now and then. */
 import type { Endpoint } from '../environment';
 import type { AgentDirectory, AgentEntry } from './agent-directory';
-import { NewsLedger, NO_NEWS, type DeploymentNews } from './deployment-news';
+import { SentStateTracker, UNKNOWN_DEPLOYMENT_STATE, type DeploymentState } from './deployment-state';
 import {
   ListingState,
   PacketMessageType,
-  REPAIR_VERSION,
+  HOP_REPAIR_VERSION,
   type ListingStateValue,
   type SubscribeMessage,
 } from './packet-messages';
@@ -36,13 +36,13 @@
 /** Subscriptions of one balancer. */
 export class AgentSubscriptions {
   private readonly subscribedAt = new Map<Endpoint, number>();
-  private readonly ledger = new NewsLedger();
+  private readonly ledger = new SentStateTracker();
 
   constructor(
     private readonly zone: string,
     private readonly directory: AgentDirectory,
     private readonly send: SubscriptionSender,
-    private readonly news: () => DeploymentNews,
+    private readonly news: () => DeploymentState,
     /** What the balancer knows of the store's eras. */
     private readonly eras: () => SubscriptionEras,
   ) {}
@@ -55,11 +55,11 @@
     const news = this.news();
     const isRegistryKnown = isRecent && this.directory.isComplete;
     const due = new DueSubscriptions();
-    for (const entry of this.directory.all()) {
+    for (const entry of this.directory.getAll()) {
       if (this.isDue(entry, now)) {
         this.subscribedAt.set(entry.address, now);
         const listing = listingOf(entry, isRegistryKnown);
-        const tellsNews = this.ledger.takeTelling(entry.address, entry.report?.run, news);
+        const tellsNews = this.ledger.markSentIfDue(entry.address, entry.report?.run, news);
         due.add({ listing, tellsNews }, entry.address);
       }
     }
@@ -68,7 +68,7 @@
 
   /** Makes subscriptions due at once at the agents of some zones. */
   forgetIn(zones: readonly string[]): void {
-    for (const { address, zone } of this.directory.all()) {
+    for (const { address, zone } of this.directory.getAll()) {
       if (zones.includes(zone)) {
         this.subscribedAt.delete(address);
       }
@@ -87,21 +87,21 @@
         this.subscribedAt.delete(address);
       }
     }
-    this.ledger.expire((agent) => this.directory.find(agent) !== undefined);
+    this.ledger.removeUnknownAgents((agent) => this.directory.find(agent) !== undefined);
   }
 
   private createMessage(
     { listing, tellsNews }: SubscriptionContent,
-    news: DeploymentNews,
+    news: DeploymentState,
   ): SubscribeMessage {
     return {
       type: PacketMessageType.subscribe,
       zone: this.zone,
       interval: computeReportInterval(this.directory.size),
       listing,
-      frameVersion: REPAIR_VERSION,
+      frameVersion: HOP_REPAIR_VERSION,
       ...this.eras(),
-      ...(tellsNews ? news : NO_NEWS),
+      ...(tellsNews ? news : UNKNOWN_DEPLOYMENT_STATE),
     };
   }
 
--- a/src/packets/choice/outlier-ejection.ts
+++ b/src/packets/choice/outlier-ejection.ts
@@ -92,7 +92,7 @@
     }
     this.comparedAt.set(service, now);
     const entries = directory
-      .ofServices([service])
+      .findByServices([service])
       .filter((entry) => acceptsNewFlows(entry) && directory.isHeard(entry, now));
     entries.forEach((entry) => this.forgetReplaced(entry));
     const outliers = findOutliers(
--- a/src/packets/client-intake.ts
+++ b/src/packets/client-intake.ts
@@ -92,7 +92,7 @@
     if (!packet) {
       return;
     }
-    link.noteCompact(balancer);
+    link.recordCompactFrames(balancer);
     answers.handleClientPacket(packet);
     const isRefused = this.refusalOf(packet, message.services) !== undefined;
     if (isRefused || packet.opens) {
@@ -176,12 +176,12 @@
   private mustOffer(phase: SearchPhaseValue, { flow }: FlowPacket): boolean {
     const { target, tracker } = this.dependencies;
     switch (phase) {
-      case SearchPhase.ask:
-      case SearchPhase.askOnly:
+      case SearchPhase.query:
+      case SearchPhase.queryOnly:
         return false;
       case SearchPhase.offer:
         return true;
-      case SearchPhase.sure:
+      case SearchPhase.conclusive:
         return !target.isKnownFromStart || tracker.hasSeenFlow(flow);
     }
   }
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -15,7 +15,7 @@
 import type { FlowSearch, FlowSearches } from './flow-search';
 import type { Locality } from './locality/locality';
 import type { PacketLink } from './packet-link';
-import { PacketMessageType, TERMS_VERSION } from './packet-messages';
+import { PacketMessageType, ROUTE_TERMS_VERSION } from './packet-messages';
 import type { PacketOutlet } from './packet-outlet';
 import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 import { ServiceRotation } from './service-rotation';
@@ -119,7 +119,7 @@
     const now = environment.now();
     const [service] = search.services;
     const candidates = directory
-      .ofServices(search.services)
+      .findByServices(search.services)
       .filter(({ zone, limitedUntil }) => !isEvacuated(zone) && limitedUntil <= now);
     const untried = candidates.filter(({ address }) => !search.refusedBy.has(address));
     const ordered = locality.orderForPlacement(packet.flow, untried);
@@ -136,7 +136,7 @@
     }
     const { entry: chosen } = choice;
     this.count(choice, now);
-    directory.noteOpening(chosen, context.requestsPerFlow > 1, now);
+    directory.recordOpening(chosen, context.requestsPerFlow > 1, now);
     this.openings.recordOpening(chosen.service, now);
     cache.noteOpening(packet.flow, chosen.address, service!, now);
     outlet.counters.flowsPlaced++;
@@ -195,7 +195,7 @@
 
   /** An agent learns what the callers of a route expect before their first requests come. */
   private tellTerms({ address, report }: AgentEntry, route: Route): void {
-    const isUnderstood = report !== undefined && report.frameVersion >= TERMS_VERSION;
+    const isUnderstood = report !== undefined && report.frameVersion >= ROUTE_TERMS_VERSION;
     if (isUnderstood && this.ledger.markSentIfDue(address, report.run, route)) {
       this.dependencies.link.send(address, {
         type: PacketMessageType.routeTerms,
--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -146,7 +146,7 @@
     const search = this.searchOf(packet, route, message.searchId);
     search.refusedBy.add(agent);
     if (message.reason === RefusalReason.coldLimit) {
-      directory.noteLimit(agent, environment.now());
+      directory.recordColdLimit(agent, environment.now());
     }
     if (packet.opens) {
       this.placement.offer(packet, search);
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -157,7 +157,7 @@
     const { directory, environment } = this.dependencies;
     const now = environment.now();
     return directory
-      .ofServices(services)
+      .findByServices(services)
       .filter((entry) => !refusedBy.has(entry.address))
       .filter((entry) => !directory.hasNoTarget(entry, now));
   }
@@ -167,9 +167,9 @@
     const now = environment.now();
     return {
       isHeard: (entry) => directory.isHeard(entry, now),
-      isAwaited: (entry) => directory.isAwaited(entry, now),
-      speaksCompact: (agent) => link.speaksCompact(agent),
-      searchesInGroups: (agent) => link.searchesInGroups(agent),
+      isAwaited: (entry) => directory.isReportPending(entry, now),
+      speaksCompact: (agent) => link.supportsCompactFrames(agent),
+      searchesInGroups: (agent) => link.supportsGroupSearch(agent),
     };
   }
 
@@ -211,7 +211,7 @@
     if (attempts < REPEATS_EXPECTED) {
       return;
     }
-    const known = this.dependencies.directory.ofServices(services).length;
+    const known = this.dependencies.directory.findByServices(services).length;
     const fields = { attempts, heard, known, refusals: refusedBy.size };
     this.dependencies.outlet.report(Events.searchRepeated, packet, fields);
   }
--- a/src/packets/load-reporter.ts
+++ b/src/packets/load-reporter.ts
@@ -4,7 +4,7 @@
 import type { PacketLink } from './packet-link';
 import {
   PacketMessageType,
-  TERMS_VERSION,
+  ROUTE_TERMS_VERSION,
   type FlowKnowledgeValue,
   type ReportMessage,
   type TargetStateValue,
@@ -118,7 +118,7 @@
       targetChanges: health.targetChanges,
       coldLeft: target.coldLeft(now),
       flowBytes: this.dependencies.getFlowBytes(),
-      frameVersion: TERMS_VERSION,
+      frameVersion: ROUTE_TERMS_VERSION,
       flowKnowledge: this.dependencies.getFlowKnowledge(),
       balancerCount: this.subscribers.count,
       balancers: balancers.slice(0, MAXIMUM_REPORTED_BALANCERS),
--- a/src/packets/locality/distance-probes.ts
+++ b/src/packets/locality/distance-probes.ts
@@ -3,7 +3,7 @@
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
 import {
   PacketMessageType,
-  REPAIR_VERSION,
+  HOP_REPAIR_VERSION,
   type DistanceProbeMessage,
   type DistanceReplyMessage,
 } from '../packet-messages';
@@ -92,8 +92,8 @@
   /** The agents by zone that are heard and understand probes. */
   private groupProbeableAgents(now: number): Map<string, AgentEntry[]> {
     const groups = new Map<string, AgentEntry[]>();
-    for (const entry of this.directory.all()) {
-      const supportsProbes = (entry.report?.frameVersion ?? 0) >= REPAIR_VERSION;
+    for (const entry of this.directory.getAll()) {
+      const supportsProbes = (entry.report?.frameVersion ?? 0) >= HOP_REPAIR_VERSION;
       if (!supportsProbes || !this.directory.isHeard(entry, now)) {
         continue;
       }
--- a/src/packets/locality/service-flow-bytes.ts
+++ b/src/packets/locality/service-flow-bytes.ts
@@ -24,7 +24,7 @@
 
   private computeMeans(): Map<string, number> {
     const sums = new Map<string, { bytes: number; agents: number }>();
-    for (const { report } of this.directory.all()) {
+    for (const { report } of this.directory.getAll()) {
       if (report && report.flowBytes > 0) {
         const sum = sums.get(report.service) ?? { bytes: 0, agents: 0 };
         sum.bytes += report.flowBytes;
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -290,7 +290,7 @@
         this.intake.tellIfHeld(message.flow, from);
         return;
       case PacketMessageType.subscribe:
-        this.link.noteRepairs(from, message.frameVersion);
+        this.link.recordHopRepair(from, message.frameVersion);
         this.learnDeploymentState(message, from);
         this.sendFirstStoreEra(message, from);
         this.reporter.subscribe(from, message.interval);
@@ -383,7 +383,7 @@
     if (this.presence.isMissing) {
       return FlowKnowledge.noTarget;
     }
-    return this.target.isKnownFromStart ? FlowKnowledge.whole : FlowKnowledge.partial;
+    return this.target.isKnownFromStart ? FlowKnowledge.complete : FlowKnowledge.partial;
   }
 
   private get isTargetHeard(): boolean {
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -26,7 +26,7 @@
   PacketBalancerSettings,
 } from './packet-balancer-contracts';
 import { RegistryView } from './registry-view';
-import { RegistryUpkeep } from './registry-upkeep';
+import { RegistryReconciler } from './registry-reconciler';
 import type { RoutingTable } from './routing-table';
 import { MAXIMUM_BACKLOG_TIME_MS, StartupGate } from './startup/startup-gate';
 import { StartupRelay } from './startup/startup-relay';
@@ -56,7 +56,7 @@
   private readonly peers: PeerExchange;
   private readonly reports: AgentReportHandler;
   private readonly view: RegistryView;
-  private readonly upkeep: RegistryUpkeep;
+  private readonly upkeep: RegistryReconciler;
   private readonly subscriptions: AgentSubscriptions;
   private readonly reading: StoreReading;
   private readonly evacuations: ZoneEvacuationView;
@@ -94,7 +94,7 @@
       this.link.send(agent, probe),
     );
     this.router = this.createRouter();
-    this.upkeep = new RegistryUpkeep(
+    this.upkeep = new RegistryReconciler(
       environment,
       this.directory,
       registry,
@@ -107,7 +107,7 @@
       environment,
       directory: this.directory,
       link: this.link,
-      learnPeer: (peer) => this.peers.learnPeer(peer),
+      learnPeer: (peer) => this.peers.addPeer(peer),
       onAgentReturned: (agent) => this.router.agentReturned(agent),
       onHeardAgentsChanged: () => this.updateReadiness(),
     });
@@ -120,12 +120,12 @@
     this.settling.start(this.startedAt);
     this.reading.start();
     this.peers.start();
-    this.peers.askForView();
+    this.peers.requestView();
     this.timers.scheduleRepeating(KNOCK_INTERVAL, () => {
       if (!this.hasView) {
-        this.peers.askForView();
+        this.peers.requestView();
       }
-      this.reading.run();
+      this.reading.updateReading();
       this.subscribe();
     });
     this.timers.scheduleRepeating(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
@@ -136,12 +136,12 @@
   beginStop(): void {
     this.stopping = true;
     this.updateReadiness();
-    this.peers.announce();
+    this.peers.broadcastStatus();
   }
 
   /** Takes other seeds, which the settings name now. */
   replaceSeeds(seeds: readonly Endpoint[]): void {
-    seeds.forEach((seed) => this.peers.learnPeer(seed));
+    seeds.forEach((seed) => this.peers.addPeer(seed));
   }
 
   /** Ends all timers and calls. */
@@ -241,7 +241,7 @@
   }
 
   private get listedAgents(): ListedAgent[] {
-    return [...this.directory.all()].map(({ address, service, zone, registryRevision }) => ({
+    return [...this.directory.getAll()].map(({ address, service, zone, registryRevision }) => ({
       address,
       service,
       zone,
@@ -275,7 +275,7 @@
       return true;
     }
     const maySeeNone = this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
-    return this.hasView && (maySeeNone || this.directory.hearsAny(now));
+    return this.hasView && (maySeeNone || this.directory.hasHeardAny(now));
   }
 
   /** Clients' packets wait here until any flow can be served. */
@@ -369,7 +369,7 @@
       this.directory,
       (agents, message) => this.link.sendToAll(agents, message),
       () => ({
-        evacuations: this.evacuations.currentIn(this.view.position.era),
+        evacuations: this.evacuations.getCurrentIn(this.view.position.era),
         profiles: this.table.profiles,
       }),
       () => this.eras,
@@ -380,10 +380,10 @@
     return new RegistryView({
       environment: this.dependencies.environment,
       directory: this.directory,
-      changed: () => {
+      onChanged: () => {
         this.noteEra();
         this.subscribe();
-        this.peers.tellWaiting();
+        this.peers.notifyWaitingPeers();
         this.updateReadiness();
       },
     });
@@ -413,18 +413,18 @@
       link: this.link,
       snapshots,
       relay: this.relay,
-      statusReceived: (peer, status) => this.learnStatus(peer, status),
+      onStatus: (peer, status) => this.learnStatus(peer, status),
       detours: this.detours,
       lacksView: () => !this.hasView,
       evacuations: this.evacuations,
-      routingVersion: () => this.table.version,
-      ownStatus: () => this.ownStatus,
-      snapshotReceived: (peer, snapshot) => this.takeSnapshot(peer, snapshot),
-      agentsReceived: (agents) => this.view.learnAgents(agents),
-      registryPosition: () => this.view.position,
-      deltaReceived: (delta, era) => this.view.takeDelta(delta, era),
-      readers: () => this.reading.tell(),
-      readersReceived: (readers) => this.reading.learn(readers),
+      getRoutingVersion: () => this.table.version,
+      getOwnStatus: () => this.ownStatus,
+      onSnapshot: (peer, snapshot) => this.takeSnapshot(peer, snapshot),
+      onAgents: (agents) => this.view.mergeAgents(agents),
+      getRegistryPosition: () => this.view.position,
+      onDelta: (delta, era) => this.view.applyDelta(delta, era),
+      getReaders: () => this.reading.getLatestReaders(),
+      onReaders: (readers) => this.reading.mergeReaders(readers),
     });
   }
 
@@ -448,21 +448,21 @@
       evacuatedZones,
       evacuations: this.evacuations,
       storeProbe,
-      clusterSize: () => this.peers.clusterSize,
+      getClusterSize: () => this.peers.clusterSize,
       hasView: () => this.hasView,
       isFetching: () => this.peers.isFetching,
-      takeTable: (table) => this.table.applyIfNewer(table, 'store'),
-      takeListing: (listing) => {
-        this.view.takeListing(listing);
-        this.peers.announce();
+      applyTable: (table) => this.table.applyIfNewer(table, 'store'),
+      applyListing: (listing) => {
+        this.view.applyListing(listing);
+        this.peers.broadcastStatus();
       },
-      takeChanges: (changes) => {
-        const delta = this.view.takeChanges(changes);
+      applyChanges: (changes) => {
+        const delta = this.view.applyChanges(changes);
         if (delta) {
-          this.peers.announce(delta);
+          this.peers.broadcastStatus(delta);
         }
       },
-      answered: () => this.peers.announce(),
+      onAnswer: () => this.peers.broadcastStatus(),
     });
   }
 
@@ -483,16 +483,16 @@
       this.table.applyIfNewer(routingTable, origin);
     }
     if (viewComplete) {
-      this.view.takeSnapshot(agents, { era: storeEra, revision: registryRevision }, origin);
+      this.view.applySnapshot(agents, { era: storeEra, revision: registryRevision }, origin);
     } else {
-      this.view.learnAgents(agents);
+      this.view.mergeAgents(agents);
     }
   }
 
   /** Another table is in force: routes go by it, and agents are told what it says of services. */
   private applyTable(table: RoutingTable, hasOtherProfiles: boolean): void {
     this.router.apply(table);
-    this.peers.tellWaiting();
+    this.peers.notifyWaitingPeers();
     if (hasOtherProfiles) {
       this.subscriptions.forgetAll();
       this.subscribe();
@@ -505,7 +505,7 @@
     this.subscriptions.forgetIn(zones);
     this.subscribe();
     if (this.reading.isReading) {
-      this.peers.announce();
+      this.peers.broadcastStatus();
     }
     this.updateReadiness();
   }
@@ -519,7 +519,7 @@
       this.directory.stopListening();
       return;
     }
-    this.directory.beginListening(now);
+    this.directory.startListening(now);
     this.subscriptions.run(now, this.reading.isRecent);
   }
 
@@ -536,7 +536,7 @@
     this.gate.processBacklog();
     this.router.expire(this.dependencies.environment.now());
     this.hops.expire(this.dependencies.environment.now());
-    this.upkeep.run(this.reading.isReading);
+    this.upkeep.reconcile(this.reading.isReading);
     this.subscriptions.expire();
     this.updateReadiness();
   }
@@ -561,7 +561,7 @@
   private countHeard(): number {
     const now = this.dependencies.environment.now();
     let heard = 0;
-    for (const entry of this.directory.all()) {
+    for (const entry of this.directory.getAll()) {
       heard += this.directory.isHeard(entry, now) ? 1 : 0;
     }
     return heard;
--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -25,8 +25,8 @@
 import { PACKET_MESSAGE_FIELDS } from './packet-message-schema';
 import {
   COMPACT_FRAME_VERSION,
-  MAXIMUM_ACKNOWLEDGED,
-  MAXIMUM_SEARCH_LENGTH,
+  MAXIMUM_ACKNOWLEDGED_SEQUENCES,
+  MAXIMUM_SEARCH_AGENTS,
   PacketMessageType,
   RefusalReason,
   SearchPhase,
@@ -62,11 +62,11 @@
 
 type SearchEndMessage = NoneHoldsMessage | NoneKnowsMessage;
 
-const SEPARATOR = '\0';
-const SERVICE_LISTS_KEPT = 4_096;
-const ID_RANGE = 2 ** 32;
+const SERVICE_SEPARATOR = '\0';
+const MAXIMUM_CACHED_SERVICE_LISTS = 4_096;
+const SEARCH_ID_RANGE = 2 ** 32;
 /** Bytes of the fields before those of variable length, type included. */
-const HeadBytes = {
+const HEADER_BYTES = {
   deliver: 5,
   notHeld: 6,
   held: 1,
@@ -75,12 +75,12 @@
   received: 5,
 } as const;
 /** Bytes by which a numbered message is longer: session and sequence number after the type. */
-const NUMBER_BYTES = 8;
+const HOP_NUMBER_BYTES = 8;
 const SEQUENCE_BYTES = 4;
 const COUNT_BYTES = 2;
 const ENDPOINT_BYTES = 6;
-const REASONS: readonly number[] = Object.values(RefusalReason);
-const PHASES: readonly number[] = Object.values(SearchPhase);
+const REFUSAL_REASONS: readonly number[] = Object.values(RefusalReason);
+const SEARCH_PHASES: readonly number[] = Object.values(SearchPhase);
 
 /** Whether messages of each type have a compact form. */
 const HAS_COMPACT_FORM: Readonly<Record<PacketMessage['type'], boolean>> = {
@@ -105,15 +105,15 @@
 };
 
 /** Whether a message has a compact form. */
-export function isCompact(message: PacketMessage): message is CompactMessage {
+export function hasCompactForm(message: PacketMessage): message is CompactMessage {
   return HAS_COMPACT_FORM[message.type];
 }
 
 /** Encodes and decodes both versions of frames. */
 export class PacketFrameCodec extends FrameCodec<PacketMessage> {
   /** Lists of services as sent: few differ, and every packet carries one. */
-  private readonly packedServices = new WeakMap<readonly string[], Buffer>();
-  private readonly unpackedServices = new Map<string, readonly string[]>();
+  private readonly packedServicesCache = new WeakMap<readonly string[], Buffer>();
+  private readonly unpackedServicesCache = new Map<string, readonly string[]>();
 
   constructor(keys: readonly ClusterKey[]) {
     super(keys, PACKET_MESSAGE_FIELDS);
@@ -121,7 +121,7 @@
 
   /** Encodes a message with fields at fixed places. */
   encodeCompact(message: CompactMessage): Buffer {
-    const frame = this.write(message);
+    const frame = this.encodeFrame(message);
     frame[BODY_OFFSET] = message.type;
     this.seal(frame, COMPACT_FRAME_VERSION);
     return frame;
@@ -136,7 +136,7 @@
     if (body.err) {
       return body;
     }
-    const message = this.read(body.val);
+    const message = this.decodeBody(body.val);
     return message === undefined
       ? failure(ResultCodes.frameMalformed, 'a compact frame of another form')
       : new Ok(message);
@@ -152,28 +152,28 @@
     return frame;
   }
 
-  private write(message: CompactMessage): Buffer {
+  private encodeFrame(message: CompactMessage): Buffer {
     switch (message.type) {
       case PacketMessageType.deliver:
         return this.writeDelivery(message, 0);
       case PacketMessageType.numberedDeliver:
-        return writeNumber(this.writeDelivery(message, NUMBER_BYTES), message);
+        return writeHopNumber(this.writeDelivery(message, HOP_NUMBER_BYTES), message);
       case PacketMessageType.notHeld:
         return writeRefusal(message, 0);
       case PacketMessageType.numberedRefusal:
-        return writeNumber(writeRefusal(message, NUMBER_BYTES), message);
+        return writeHopNumber(writeRefusal(message, HOP_NUMBER_BYTES), message);
       case PacketMessageType.received:
         return writeReceived(message);
       case PacketMessageType.held:
-        return allocateFrame(HeadBytes.held, message.flow);
+        return allocateFrame(HEADER_BYTES.held, message.flow);
       case PacketMessageType.search:
         return this.writeSearch(message);
       case PacketMessageType.noneHolds:
       case PacketMessageType.noneKnows: {
         const { agents } = message;
-        const frame = allocateFrame(HeadBytes.noneHolds + sizeOfList(agents), message.payload);
-        frame.writeUInt32BE(message.searchId % ID_RANGE, BODY_OFFSET + 1);
-        writeList(frame, BODY_OFFSET + HeadBytes.noneHolds, agents);
+        const frame = allocateFrame(HEADER_BYTES.noneHolds + getEndpointsBytes(agents), message.payload);
+        frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + 1);
+        writeEndpoints(frame, BODY_OFFSET + HEADER_BYTES.noneHolds, agents);
         return frame;
       }
     }
@@ -182,28 +182,28 @@
   /** @param shift bytes left free behind the type */
   private writeDelivery(message: Delivery, shift: number): Buffer {
     const services = this.packServices(message.services);
-    const frame = allocateFrame(shift + HeadBytes.deliver + services.length, message.payload);
-    frame.writeUInt32BE(message.searchId % ID_RANGE, BODY_OFFSET + shift + 1);
-    frame.set(services, BODY_OFFSET + shift + HeadBytes.deliver);
+    const frame = allocateFrame(shift + HEADER_BYTES.deliver + services.length, message.payload);
+    frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + shift + 1);
+    frame.set(services, BODY_OFFSET + shift + HEADER_BYTES.deliver);
     return frame;
   }
 
   private writeSearch(message: SearchMessage): Buffer {
     const { agents, payload } = message;
     const services = this.packServices(message.services);
-    const servicesOffset = HeadBytes.search + sizeOfList(agents);
+    const servicesOffset = HEADER_BYTES.search + getEndpointsBytes(agents);
     const frame = allocateFrame(servicesOffset + services.length, payload);
-    frame.writeUInt32BE(message.searchId % ID_RANGE, BODY_OFFSET + 1);
+    frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + 1);
     frame.writeUIntBE(message.balancer, BODY_OFFSET + 5, ENDPOINT_BYTES);
     frame[BODY_OFFSET + 11] = message.phase;
     frame.writeUInt16BE(message.position, BODY_OFFSET + 12);
-    writeList(frame, BODY_OFFSET + HeadBytes.search, agents);
+    writeEndpoints(frame, BODY_OFFSET + HEADER_BYTES.search, agents);
     frame.set(services, BODY_OFFSET + servicesOffset);
     return frame;
   }
 
   /** The message of a body; undefined when it has another form. */
-  private read(body: Buffer): PacketMessage | undefined {
+  private decodeBody(body: Buffer): PacketMessage | undefined {
     switch (body[0]) {
       case PacketMessageType.deliver:
         return this.readDeliver(body);
@@ -216,7 +216,7 @@
       case PacketMessageType.received:
         return readReceived(body);
       case PacketMessageType.held:
-        return { type: PacketMessageType.held, flow: body.subarray(HeadBytes.held) };
+        return { type: PacketMessageType.held, flow: body.subarray(HEADER_BYTES.held) };
       case PacketMessageType.report:
         return decodeReport(body);
       case PacketMessageType.search:
@@ -235,15 +235,15 @@
   }
 
   private readNumberedDeliver(body: Buffer): NumberedDeliverMessage | undefined {
-    const delivery = this.readDelivery(body, NUMBER_BYTES);
+    const delivery = this.readDelivery(body, HOP_NUMBER_BYTES);
     const type = PacketMessageType.numberedDeliver;
-    return delivery && { type, ...readNumber(body), ...delivery };
+    return delivery && { type, ...readHopNumber(body), ...delivery };
   }
 
   /** @param shift bytes between the type and the fields of a delivery */
   private readDelivery(body: Buffer, shift: number): Delivery | undefined {
-    const servicesOffset = shift + HeadBytes.deliver;
-    const end = endOfServices(body, servicesOffset);
+    const servicesOffset = shift + HEADER_BYTES.deliver;
+    const end = findServicesEnd(body, servicesOffset);
     if (end === undefined) {
       return undefined;
     }
@@ -255,15 +255,15 @@
   }
 
   private readSearch(body: Buffer): SearchMessage | undefined {
-    const servicesOffset = endOfList(body, HeadBytes.search);
-    const end = servicesOffset && endOfServices(body, servicesOffset);
+    const servicesOffset = findEndpointsEnd(body, HEADER_BYTES.search);
+    const end = servicesOffset && findServicesEnd(body, servicesOffset);
     if (servicesOffset === undefined || end === undefined) {
       return undefined;
     }
-    const agents = readList(body, HeadBytes.search);
+    const agents = readEndpoints(body, HEADER_BYTES.search);
     const position = body.readUInt16BE(12);
     const phase = body[11]!;
-    if (!PHASES.includes(phase) || position >= agents.length) {
+    if (!SEARCH_PHASES.includes(phase) || position >= agents.length) {
       return undefined;
     }
     return {
@@ -279,50 +279,50 @@
   }
 
   private packServices(services: readonly string[]): Buffer {
-    const known = this.packedServices.get(services);
-    if (known) {
-      return known;
+    const cached = this.packedServicesCache.get(services);
+    if (cached) {
+      return cached;
     }
-    const names = Buffer.from(services.join(SEPARATOR));
+    const names = Buffer.from(services.join(SERVICE_SEPARATOR));
     const packed = Buffer.allocUnsafe(COUNT_BYTES + names.length);
     packed.writeUInt16BE(names.length, 0);
     packed.set(names, COUNT_BYTES);
-    this.packedServices.set(services, packed);
+    this.packedServicesCache.set(services, packed);
     return packed;
   }
 
   private unpackServices(body: Buffer, offset: number, end: number): readonly string[] {
     const text = body.toString('utf8', offset + COUNT_BYTES, end);
-    const known = this.unpackedServices.get(text);
-    if (known) {
-      return known;
+    const cached = this.unpackedServicesCache.get(text);
+    if (cached) {
+      return cached;
     }
-    if (this.unpackedServices.size >= SERVICE_LISTS_KEPT) {
-      this.unpackedServices.clear();
+    if (this.unpackedServicesCache.size >= MAXIMUM_CACHED_SERVICE_LISTS) {
+      this.unpackedServicesCache.clear();
     }
-    const services = text.split(SEPARATOR);
-    this.unpackedServices.set(text, services);
+    const services = text.split(SERVICE_SEPARATOR);
+    this.unpackedServicesCache.set(text, services);
     return services;
   }
 }
 
 /** A frame with its last field in place. */
-function allocateFrame(bytesBefore: number, last: Buffer): Buffer {
-  const frame = Buffer.allocUnsafe(BODY_OFFSET + bytesBefore + last.length);
-  frame.set(last, BODY_OFFSET + bytesBefore);
+function allocateFrame(headerBytes: number, lastField: Buffer): Buffer {
+  const frame = Buffer.allocUnsafe(BODY_OFFSET + headerBytes + lastField.length);
+  frame.set(lastField, BODY_OFFSET + headerBytes);
   return frame;
 }
 
 /** @param shift bytes left free behind the type */
 function writeRefusal(message: Refusal, shift: number): Buffer {
-  const frame = allocateFrame(shift + HeadBytes.notHeld, message.payload);
-  frame.writeUInt32BE(message.searchId % ID_RANGE, BODY_OFFSET + shift + 1);
+  const frame = allocateFrame(shift + HEADER_BYTES.notHeld, message.payload);
+  frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + shift + 1);
   frame[BODY_OFFSET + shift + 5] = message.reason;
   return frame;
 }
 
 /** Writes a message's number into the bytes left free for it. */
-function writeNumber(frame: Buffer, { session, sequence }: HopNumber): Buffer {
+function writeHopNumber(frame: Buffer, { session, sequence }: HopNumber): Buffer {
   frame.writeUInt32BE(session, BODY_OFFSET + 1);
   frame.writeUInt32BE(sequence, BODY_OFFSET + 5);
   return frame;
@@ -331,7 +331,7 @@
 function writeReceived({ session, sequences }: ReceivedMessage): Buffer {
   const numbers = Buffer.allocUnsafe(sequences.length * SEQUENCE_BYTES);
   sequences.forEach((sequence, index) => numbers.writeUInt32BE(sequence, index * SEQUENCE_BYTES));
-  const frame = allocateFrame(HeadBytes.received, numbers);
+  const frame = allocateFrame(HEADER_BYTES.received, numbers);
   frame.writeUInt32BE(session, BODY_OFFSET + 1);
   return frame;
 }
@@ -342,56 +342,56 @@
 }
 
 function readNumberedRefusal(body: Buffer): NumberedRefusalMessage | undefined {
-  const refusal = readRefusal(body, NUMBER_BYTES);
+  const refusal = readRefusal(body, HOP_NUMBER_BYTES);
   const type = PacketMessageType.numberedRefusal;
-  return refusal && { type, ...readNumber(body), ...refusal };
+  return refusal && { type, ...readHopNumber(body), ...refusal };
 }
 
 /** @param shift bytes between the type and the fields of a refusal */
 function readRefusal(body: Buffer, shift: number): Refusal | undefined {
   const reason = body[shift + 5];
-  if (reason === undefined || !REASONS.includes(reason)) {
+  if (reason === undefined || !REFUSAL_REASONS.includes(reason)) {
     return undefined;
   }
   return {
     searchId: body.readUInt32BE(shift + 1),
     reason: reason as RefusalReasonValue,
-    payload: body.subarray(shift + HeadBytes.notHeld),
+    payload: body.subarray(shift + HEADER_BYTES.notHeld),
   };
 }
 
 /** The number of a body that is long enough for one. */
-function readNumber(body: Buffer): HopNumber {
+function readHopNumber(body: Buffer): HopNumber {
   return { session: body.readUInt32BE(1), sequence: body.readUInt32BE(5) };
 }
 
 function readReceived(body: Buffer): ReceivedMessage | undefined {
-  const count = (body.length - HeadBytes.received) / SEQUENCE_BYTES;
-  if (!Number.isInteger(count) || count < 1 || count > MAXIMUM_ACKNOWLEDGED) {
+  const count = (body.length - HEADER_BYTES.received) / SEQUENCE_BYTES;
+  if (!Number.isInteger(count) || count < 1 || count > MAXIMUM_ACKNOWLEDGED_SEQUENCES) {
     return undefined;
   }
   const sequences: number[] = [];
   for (let index = 0; index < count; index++) {
-    sequences.push(body.readUInt32BE(HeadBytes.received + index * SEQUENCE_BYTES));
+    sequences.push(body.readUInt32BE(HEADER_BYTES.received + index * SEQUENCE_BYTES));
   }
   return { type: PacketMessageType.received, session: body.readUInt32BE(1), sequences };
 }
 
 function readSearchEnd(type: SearchEndMessage['type'], body: Buffer): SearchEndMessage | undefined {
-  const end = endOfList(body, HeadBytes.noneHolds);
+  const end = findEndpointsEnd(body, HEADER_BYTES.noneHolds);
   if (end === undefined) {
     return undefined;
   }
   return {
     type,
     searchId: body.readUInt32BE(1),
-    agents: readList(body, HeadBytes.noneHolds),
+    agents: readEndpoints(body, HEADER_BYTES.noneHolds),
     payload: body.subarray(end),
   };
 }
 
 /** Offset behind a text with its length before it; undefined when the body is too short. */
-function endOfServices(body: Buffer, offset: number): number | undefined {
+function findServicesEnd(body: Buffer, offset: number): number | undefined {
   if (body.length < offset + COUNT_BYTES) {
     return undefined;
   }
@@ -399,11 +399,11 @@
   return end <= body.length ? end : undefined;
 }
 
-function sizeOfList(endpoints: readonly Endpoint[]): number {
+function getEndpointsBytes(endpoints: readonly Endpoint[]): number {
   return COUNT_BYTES + endpoints.length * ENDPOINT_BYTES;
 }
 
-function writeList(frame: Buffer, offset: number, endpoints: readonly Endpoint[]): void {
+function writeEndpoints(frame: Buffer, offset: number, endpoints: readonly Endpoint[]): void {
   frame.writeUInt16BE(endpoints.length, offset);
   let at = offset + COUNT_BYTES;
   for (const endpoint of endpoints) {
@@ -413,16 +413,16 @@
 }
 
 /** Offset behind a list of endpoints; undefined when it is too long, or the body too short. */
-function endOfList(body: Buffer, offset: number): number | undefined {
+function findEndpointsEnd(body: Buffer, offset: number): number | undefined {
   if (body.length < offset + COUNT_BYTES) {
     return undefined;
   }
   const count = body.readUInt16BE(offset);
   const end = offset + COUNT_BYTES + count * ENDPOINT_BYTES;
-  return count <= MAXIMUM_SEARCH_LENGTH && end <= body.length ? end : undefined;
+  return count <= MAXIMUM_SEARCH_AGENTS && end <= body.length ? end : undefined;
 }
 
-function readList(body: Buffer, offset: number): Endpoint[] {
+function readEndpoints(body: Buffer, offset: number): Endpoint[] {
   const count = body.readUInt16BE(offset);
   const endpoints: Endpoint[] = [];
   for (let index = 0; index < count; index++) {
--- a/src/packets/packet-link.ts
+++ b/src/packets/packet-link.ts
@@ -4,12 +4,12 @@
  */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import { MessageLink } from '../wire/message-link';
-import { isCompact, type PacketFrameCodec } from './packet-frames';
+import { hasCompactForm, type PacketFrameCodec } from './packet-frames';
 import {
   COMPACT_FRAME_VERSION,
   GROUP_SEARCH_VERSION,
-  REPAIR_VERSION,
-  SURE_SEARCH_VERSION,
+  HOP_REPAIR_VERSION,
+  CONCLUSIVE_SEARCH_VERSION,
   PacketMessageType,
   type PacketMessage,
   type ReportMessage,
@@ -17,7 +17,7 @@
 import { isHopMessage } from './repair/hop-messages';
 
 /** Nodes noted; beyond that all are forgotten, and noted anew by their next frames. */
-const MAXIMUM_NODES = 20_000;
+const MAXIMUM_TRACKED_NODES = 20_000;
 
 /** Whether a message came with compact frames, and goes only to those who understand them. */
 function hasOnlyCompactForm(message: PacketMessage): boolean {
@@ -33,10 +33,10 @@
 
 /** Sends and receives the frames of one node. */
 export class PacketLink extends MessageLink<PacketMessage> {
-  private readonly compactNodes = new Set<Endpoint>();
-  private readonly groupNodes = new Set<Endpoint>();
-  private readonly sureNodes = new Set<Endpoint>();
-  private readonly repairNodes = new Set<Endpoint>();
+  private readonly compactFrameNodes = new Set<Endpoint>();
+  private readonly groupSearchNodes = new Set<Endpoint>();
+  private readonly conclusiveSearchNodes = new Set<Endpoint>();
+  private readonly hopRepairNodes = new Set<Endpoint>();
 
   constructor(
     private readonly packetCodec: PacketFrameCodec,
@@ -47,59 +47,59 @@
   }
 
   /** Whether a node is known to understand compact frames. */
-  speaksCompact(node: Endpoint): boolean {
-    return this.compactNodes.has(node);
+  supportsCompactFrames(node: Endpoint): boolean {
+    return this.compactFrameNodes.has(node);
   }
 
   /** Whether an agent is known to search in groups. */
-  searchesInGroups(agent: Endpoint): boolean {
-    return this.groupNodes.has(agent);
+  supportsGroupSearch(agent: Endpoint): boolean {
+    return this.groupSearchNodes.has(agent);
   }
 
   /** Whether an agent is known to understand sure searches. */
-  searchesForSure(agent: Endpoint): boolean {
-    return this.sureNodes.has(agent);
+  supportsConclusiveSearch(agent: Endpoint): boolean {
+    return this.conclusiveSearchNodes.has(agent);
   }
 
   /** Whether a node is known to acknowledge numbered messages. */
-  repairsHops(node: Endpoint): boolean {
-    return this.repairNodes.has(node);
+  supportsHopRepair(node: Endpoint): boolean {
+    return this.hopRepairNodes.has(node);
   }
 
   /** Notes which version of frames a node has said that it understands. */
-  noteVersion(node: Endpoint, version: number): void {
-    noteNode(this.compactNodes, node, version >= COMPACT_FRAME_VERSION);
-    noteNode(this.groupNodes, node, version >= GROUP_SEARCH_VERSION);
-    noteNode(this.sureNodes, node, version >= SURE_SEARCH_VERSION);
-    this.noteRepairs(node, version);
+  recordVersion(node: Endpoint, version: number): void {
+    setNodeSupport(this.compactFrameNodes, node, version >= COMPACT_FRAME_VERSION);
+    setNodeSupport(this.groupSearchNodes, node, version >= GROUP_SEARCH_VERSION);
+    setNodeSupport(this.conclusiveSearchNodes, node, version >= CONCLUSIVE_SEARCH_VERSION);
+    this.recordHopRepair(node, version);
   }
 
   /** Notes that a node understands compact frames, and nothing else of it. */
-  noteCompact(node: Endpoint): void {
-    noteNode(this.compactNodes, node, true);
+  recordCompactFrames(node: Endpoint): void {
+    setNodeSupport(this.compactFrameNodes, node, true);
   }
 
   /**
    * Notes by the version of a node only whether it acknowledges numbered messages: balancers of
    * an earlier version name none where later ones do, and yet may understand compact frames.
    */
-  noteRepairs(node: Endpoint, version: number): void {
-    noteNode(this.repairNodes, node, version >= REPAIR_VERSION);
+  recordHopRepair(node: Endpoint, version: number): void {
+    setNodeSupport(this.hopRepairNodes, node, version >= HOP_REPAIR_VERSION);
   }
 
   /** The message of a received frame; a node that sends compact frames also understands them. */
   receiveFrom(node: Endpoint, frame: Buffer): PacketMessage | undefined {
     const message = this.receive(frame);
     if (message && frame[0] === COMPACT_FRAME_VERSION) {
-      this.noteCompact(node);
+      this.recordCompactFrames(node);
     }
     return message;
   }
 
   /** Sends a report to many, encoded once for those that know its compact form and once for others. */
   sendReport(balancers: readonly Endpoint[], report: ReportMessage): void {
-    const compact = balancers.filter((balancer) => this.repairNodes.has(balancer));
-    const others = balancers.filter((balancer) => !this.repairNodes.has(balancer));
+    const compact = balancers.filter((balancer) => this.hopRepairNodes.has(balancer));
+    const others = balancers.filter((balancer) => !this.hopRepairNodes.has(balancer));
     if (compact.length > 0) {
       this.sendFrame(compact, this.packetCodec.encodeReport(report));
     }
@@ -107,20 +107,20 @@
   }
 
   protected override encodeFor(to: Endpoint, message: PacketMessage): Buffer {
-    const isUnderstood = hasOnlyCompactForm(message) || this.compactNodes.has(to);
-    return isCompact(message) && isUnderstood
+    const isSupported = hasOnlyCompactForm(message) || this.compactFrameNodes.has(to);
+    return hasCompactForm(message) && isSupported
       ? this.packetCodec.encodeCompact(message)
       : super.encodeFor(to, message);
   }
 }
 
 /** Adds a node to those noted, or takes it out. */
-function noteNode(nodes: Set<Endpoint>, node: Endpoint, isNoted: boolean): void {
-  if (!isNoted) {
+function setNodeSupport(nodes: Set<Endpoint>, node: Endpoint, isSupported: boolean): void {
+  if (!isSupported) {
     nodes.delete(node);
     return;
   }
-  if (nodes.size >= MAXIMUM_NODES && !nodes.has(node)) {
+  if (nodes.size >= MAXIMUM_TRACKED_NODES && !nodes.has(node)) {
     nodes.clear();
   }
   nodes.add(node);
--- a/src/packets/packet-message-schema.ts
+++ b/src/packets/packet-message-schema.ts
@@ -29,7 +29,7 @@
 } from './packet-messages';
 import { UNKNOWN_PROFILES, type ServiceProfile, type ServiceProfiles } from './routing-table';
 import type { StoreReader } from './store-readers';
-import { UNKNOWN_EVACUATIONS, type ToldEvacuations } from './zone-evacuations';
+import { UNKNOWN_EVACUATIONS, type AnnouncedEvacuations } from './zone-evacuations';
 
 function field(
   property: string,
@@ -52,7 +52,7 @@
 }
 
 /** Programs that know only the first version of frames name none. */
-function versionOrFirst(value: unknown): number {
+function unpackFrameVersion(value: unknown): number {
   return value === undefined ? FIRST_FRAME_VERSION : integer(value);
 }
 
@@ -107,12 +107,12 @@
   return { reader: integer(reader), age: integer(age) };
 }
 
-function packEvacuations({ revision, zones }: ToldEvacuations): unknown[] {
+function packEvacuations({ revision, zones }: AnnouncedEvacuations): unknown[] {
   return [revision, zones];
 }
 
 /** Programs of an earlier version know of no evacuations. Their era is the message's. */
-function unpackEvacuations(value: unknown): ToldEvacuations {
+function unpackEvacuations(value: unknown): AnnouncedEvacuations {
   if (value === undefined) {
     return UNKNOWN_EVACUATIONS;
   }
@@ -155,14 +155,14 @@
 }
 
 /** A field that programs of an earlier version leave out; 0 then. */
-function integerOrZero(value: unknown): number {
+function unpackOptionalInteger(value: unknown): number {
   return value === undefined ? 0 : integer(value);
 }
 
 /** Programs of an earlier version say nothing of it, those of a later one may say more. */
 export function unpackFlowKnowledge(value: unknown): FlowKnowledgeValue {
-  const told = Object.values(FlowKnowledge).find((one) => one === value);
-  return told ?? FlowKnowledge.partial;
+  const known = Object.values(FlowKnowledge).find((one) => one === value);
+  return known ?? FlowKnowledge.partial;
 }
 
 /** Programs of an earlier version say nothing of it. */
@@ -208,9 +208,9 @@
       field('listing', 'l', unpackListing),
       evacuations,
       field('profiles', 'c', unpackVersionedProfiles, packVersionedProfiles),
-      field('storeEra', 'h', integerOrZero),
-      field('asksEra', 'n', integerOrZero),
-      field('frameVersion', 'v', versionOrFirst),
+      field('storeEra', 'h', unpackOptionalInteger),
+      field('asksEra', 'n', unpackOptionalInteger),
+      field('frameVersion', 'v', unpackFrameVersion),
     ],
   ],
   [
@@ -224,13 +224,13 @@
       field('slots', 'l', integer),
       field('busyRequests', 'b', integer),
       field('openFlows', 'o', integer),
-      field('answerTime', 'w', integerOrZero),
-      field('answers', 'an', integerOrZero),
-      field('targetChanges', 'tc', integerOrZero),
+      field('answerTime', 'w', unpackOptionalInteger),
+      field('answers', 'an', unpackOptionalInteger),
+      field('targetChanges', 'tc', unpackOptionalInteger),
       field('coldLeft', 'c', integer),
       field('failurePercent', 'f', integer),
-      field('flowBytes', 'y', integerOrZero),
-      field('frameVersion', 'v', versionOrFirst),
+      field('flowBytes', 'y', unpackOptionalInteger),
+      field('frameVersion', 'v', unpackFrameVersion),
       field('flowKnowledge', 'k', unpackFlowKnowledge),
       field('balancerCount', 'n', integer),
       field('balancers', 'm', listOf(integer)),
@@ -248,8 +248,8 @@
       field('replyWanted', 'y', oneOf(0, 1)),
       field('peers', 'm', listOf(integer)),
       field('unregistered', 'u', listOf(unpackAgent), packAgents),
-      field('registryRevision', 'g', integerOrZero),
-      field('storeEra', 'h', integerOrZero),
+      field('registryRevision', 'g', unpackOptionalInteger),
+      field('storeEra', 'h', unpackOptionalInteger),
       field('readers', 'd', unpackReaders, packReaders),
       field('delta', 'x', unpackDelta, packDelta),
       evacuations,
--- a/src/packets/packet-messages.ts
+++ b/src/packets/packet-messages.ts
@@ -3,7 +3,7 @@
 import type { ServiceProfiles } from './routing-table';
 import type { StoreReader } from './store-readers';
 import type { AnnouncedTerms } from './terms/route-terms';
-import type { ToldEvacuations } from './zone-evacuations';
+import type { AnnouncedEvacuations } from './zone-evacuations';
 
 /** Numeric message types as sent. */
 export const PacketMessageType = {
@@ -34,15 +34,15 @@
 /** Frames as of version 2, from an agent that also searches in groups ({@link SearchPhase}). */
 export const GROUP_SEARCH_VERSION = 3;
 /** Frames as of version 3, from an agent that also knows sure searches ({@link SearchPhase}). */
-export const SURE_SEARCH_VERSION = 4;
+export const CONCLUSIVE_SEARCH_VERSION = 4;
 /** Frames as of version 4, from a node that also knows the messages 112 to 116. */
-export const REPAIR_VERSION = 5;
+export const HOP_REPAIR_VERSION = 5;
 /** Frames as of version 5, from an agent that also knows the message 118. */
-export const TERMS_VERSION = 6;
+export const ROUTE_TERMS_VERSION = 6;
 /** Agents in one search. */
-export const MAXIMUM_SEARCH_LENGTH = 64;
+export const MAXIMUM_SEARCH_AGENTS = 64;
 /** Numbers in one acknowledgement. */
-export const MAXIMUM_ACKNOWLEDGED = 64;
+export const MAXIMUM_ACKNOWLEDGED_SEQUENCES = 64;
 
 /** What an agent knows of its target. */
 export const TargetState = {
@@ -63,7 +63,7 @@
   /** The target may hold flows that the agent has never seen. */
   partial: 0,
   /** The agent has seen every flow open that the target can hold. */
-  whole: 1,
+  complete: 1,
   /** Nobody listens at the target's address: there is no flow. */
   noTarget: 2,
 } as const;
@@ -154,16 +154,16 @@
 /** What the agents of a search do when it comes to them. */
 export const SearchPhase = {
   /** Take the packet only if the flow is known to be held. */
-  ask: 1,
+  query: 1,
   /** Offer the packet to the target. */
   offer: 2,
   /** As `ask`, but the last agent tells the balancer, which asks other groups at the same time. */
-  askOnly: 3,
+  queryOnly: 3,
   /**
    * Say for sure: an agent that has seen all flows of its target open goes by that; any other
    * offers the packet to its target. The last one tells the balancer that none holds the flow.
    */
-  sure: 4,
+  conclusive: 4,
 } as const;
 export type SearchPhaseValue = (typeof SearchPhase)[keyof typeof SearchPhase];
 
@@ -253,7 +253,7 @@
   /** Whether the registry lists the agent. */
   readonly listing: ListingStateValue;
   /** Zones out of service, as far as the balancer knows. */
-  readonly evacuations: ToldEvacuations;
+  readonly evacuations: AnnouncedEvacuations;
   /** How targets behave after their start, by the balancer's routing table. */
   readonly profiles: ServiceProfiles;
   /** The store's era of the revision in this message; 0 from a balancer that tells none. */
@@ -357,7 +357,7 @@
   /** The latest changes of the registry, from a sender that has just read them. */
   readonly delta: RegistryDelta | undefined;
   /** Zones out of service, as far as the sender knows. */
-  readonly evacuations: ToldEvacuations;
+  readonly evacuations: AnnouncedEvacuations;
 }
 
 /** Any message of the packet interface. */
--- a/src/packets/packet-settings.ts
+++ b/src/packets/packet-settings.ts
@@ -7,12 +7,12 @@
 import { DEFAULT_CHOICE, type ChoiceSettings } from './choice/choice-settings';
 import type { ColdStartLimitSettings } from './cold-start-limiter';
 
-const DEFAULT_FLOW_LIFETIME = 60_000;
-const DEFAULT_STOP_TIME = 5_000;
-const DEFAULT_HEARTBEAT_INTERVAL = 1_000;
-const DEFAULT_CAPACITY = 1;
-const DEFAULT_LINK_SPEED = 1_000;
-const DEFAULT_APPLY_TIME = 6_000;
+const DEFAULT_FLOW_LIFETIME_MS = 60_000;
+const DEFAULT_STOP_TIME_MS = 5_000;
+const DEFAULT_HEARTBEAT_INTERVAL_MS = 1_000;
+const DEFAULT_CAPACITY_PROCESSORS = 1;
+const DEFAULT_LINK_SPEED_MBPS = 1_000;
+const DEFAULT_APPLY_TIME_MS = 6_000;
 const DEFAULT_EARLY_START = true;
 const DEFAULT_REPAIR_HOPS = true;
 const DEFAULT_REPAIR_ANSWERS = true;
@@ -22,9 +22,9 @@
  * Milliseconds of waiting that a megabyte between zones is worth: 32 for an answer of 80,000 bytes,
  * which its client awaits for a good part of a second anyway, and 2 for one of 4,000 with its heads.
  */
-const DEFAULT_TRANSFER_COST = 400;
+const DEFAULT_TRANSFER_COST_MS_PER_MB = 400;
 /** Percent: beyond a half, an exception is the rule. */
-const HIGHEST_SHARE = 50;
+const MAXIMUM_SHARE_PERCENT = 50;
 
 /** Settings of a packet balancer or packet agent, checked. */
 export interface PacketSettings {
@@ -94,12 +94,12 @@
 
   constructor(private readonly document: Readonly<Record<string, unknown>>) {}
 
-  text(key: string): string {
-    return this.optionalText(key) ?? this.missing(key, '');
+  readText(key: string): string {
+    return this.readOptionalText(key) ?? this.reportMissing(key, '');
   }
 
-  optionalText(key: string): string | undefined {
-    const value = this.given(key);
+  readOptionalText(key: string): string | undefined {
+    const value = this.getValue(key);
     if (value === undefined) {
       return undefined;
     }
@@ -110,30 +110,30 @@
     return value;
   }
 
-  endpoint(key: string): Endpoint {
-    return this.optionalEndpoint(key) ?? this.missing(key, 0);
+  readEndpoint(key: string): Endpoint {
+    return this.readOptionalEndpoint(key) ?? this.reportMissing(key, 0);
   }
 
-  optionalEndpoint(key: string): Endpoint | undefined {
-    const value = this.given(key);
-    return value === undefined ? undefined : this.parse(key, value);
+  readOptionalEndpoint(key: string): Endpoint | undefined {
+    const value = this.getValue(key);
+    return value === undefined ? undefined : this.parseEndpointAt(key, value);
   }
 
-  endpoints(key: string): Endpoint[] {
-    const value = this.given(key) ?? [];
+  readEndpoints(key: string): Endpoint[] {
+    const value = this.getValue(key) ?? [];
     if (!Array.isArray(value)) {
       this.problems.push(`${key}: must be a list of addresses`);
       return [];
     }
-    return value.map((one, index) => this.parse(`${key}.${index}`, one));
+    return value.map((one, index) => this.parseEndpointAt(`${key}.${index}`, one));
   }
 
-  positive(key: string, fallback: number): number {
-    return this.optionalPositive(key) ?? fallback;
+  readPositive(key: string, fallback: number): number {
+    return this.readOptionalPositive(key) ?? fallback;
   }
 
-  optionalPositive(key: string): number | undefined {
-    const value = this.given(key);
+  readOptionalPositive(key: string): number | undefined {
+    const value = this.getValue(key);
     if (value === undefined) {
       return undefined;
     }
@@ -145,8 +145,8 @@
   }
 
   /** A whole number of 0 or more. */
-  optionalCount(key: string): number | undefined {
-    const value = this.given(key);
+  readOptionalCount(key: string): number | undefined {
+    const value = this.getValue(key);
     if (value === undefined) {
       return undefined;
     }
@@ -158,8 +158,8 @@
   }
 
   /** 1 for true, 0 for false. */
-  toggle(key: string, fallback: boolean): boolean {
-    const value = this.given(key);
+  readToggle(key: string, fallback: boolean): boolean {
+    const value = this.getValue(key);
     if (value === undefined) {
       return fallback;
     }
@@ -171,16 +171,16 @@
   }
 
   /** A whole number from 0 to a highest one. */
-  countUpTo(key: string, highest: number, fallback: number): number {
-    const value = this.optionalCount(key) ?? fallback;
-    if (value > highest) {
-      this.problems.push(`${key}: must be ${highest} at most`);
+  readCountUpTo(key: string, maximum: number, fallback: number): number {
+    const value = this.readOptionalCount(key) ?? fallback;
+    if (value > maximum) {
+      this.problems.push(`${key}: must be ${maximum} at most`);
     }
     return value;
   }
 
-  port(key: string): number {
-    const value = this.given(key);
+  readPort(key: string): number {
+    const value = this.getValue(key);
     if (typeof value !== 'number' || !Number.isInteger(value) || value < 1 || value > 65_535) {
       this.problems.push(`${key}: must be a port`);
       return 0;
@@ -188,7 +188,7 @@
     return value;
   }
 
-  private parse(key: string, value: unknown): Endpoint {
+  private parseEndpointAt(key: string, value: unknown): Endpoint {
     const parsed = typeof value === 'string' ? parseEndpoint(value) : undefined;
     if (!parsed?.ok) {
       this.problems.push(`${key}: must be of the form a.b.c.d:port`);
@@ -197,12 +197,12 @@
     return parsed.val;
   }
 
-  private given(key: string): unknown {
+  private getValue(key: string): unknown {
     const value = this.document[key];
     return value === '' || value === null ? undefined : value;
   }
 
-  private missing<T>(key: string, fallback: T): T {
+  private reportMissing<T>(key: string, fallback: T): T {
     if (!this.problems.some((problem) => problem.startsWith(`${key}:`))) {
       this.problems.push(`${key}: is missing`);
     }
@@ -230,50 +230,50 @@
 }
 
 function readSettings(reader: SettingsReader): PacketSettings {
-  const name = reader.text('name');
-  const zone = reader.text('zone');
-  const address = reader.endpoint('address');
+  const name = reader.readText('name');
+  const zone = reader.readText('zone');
+  const address = reader.readEndpoint('address');
   return {
     name,
     zone,
     address,
-    listenAddress: reader.optionalEndpoint('listenAddress') ?? address,
-    packetAddress: reader.optionalEndpoint('packetAddress'),
-    targetOutbound: reader.optionalEndpoint('targetOutbound'),
-    targetAddress: reader.optionalEndpoint('targetAddress'),
-    clientPort: reader.port('clientPort'),
-    service: reader.optionalText('service'),
-    readyAddress: reader.optionalEndpoint('readyAddress'),
-    controlAddress: reader.optionalEndpoint('controlAddress'),
-    storeAddress: reader.endpoint('storeAddress'),
-    seeds: reader.endpoints('seeds'),
+    listenAddress: reader.readOptionalEndpoint('listenAddress') ?? address,
+    packetAddress: reader.readOptionalEndpoint('packetAddress'),
+    targetOutbound: reader.readOptionalEndpoint('targetOutbound'),
+    targetAddress: reader.readOptionalEndpoint('targetAddress'),
+    clientPort: reader.readPort('clientPort'),
+    service: reader.readOptionalText('service'),
+    readyAddress: reader.readOptionalEndpoint('readyAddress'),
+    controlAddress: reader.readOptionalEndpoint('controlAddress'),
+    storeAddress: reader.readEndpoint('storeAddress'),
+    seeds: reader.readEndpoints('seeds'),
     coldLimit: readColdLimit(reader),
-    heartbeatInterval: reader.positive('heartbeatInterval', DEFAULT_HEARTBEAT_INTERVAL),
-    flowLifetime: reader.positive('flowLifetime', DEFAULT_FLOW_LIFETIME),
-    stopTime: reader.positive('stopTime', DEFAULT_STOP_TIME),
-    applyTime: reader.positive('applyTime', DEFAULT_APPLY_TIME),
-    evacuateTime: reader.optionalPositive('evacuateTime'),
+    heartbeatInterval: reader.readPositive('heartbeatInterval', DEFAULT_HEARTBEAT_INTERVAL_MS),
+    flowLifetime: reader.readPositive('flowLifetime', DEFAULT_FLOW_LIFETIME_MS),
+    stopTime: reader.readPositive('stopTime', DEFAULT_STOP_TIME_MS),
+    applyTime: reader.readPositive('applyTime', DEFAULT_APPLY_TIME_MS),
+    evacuateTime: reader.readOptionalPositive('evacuateTime'),
     choice: readChoice(reader),
-    capacity: reader.positive('capacity', DEFAULT_CAPACITY),
-    repairAnswers: reader.toggle('repairAnswers', DEFAULT_REPAIR_ANSWERS),
-    linkSpeed: reader.positive('linkSpeed', DEFAULT_LINK_SPEED),
-    repairHops: reader.toggle('repairHops', DEFAULT_REPAIR_HOPS),
-    locality: reader.toggle('locality', DEFAULT_LOCALITY),
-    transferCost: reader.positive('transferCost', DEFAULT_TRANSFER_COST),
-    priorityQueue: reader.toggle('priorityQueue', DEFAULT_PRIORITY_QUEUE),
-    lowerPriorityShare: reader.countUpTo(
+    capacity: reader.readPositive('capacity', DEFAULT_CAPACITY_PROCESSORS),
+    repairAnswers: reader.readToggle('repairAnswers', DEFAULT_REPAIR_ANSWERS),
+    linkSpeed: reader.readPositive('linkSpeed', DEFAULT_LINK_SPEED_MBPS),
+    repairHops: reader.readToggle('repairHops', DEFAULT_REPAIR_HOPS),
+    locality: reader.readToggle('locality', DEFAULT_LOCALITY),
+    transferCost: reader.readPositive('transferCost', DEFAULT_TRANSFER_COST_MS_PER_MB),
+    priorityQueue: reader.readToggle('priorityQueue', DEFAULT_PRIORITY_QUEUE),
+    lowerPriorityShare: reader.readCountUpTo(
       'lowerPriorityShare',
-      HIGHEST_SHARE,
+      MAXIMUM_SHARE_PERCENT,
       DEFAULT_CHOICE.keptShare,
     ),
-    earlyStart: reader.toggle('earlyStart', DEFAULT_EARLY_START),
-    metrics: reader.optionalText('metrics'),
+    earlyStart: reader.readToggle('earlyStart', DEFAULT_EARLY_START),
+    metrics: reader.readOptionalText('metrics'),
   };
 }
 
 function readColdLimit(reader: SettingsReader): ColdStartLimitSettings | undefined {
-  const overshoot = reader.optionalPositive('coldOvershoot');
-  const slack = reader.optionalCount('coldSlack');
+  const overshoot = reader.readOptionalPositive('coldOvershoot');
+  const slack = reader.readOptionalCount('coldSlack');
   if (overshoot === undefined) {
     return undefined;
   }
@@ -283,16 +283,16 @@
 function readChoice(reader: SettingsReader): ChoiceSettings {
   const { admission, expectedWait, keptFlows, keptShare, setAsideShare } = DEFAULT_CHOICE;
   return {
-    expectedWait: reader.toggle('expectedWait', expectedWait),
-    setAsideShare: reader.countUpTo('setAsideShare', HIGHEST_SHARE, setAsideShare),
-    keptFlows: reader.toggle('keptFlows', keptFlows),
-    admission: reader.toggle('admission', admission),
-    keptShare: reader.countUpTo('lowerPriorityShare', HIGHEST_SHARE, keptShare),
+    expectedWait: reader.readToggle('expectedWait', expectedWait),
+    setAsideShare: reader.readCountUpTo('setAsideShare', MAXIMUM_SHARE_PERCENT, setAsideShare),
+    keptFlows: reader.readToggle('keptFlows', keptFlows),
+    admission: reader.readToggle('admission', admission),
+    keptShare: reader.readCountUpTo('lowerPriorityShare', MAXIMUM_SHARE_PERCENT, keptShare),
   };
 }
 
 /** Keys whose values differ between two settings. */
-export function changedKeys(before: PacketSettings, after: PacketSettings): string[] {
+export function listChangedKeys(before: PacketSettings, after: PacketSettings): string[] {
   const keys = Object.keys(after) as (keyof PacketSettings)[];
   return keys.filter((key) => JSON.stringify(before[key]) !== JSON.stringify(after[key]));
 }
--- a/src/packets/peer-exchange.ts
+++ b/src/packets/peer-exchange.ts
@@ -16,27 +16,27 @@
   type RegistryDelta,
 } from './packet-messages';
 import type { PeerSnapshot } from './peer-snapshot';
-import { isLater, placeInEra, type StorePosition } from './store-position';
+import { isLater, resolveEra, type StorePosition } from './store-position';
 import type { StoreReader } from './store-readers';
 import type { BalancerStatus, TrafficRelay } from './traffic-relay';
 import type { ZoneDetour } from './zone-detour';
 import type { ZoneEvacuationView } from './zone-evacuations';
 
-const STATUS_INTERVAL = 500;
+const STATUS_INTERVAL_MS = 500;
 /** Milliseconds between statuses that are asked of the balancers that packets are relayed to. */
-const RELAY_STATUS_INTERVAL = 300;
+const RELAY_STATUS_INTERVAL_MS = 300;
 /**
  * Balancers that one without a view asks as soon as it hears of them: among so many is one that has
  * the view or will tell as soon as it does, in a cluster that starts together.
  */
-const MAXIMUM_ASKED = 8;
+const MAXIMUM_NEW_PEER_QUERIES = 8;
 /** Peers told in one round: a version spreads over n balancers in about log4(n) rounds. */
 const PEERS_PER_ROUND = 3;
-const MILLI = 1_000;
+const CAPACITY_SCALE = 1_000;
 const MAXIMUM_PEERS = 64;
 const MAXIMUM_UNREGISTERED = 32;
 /** Changes of the registry that one status tells; whoever misses more fetches a snapshot. */
-const MAXIMUM_CHANGES = 32;
+const MAXIMUM_DELTA_CHANGES = 32;
 
 /** Fetches the snapshot of another balancer. */
 export interface SnapshotPort {
@@ -56,42 +56,42 @@
   readonly evacuations: ZoneEvacuationView;
   /** Whether this balancer cannot serve for want of a routing table or the agents. */
   lacksView(): boolean;
-  routingVersion(): number;
+  getRoutingVersion(): number;
   /** A peer has said how it is. */
-  statusReceived(peer: Endpoint, status: BalancerStatus): void;
+  onStatus(peer: Endpoint, status: BalancerStatus): void;
   /** What this balancer tells of itself. */
-  ownStatus(): BalancerStatus;
-  snapshotReceived(peer: Endpoint, snapshot: PeerSnapshot): void;
-  agentsReceived(agents: readonly AgentRecord[]): void;
+  getOwnStatus(): BalancerStatus;
+  onSnapshot(peer: Endpoint, snapshot: PeerSnapshot): void;
+  onAgents(agents: readonly AgentRecord[]): void;
   /** The moment of the store through which the registry is known. */
-  registryPosition(): StorePosition;
+  getRegistryPosition(): StorePosition;
   /** @param era the store's era of the delta's revisions */
-  deltaReceived(delta: RegistryDelta, era: number): void;
+  onDelta(delta: RegistryDelta, era: number): void;
   /** Balancers that read the store, as this one knows them. */
-  readers(): readonly StoreReader[];
-  readersReceived(readers: readonly StoreReader[]): void;
+  getReaders(): readonly StoreReader[];
+  onReaders(storeReaders: readonly StoreReader[]): void;
 }
 
 /** The exchange of one balancer. */
 export class PeerExchange {
   private readonly peers = new Set<Endpoint>();
   /** Balancers without a view that this one could not help yet. */
-  private readonly waiting = new Set<Endpoint>();
+  private readonly waitingPeers = new Set<Endpoint>();
   private isStarted = false;
-  private newPeersAsked = 0;
-  private fetching = false;
+  private newPeerQueries = 0;
+  private isFetchingSnapshot = false;
   private timer: TimerHandle | undefined;
   private relayTimer: TimerHandle | undefined;
 
   constructor(private readonly dependencies: PeerExchangeDependencies) {
-    dependencies.seeds.forEach((seed) => this.learnPeer(seed));
+    dependencies.seeds.forEach((seed) => this.addPeer(seed));
   }
 
   start(): void {
     this.isStarted = true;
-    this.sendRound();
+    this.sendStatusRound();
     if (this.dependencies.relay.isWanted) {
-      this.askRelays();
+      this.queryRelays();
     }
   }
 
@@ -101,14 +101,14 @@
   }
 
   /** Another balancer's address; beyond a number the one named longest ago is dropped. */
-  learnPeer(peer: Endpoint): void {
+  addPeer(peer: Endpoint): void {
     if (peer === this.dependencies.self) {
       return;
     }
     const isNew = !this.peers.delete(peer);
     this.peers.add(peer);
     if (isNew) {
-      this.askNewPeer(peer);
+      this.queryNewPeer(peer);
     }
     if (this.peers.size > MAXIMUM_PEERS) {
       const [oldest] = this.peers;
@@ -118,28 +118,28 @@
 
   /** Takes a peer's status and fetches from it what this balancer lacks. */
   receive(peer: Endpoint, status: PeerStatusMessage): void {
-    status.peers.forEach((one) => this.learnPeer(one));
-    this.learnPeer(peer);
-    this.learnStatus(peer, status);
-    this.noteWaiting(peer, status);
+    status.peers.forEach((one) => this.addPeer(one));
+    this.addPeer(peer);
+    this.recordStatus(peer, status);
+    this.updateWaitingPeers(peer, status);
     if (status.replyWanted === 1) {
       this.dependencies.link.send(peer, this.status(false));
     }
-    const { agentsReceived, deltaReceived, readersReceived } = this.dependencies;
+    const { onAgents: agentsReceived, onDelta: deltaReceived, onReaders: readersReceived } = this.dependencies;
     agentsReceived(status.unregistered);
     readersReceived(status.readers);
     const evacuations = { ...status.evacuations, era: status.storeEra };
-    this.dependencies.evacuations.take(evacuations, formatEndpoint(peer));
+    this.dependencies.evacuations.apply(evacuations, formatEndpoint(peer));
     if (status.delta) {
       deltaReceived(status.delta, status.storeEra);
     }
-    if (this.lacksOf(status) && !this.fetching) {
-      this.fetch(peer);
+    if (this.isBehind(status) && !this.isFetchingSnapshot) {
+      this.fetchSnapshot(peer);
     }
   }
 
   /** Asks for the view that this balancer lacks: those named at the start, and some it knows. */
-  askForView(): void {
+  requestView(): void {
     const { link, seeds, self } = this.dependencies;
     const asked = new Set([...seeds, ...this.choosePeers()]);
     asked.delete(self);
@@ -147,24 +147,24 @@
   }
 
   /** A balancer without a view asks those it hears of at once, not only at the next interval. */
-  private askNewPeer(peer: Endpoint): void {
+  private queryNewPeer(peer: Endpoint): void {
     const { lacksView, link } = this.dependencies;
-    if (this.isStarted && this.newPeersAsked < MAXIMUM_ASKED && lacksView()) {
-      this.newPeersAsked++;
+    if (this.isStarted && this.newPeerQueries < MAXIMUM_NEW_PEER_QUERIES && lacksView()) {
+      this.newPeerQueries++;
       link.send(peer, this.status(true));
     }
   }
 
   /** Whether a peer's snapshot is on its way. */
   get isFetching(): boolean {
-    return this.fetching;
+    return this.isFetchingSnapshot;
   }
 
   /** Tells balancers that have asked without a view, once this one has it. */
-  tellWaiting(): void {
-    if (this.waiting.size > 0 && !this.dependencies.lacksView()) {
-      this.dependencies.link.sendToAll([...this.waiting], this.status(false));
-      this.waiting.clear();
+  notifyWaitingPeers(): void {
+    if (this.waitingPeers.size > 0 && !this.dependencies.lacksView()) {
+      this.dependencies.link.sendToAll([...this.waitingPeers], this.status(false));
+      this.waitingPeers.clear();
     }
   }
 
@@ -177,63 +177,63 @@
    * Tells every balancer known how things stand now.
    * @param delta changes of the registry that they may lack
    */
-  announce(delta?: RegistryDelta): void {
-    const told = delta && delta.changes.length <= MAXIMUM_CHANGES ? delta : undefined;
-    this.dependencies.link.sendToAll([...this.peers], this.status(false, told));
+  broadcastStatus(delta?: RegistryDelta): void {
+    const sentDelta = delta && delta.changes.length <= MAXIMUM_DELTA_CHANGES ? delta : undefined;
+    this.dependencies.link.sendToAll([...this.peers], this.status(false, sentDelta));
   }
 
-  private noteWaiting(peer: Endpoint, status: PeerStatusMessage): void {
+  private updateWaitingPeers(peer: Endpoint, status: PeerStatusMessage): void {
     const hasView = status.viewComplete === 1 && status.routingVersion > 0;
-    if (hasView || this.waiting.size >= MAXIMUM_PEERS) {
-      this.waiting.delete(peer);
+    if (hasView || this.waitingPeers.size >= MAXIMUM_PEERS) {
+      this.waitingPeers.delete(peer);
     } else if (this.dependencies.lacksView()) {
-      this.waiting.add(peer);
+      this.waitingPeers.add(peer);
     }
   }
 
   /** Whether a peer knows what this balancer does not. */
-  private lacksOf(status: PeerStatusMessage): boolean {
-    const { directory, registryPosition, routingVersion } = this.dependencies;
+  private isBehind(status: PeerStatusMessage): boolean {
+    const { directory, getRegistryPosition: registryPosition, getRoutingVersion: routingVersion } = this.dependencies;
     const isNewer = status.routingVersion > routingVersion();
     const hasView = status.viewComplete === 1 && status.routingVersion > 0;
-    const isWider = hasView && !directory.isComplete;
+    const hasCompleteView = hasView && !directory.isComplete;
     const known = registryPosition();
     const { registryRevision: revision, storeEra: era } = status;
-    const told = placeInEra({ era, revision }, known);
-    return isNewer || isWider || (status.viewComplete === 1 && isLater(told, known));
+    const peerPosition = resolveEra({ era, revision }, known);
+    return isNewer || hasCompleteView || (status.viewComplete === 1 && isLater(peerPosition, known));
   }
 
-  private learnStatus(peer: Endpoint, status: PeerStatusMessage): void {
-    const { detours, environment, relay, statusReceived } = this.dependencies;
+  private recordStatus(peer: Endpoint, status: PeerStatusMessage): void {
+    const { detours, environment, relay, onStatus: statusReceived } = this.dependencies;
     const { zone, packetAddress, capacity, ready } = status;
     detours.learn(peer, zone, ready === 1, environment.now());
-    const told = { zone, packetAddress, capacity: capacity / MILLI, isReady: ready === 1 };
-    relay.learn(peer, told, environment.now());
-    statusReceived(peer, told);
+    const balancerStatus = { zone, packetAddress, capacity: capacity / CAPACITY_SCALE, isReady: ready === 1 };
+    relay.learn(peer, balancerStatus, environment.now());
+    statusReceived(peer, balancerStatus);
   }
 
-  private fetch(peer: Endpoint): void {
-    this.fetching = true;
+  private fetchSnapshot(peer: Endpoint): void {
+    this.isFetchingSnapshot = true;
     this.dependencies.snapshots.fetch(peer, (result) => {
-      this.fetching = false;
+      this.isFetchingSnapshot = false;
       if (result.ok) {
-        this.dependencies.snapshotReceived(peer, result.val);
+        this.dependencies.onSnapshot(peer, result.val);
       }
     });
   }
 
-  private sendRound(): void {
+  private sendStatusRound(): void {
     const { environment, link } = this.dependencies;
     link.sendToAll(this.choosePeers(), this.status(false));
-    this.timer = environment.startTimer(STATUS_INTERVAL, () => this.sendRound());
+    this.timer = environment.startTimer(STATUS_INTERVAL_MS, () => this.sendStatusRound());
   }
 
   /** Asks the balancers that packets are relayed to how they are; those known for it, or any. */
-  private askRelays(): void {
+  private queryRelays(): void {
     const { environment, link, relay } = this.dependencies;
     const asked = new Set([...relay.askedFor(environment.now()), ...this.choosePeers()]);
     link.sendToAll([...asked], this.status(true));
-    this.relayTimer = environment.startTimer(RELAY_STATUS_INTERVAL, () => this.askRelays());
+    this.relayTimer = environment.startTimer(RELAY_STATUS_INTERVAL_MS, () => this.queryRelays());
   }
 
   private choosePeers(): Endpoint[] {
@@ -247,7 +247,7 @@
   }
 
   private status(isReplyWanted: boolean, delta?: RegistryDelta): PeerStatusMessage {
-    const { directory, evacuations, ownStatus, readers, registryPosition, routingVersion } =
+    const { directory, evacuations, getOwnStatus: ownStatus, getReaders: readers, getRegistryPosition: registryPosition, getRoutingVersion: routingVersion } =
       this.dependencies;
     const { era, revision } = registryPosition();
     const { zone, packetAddress, capacity, isReady } = ownStatus();
@@ -257,7 +257,7 @@
       viewComplete: directory.isComplete ? 1 : 0,
       zone,
       packetAddress,
-      capacity: Math.round(capacity * MILLI),
+      capacity: Math.round(capacity * CAPACITY_SCALE),
       ready: isReady ? 1 : 0,
       replyWanted: isReplyWanted ? 1 : 0,
       peers: this.choosePeers(),
@@ -266,7 +266,7 @@
       storeEra: era,
       readers: readers(),
       delta,
-      evacuations: evacuations.currentIn(era),
+      evacuations: evacuations.getCurrentIn(era),
     };
   }
 
@@ -275,9 +275,9 @@
     const { directory, environment } = this.dependencies;
     const now = environment.now();
     const unregistered: AgentRecord[] = [];
-    for (const entry of directory.all()) {
-      const isTold = entry.registryRevision === undefined && directory.isHeard(entry, now);
-      if (isTold && unregistered.length < MAXIMUM_UNREGISTERED) {
+    for (const entry of directory.getAll()) {
+      const isIncluded = entry.registryRevision === undefined && directory.isHeard(entry, now);
+      if (isIncluded && unregistered.length < MAXIMUM_UNREGISTERED) {
         const { address, service, zone } = entry;
         unregistered.push({ address, service, zone });
       }
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -59,7 +59,7 @@
     complete: viewComplete ? 1 : 0,
     // Beside the table, whose form earlier versions check.
     profiles: packServiceProfiles(routingTable?.profiles ?? []),
-    repeatable: listRepeatable(routingTable?.routes ?? []),
+    repeatable: listRepeatablePositions(routingTable?.routes ?? []),
     terms: packTerms(routingTable?.routes ?? []),
     agents: packListedAgents(agents),
     registryRevision,
@@ -80,11 +80,11 @@
 function unpackSnapshot(document: Record<string, unknown>): PeerSnapshot {
   const { table, complete, profiles, repeatable, terms } = document;
   const { agents, registryRevision, storeEra } = document;
-  const positions = listOf(integer)(repeatable ?? []);
-  const positioned = unpackTerms(terms);
+  const repeatablePositions = listOf(integer)(repeatable ?? []);
+  const getTerms = unpackTerms(terms);
   return {
     routingTable:
-      table === null ? undefined : unpackTable(table, profiles ?? [], positions, positioned),
+      table === null ? undefined : unpackTable(table, profiles ?? [], repeatablePositions, getTerms),
     viewComplete: oneOf(0, 1)(complete) === 1,
     agents: listOf(unpackListedAgent)(agents),
     registryRevision: integer(registryRevision ?? 0),
@@ -102,23 +102,23 @@
 }
 
 /** Positions of the routes whose requests may be repeated. */
-function listRepeatable(routes: readonly Route[]): number[] {
+function listRepeatablePositions(routes: readonly Route[]): number[] {
   return routes.flatMap(({ isRepeatable }, position) => (isRepeatable ? [position] : []));
 }
 
 function unpackTable(
   value: unknown,
   profiles: unknown,
-  repeatable: readonly number[],
-  positioned: TermsLookup,
+  repeatablePositions: readonly number[],
+  getTerms: TermsLookup,
 ): RoutingTable {
   const [version, idleTimeout, routes] = tuple(value, 3);
-  const isRepeatable = new Set(repeatable);
+  const isRepeatable = new Set(repeatablePositions);
   return {
     version: integer(version),
     idleTimeout: positive(idleTimeout),
     routes: listOf(unpackRoute)(routes).map((route, position) => {
-      const terms = positioned(position);
+      const terms = getTerms(position);
       return {
         ...route,
         ...(isRepeatable.has(position) ? { isRepeatable: true } : {}),
--- a/src/packets/registry-upkeep.ts
+++ b/src/packets/registry-reconciler.ts
@@ -10,22 +10,22 @@
 import { TargetState } from './packet-messages';
 
 /** Calls under way at once: entries that lapsed together come back together. */
-const MAXIMUM_CALLS = 16;
+const MAXIMUM_CONCURRENT_CALLS = 16;
 /** Milliseconds that an agent has for its own registration. */
-const OWN_REGISTRATION_TIME = 3_000;
+const SELF_REGISTRATION_TIME_MS = 3_000;
 /** Milliseconds of silence after which an agent's entry is removed. */
-const REMOVAL_TIME = 12_000;
+const REMOVAL_SILENCE_MS = 12_000;
 /** Milliseconds after which an agent that is neither listed nor heard is forgotten. */
-const FORGET_TIME = 30_000;
+const FORGET_SILENCE_MS = 30_000;
 /**
  * The same for an agent whose target nobody is known to have heard: peers name it again every half
  * second while they hear it, and its silence must not keep dead flows from being told so.
  */
-const FORGET_UNKNOWN_TIME = 3_000;
+const FORGET_UNKNOWN_SILENCE_MS = 3_000;
 
 /** Upkeep by one balancer. */
-export class RegistryUpkeep {
-  private readonly calling = new Set<Endpoint>();
+export class RegistryReconciler {
+  private readonly pendingCalls = new Set<Endpoint>();
   private callsMade = 0;
 
   constructor(
@@ -45,39 +45,39 @@
    * To be run about once a second.
    * @param mayCall whether this balancer is one of those that call the store
    */
-  run(mayCall: boolean): void {
+  reconcile(mayCall: boolean): void {
     const now = this.environment.now();
-    for (const entry of [...this.directory.all()]) {
-      this.inspect(entry, mayCall, now);
+    for (const entry of [...this.directory.getAll()]) {
+      this.reconcileEntry(entry, mayCall, now);
     }
   }
 
-  private inspect(entry: AgentEntry, mayCall: boolean, now: number): void {
-    const silence = this.directory.silenceOf(entry, now);
+  private reconcileEntry(entry: AgentEntry, mayCall: boolean, now: number): void {
+    const silence = this.directory.getSilence(entry, now);
     const listed = entry.registryRevision !== undefined;
-    if (!listed && silence > this.forgetTime(entry)) {
+    if (!listed && silence > this.getForgetSilence(entry)) {
       this.directory.forget(entry.address);
-    } else if (!mayCall || this.calling.has(entry.address) || this.calling.size >= MAXIMUM_CALLS) {
+    } else if (!mayCall || this.pendingCalls.has(entry.address) || this.pendingCalls.size >= MAXIMUM_CONCURRENT_CALLS) {
       return;
-    } else if (listed && silence > REMOVAL_TIME) {
+    } else if (listed && silence > REMOVAL_SILENCE_MS) {
       this.remove(entry, silence, now);
     } else if (!listed && this.needsRegistration(entry, now)) {
       this.register(entry);
     }
   }
 
-  private forgetTime(entry: AgentEntry): number {
+  private getForgetSilence(entry: AgentEntry): number {
     if (entry.lapsedAt !== undefined) {
-      return REMOVAL_TIME;
+      return REMOVAL_SILENCE_MS;
     }
-    return this.directory.mayHoldFlows(entry) ? FORGET_TIME : FORGET_UNKNOWN_TIME;
+    return this.directory.mayHoldFlows(entry) ? FORGET_SILENCE_MS : FORGET_UNKNOWN_SILENCE_MS;
   }
 
   private needsRegistration(entry: AgentEntry, now: number): boolean {
-    const present = this.directory.isHeard(entry, now) && this.directory.mayHoldFlows(entry);
-    const leaving = entry.report?.state === TargetState.gone;
+    const isPresent = this.directory.isHeard(entry, now) && this.directory.mayHoldFlows(entry);
+    const isLeaving = entry.report?.state === TargetState.gone;
     const missingSince = entry.lapsedAt ?? entry.knownSince;
-    return present && !leaving && now - missingSince > OWN_REGISTRATION_TIME;
+    return isPresent && !isLeaving && now - missingSince > SELF_REGISTRATION_TIME_MS;
   }
 
   private register(entry: AgentEntry): void {
@@ -86,7 +86,7 @@
 
   /** Silence proves little when nobody is heard: then this balancer is the one cut off. */
   private remove(entry: AgentEntry, silence: number, now: number): void {
-    if (!this.directory.hearsAny(now)) {
+    if (!this.directory.hasHeardAny(now)) {
       return;
     }
     const agent = formatEndpoint(entry.address);
@@ -98,10 +98,10 @@
 
   /** Counts a call; what it returns takes the answer, and the next round tries again. */
   private beginCall(call: 'registration' | 'removal', agent: Endpoint): ResultCallback<void> {
-    this.calling.add(agent);
+    this.pendingCalls.add(agent);
     this.callsMade++;
     return (result) => {
-      this.calling.delete(agent);
+      this.pendingCalls.delete(agent);
       if (result.err) {
         const { number, name } = result.val.resultCode;
         this.environment.report(Events.registryCallFailed, {
--- a/src/packets/registry-view.ts
+++ b/src/packets/registry-view.ts
@@ -4,19 +4,19 @@
 import type { AgentDirectory } from './agent-directory';
 import type { Change, Changes, Listing } from './collection-port';
 import type { AgentRecord, ListedAgent, RegistryChange, RegistryDelta } from './packet-messages';
-import { isLater, placeInEra, UNKNOWN_POSITION, type StorePosition } from './store-position';
+import { isLater, resolveEra, UNKNOWN_POSITION, type StorePosition } from './store-position';
 
 /** What the view works with. */
 export interface RegistryViewDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
   /** The directory may know other agents now, or be complete. */
-  changed(): void;
+  onChanged(): void;
 }
 
 /** The registry as one balancer has taken it. */
 export class RegistryView {
-  private held = UNKNOWN_POSITION;
+  private currentPosition = UNKNOWN_POSITION;
 
   constructor(private readonly dependencies: RegistryViewDependencies) {}
 
@@ -25,22 +25,22 @@
    * Two balancers of the same revision know the same entries.
    */
   get revision(): number {
-    return this.held.revision;
+    return this.currentPosition.revision;
   }
 
   /** The moment of the store through which the registry's changes are known. */
   get position(): StorePosition {
-    return this.held;
+    return this.currentPosition;
   }
 
   /** Takes a whole listing of the store: the directory is complete from now on. */
-  takeListing(listing: Listing<AgentRecord>): void {
+  applyListing(listing: Listing<AgentRecord>): void {
     const agents = listing.items.map(({ item, revision }) => ({ ...item, revision }));
     const { era, revision } = listing;
-    const differs = this.takeEntries(agents, listing);
-    const isFirstOfEra = era > this.held.era || this.held.revision === 0;
-    if ((differs || isFirstOfEra) && isLater(listing, this.held)) {
-      this.held = { era, revision };
+    const differs = this.replaceEntries(agents, listing);
+    const isFirstOfEra = era > this.currentPosition.era || this.currentPosition.revision === 0;
+    if ((differs || isFirstOfEra) && isLater(listing, this.currentPosition)) {
+      this.currentPosition = { era, revision };
     }
     this.markComplete('store');
   }
@@ -49,13 +49,13 @@
    * Takes changes of the registry that the store told.
    * @returns what other balancers lack after it; undefined when nothing is new
    */
-  takeChanges({ changes, era, revision }: Changes<AgentRecord>): RegistryDelta | undefined {
-    const from = this.held.revision;
-    if (changes.length === 0 || era !== this.held.era || revision <= from) {
+  applyChanges({ changes, era, revision }: Changes<AgentRecord>): RegistryDelta | undefined {
+    const from = this.currentPosition.revision;
+    if (changes.length === 0 || era !== this.currentPosition.era || revision <= from) {
       return undefined;
     }
     const delta: RegistryDelta = { from, to: revision, changes: changes.map(packChange) };
-    this.applyChanges(delta.changes, delta.to);
+    this.updateDirectory(delta.changes, delta.to);
     return delta;
   }
 
@@ -63,67 +63,67 @@
    * Takes changes that another balancer has read, if they follow what is known here.
    * @param era the era of their revisions; 0 when it is not told
    */
-  takeDelta({ from, to, changes }: RegistryDelta, era: number): void {
+  applyDelta({ from, to, changes }: RegistryDelta, era: number): void {
     const { isComplete } = this.dependencies.directory;
-    const told = placeInEra({ era, revision: to }, this.held);
-    if (isComplete && told.era === this.held.era && from <= this.revision && this.revision < to) {
-      this.applyChanges(changes, to);
+    const deltaPosition = resolveEra({ era, revision: to }, this.currentPosition);
+    if (isComplete && deltaPosition.era === this.currentPosition.era && from <= this.revision && this.revision < to) {
+      this.updateDirectory(changes, to);
     }
   }
 
   /** Takes the registry as a balancer whose directory is complete knows it. */
-  takeSnapshot(agents: readonly ListedAgent[], told: StorePosition, origin: string): void {
-    const position = placeInEra(told, this.held);
-    if (isLater(position, this.held)) {
-      this.takeEntries(
+  applySnapshot(agents: readonly ListedAgent[], peerPosition: StorePosition, origin: string): void {
+    const position = resolveEra(peerPosition, this.currentPosition);
+    if (isLater(position, this.currentPosition)) {
+      this.replaceEntries(
         agents.filter(({ revision: listed }) => listed > 0),
         position,
       );
-      this.held = position;
+      this.currentPosition = position;
     }
-    this.learnAgents(agents);
+    this.mergeAgents(agents);
     this.markComplete(origin);
   }
 
   /** Takes agents that another balancer knows. */
-  learnAgents(agents: readonly AgentRecord[]): void {
+  mergeAgents(agents: readonly AgentRecord[]): void {
     const { directory, environment } = this.dependencies;
     const now = environment.now();
-    agents.forEach((agent) => directory.learn(agent, undefined, now));
-    this.dependencies.changed();
+    agents.forEach((agent) => directory.upsert(agent, undefined, now));
+    this.dependencies.onChanged();
   }
 
   /**
    * Makes the directory list these agents and no others; true when it did not before. What a later
    * era does not list was not removed by anyone: the store's copy was older.
    */
-  private takeEntries(agents: readonly ListedAgent[], asOf: StorePosition): boolean {
-    if (isLater(this.held, asOf)) {
+  private replaceEntries(agents: readonly ListedAgent[], asOf: StorePosition): boolean {
+    if (isLater(this.currentPosition, asOf)) {
       return false;
     }
-    const hasReturned = this.held.revision > 0 && asOf.era > this.held.era;
+    const isLaterEra = this.currentPosition.revision > 0 && asOf.era > this.currentPosition.era;
     const { directory, environment } = this.dependencies;
     const now = environment.now();
     const listed = new Set(agents.map(({ address }) => address));
     let differs = false;
-    for (const { address, registryRevision } of [...directory.all()]) {
+    for (const { address, registryRevision } of [...directory.getAll()]) {
       if (registryRevision !== undefined && !listed.has(address)) {
-        if (hasReturned) {
-          directory.noteLapse(address, now);
+        if (isLaterEra) {
+          directory.markLapsed(address, now);
         } else {
-          directory.unregister(address, now);
+          directory.markUnregistered(address, now);
         }
         differs = true;
       }
     }
     for (const { revision, ...agent } of agents) {
       differs ||= directory.find(agent.address)?.registryRevision !== revision;
-      directory.learn(agent, revision, now);
+      directory.upsert(agent, revision, now);
     }
     return differs;
   }
 
-  private applyChanges(changes: readonly RegistryChange[], revision: number): void {
+  private updateDirectory(changes: readonly RegistryChange[], revision: number): void {
     const { directory, environment } = this.dependencies;
     const now = environment.now();
     for (const { agent, removed } of changes) {
@@ -133,13 +133,13 @@
         continue;
       }
       if (removed) {
-        directory.unregister(record.address, now);
+        directory.markUnregistered(record.address, now);
       } else {
-        directory.learn(record, changedAt, now);
+        directory.upsert(record, changedAt, now);
       }
     }
-    this.held = { era: this.held.era, revision };
-    this.dependencies.changed();
+    this.currentPosition = { era: this.currentPosition.era, revision };
+    this.dependencies.onChanged();
   }
 
   private markComplete(origin: string): void {
@@ -148,7 +148,7 @@
       directory.markComplete(environment.now());
       environment.report(Events.viewComplete, { origin, agents: directory.size });
     }
-    this.dependencies.changed();
+    this.dependencies.onChanged();
   }
 }
 
--- a/src/packets/repair/hop-repair.ts
+++ b/src/packets/repair/hop-repair.ts
@@ -12,7 +12,7 @@
 import type { PacketLink } from '../packet-link';
 import {
   PacketMessageType,
-  REPAIR_VERSION,
+  HOP_REPAIR_VERSION,
   type HopNumber,
   type PacketMessage,
 } from '../packet-messages';
@@ -98,7 +98,7 @@
    */
   send(to: Endpoint, message: RepairableMessage, packet: FlowPacket): void {
     const { environment, isEnabled, link } = this.dependencies;
-    if (!isEnabled || !link.repairsHops(to) || !needsAcknowledgement(packet, message.searchId)) {
+    if (!isEnabled || !link.supportsHopRepair(to) || !needsAcknowledgement(packet, message.searchId)) {
       link.send(to, message);
       return;
     }
@@ -145,7 +145,7 @@
    */
   private acknowledge(from: Endpoint, { session, sequence }: HopNumber): boolean {
     const { environment, link } = this.dependencies;
-    link.noteRepairs(from, REPAIR_VERSION);
+    link.recordHopRepair(from, HOP_REPAIR_VERSION);
     this.acknowledgementCount++;
     link.send(from, { type: PacketMessageType.received, session, sequences: [sequence] });
     const isNew = this.receiver.recordReceived(from, { session, sequence }, environment.now());
@@ -186,7 +186,7 @@
   private takeOverdue(now: number): OverdueResult {
     const { link } = this.dependencies;
     return this.sender.takeOverdue(now, {
-      isReachable: (peer) => link.repairsHops(peer) && this.dependencies.isReachable(peer, now),
+      isReachable: (peer) => link.supportsHopRepair(peer) && this.dependencies.isReachable(peer, now),
       takeToken: () => this.budget.takeToken(now),
     });
   }
--- a/src/packets/search-dispatch.ts
+++ b/src/packets/search-dispatch.ts
@@ -10,7 +10,7 @@
 import type { PacketLink } from './packet-link';
 import {
   FlowKnowledge,
-  MAXIMUM_SEARCH_LENGTH,
+  MAXIMUM_SEARCH_AGENTS,
   PacketMessageType,
   SearchPhase,
   type SearchMessage,
@@ -75,11 +75,11 @@
     const { address } = agent;
     const { link, outlet } = this.dependencies;
     noteOffer(search, address);
-    if (!link.searchesForSure(address)) {
+    if (!link.supportsConclusiveSearch(address)) {
       outlet.deliver(packet, search.services, address, search.id);
       return;
     }
-    const message = this.createSearch(packet, search, [address], SearchPhase.sure);
+    const message = this.createSearch(packet, search, [address], SearchPhase.conclusive);
     outlet.sendToSilent(packet, message, address);
   }
 
@@ -87,9 +87,9 @@
   private send(packet: FlowPacket, search: FlowSearch, agents: readonly AgentEntry[]): void {
     const { link, locality } = this.dependencies;
     const ordered = locality.orderForSearch(packet.flow, agents);
-    const knowGroups = agents.every(({ address }) => link.searchesInGroups(address));
+    const knowGroups = agents.every(({ address }) => link.supportsGroupSearch(address));
     const isInGroups = search.attempts > 0 && agents.length > GROUP_LENGTH && knowGroups;
-    const maximum = isInGroups ? MAXIMUM_ROUND_LENGTH : MAXIMUM_SEARCH_LENGTH;
+    const maximum = isInGroups ? MAXIMUM_ROUND_LENGTH : MAXIMUM_SEARCH_AGENTS;
     const order = orderSearch(ordered.agents, search.attempts, maximum, ordered.likely);
     search.attempts++;
     const visited = new Set(order);
@@ -102,7 +102,7 @@
     } else {
       search.round = { agents: order, unasked: new Set(), isOfferedNext: false };
       this.dependencies.sent(packet, search, order.length);
-      this.sendChain(packet, search, order, isSure ? SearchPhase.sure : SearchPhase.ask);
+      this.sendChain(packet, search, order, isSure ? SearchPhase.conclusive : SearchPhase.query);
     }
     search.unanswered++;
   }
@@ -117,9 +117,9 @@
     const unasked = agents.filter((agent) => !search.unknownTo.has(agent));
     search.round = { agents, unasked: new Set(unasked), isOfferedNext: true };
     if (isSure) {
-      this.sendToGroups(packet, search, agents, SearchPhase.sure);
+      this.sendToGroups(packet, search, agents, SearchPhase.conclusive);
     } else if (unasked.length > 0) {
-      this.sendToGroups(packet, search, unasked, SearchPhase.askOnly);
+      this.sendToGroups(packet, search, unasked, SearchPhase.queryOnly);
     } else {
       this.sendToGroups(packet, search, agents, SearchPhase.offer);
     }
@@ -133,7 +133,7 @@
   ): void {
     const agents = parts.flat();
     search.round = { agents, unasked: new Set(agents), isOfferedNext: false };
-    parts.forEach((part) => this.sendToGroups(packet, search, part, SearchPhase.askOnly));
+    parts.forEach((part) => this.sendToGroups(packet, search, part, SearchPhase.queryOnly));
   }
 
   private sendToGroups(
@@ -179,8 +179,8 @@
 
   private isSure({ address, report }: AgentEntry): boolean {
     return (
-      report?.flowKnowledge === FlowKnowledge.whole &&
-      this.dependencies.link.searchesForSure(address)
+      report?.flowKnowledge === FlowKnowledge.complete &&
+      this.dependencies.link.supportsConclusiveSearch(address)
     );
   }
 }
--- a/src/packets/search-steps.ts
+++ b/src/packets/search-steps.ts
@@ -28,16 +28,16 @@
     return goTo({ ...search, position: following });
   }
   switch (search.phase) {
-    case SearchPhase.ask:
+    case SearchPhase.query:
       return goTo({ ...search, phase: SearchPhase.offer, position: 0 });
-    case SearchPhase.askOnly:
+    case SearchPhase.queryOnly:
       return {
         kind: 'over',
         balancer,
         message: { type: PacketMessageType.noneKnows, searchId, agents, payload },
       };
     case SearchPhase.offer:
-    case SearchPhase.sure:
+    case SearchPhase.conclusive:
       return {
         kind: 'over',
         balancer,
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -175,7 +175,7 @@
       last: waiting.length,
       milliseconds: Math.round(now - this.startedAt),
       paced: Math.round(now - (this.servingSince ?? now)),
-      heard: Math.round(computeHeardShare([...directory.all()], directory, now) * directory.size),
+      heard: Math.round(computeHeardShare([...directory.getAll()], directory, now) * directory.size),
       known: directory.size,
     });
   }
@@ -184,7 +184,7 @@
     const { directory, isPaced, isRelaying } = this.dependencies;
     const hasTimedOut = now - this.servingSince! >= AGENT_REPORT_WAIT_MS;
     return (
-      !isPaced || hasTimedOut || isRelaying() || computeHeardShare([...directory.all()], directory, now) === 1
+      !isPaced || hasTimedOut || isRelaying() || computeHeardShare([...directory.getAll()], directory, now) === 1
     );
   }
 
@@ -210,7 +210,7 @@
       .map(({ latencyGoal }) => latencyGoal);
     return {
       name: services.join(','),
-      share: computeHeardShare(directory.ofServices(services), directory, now),
+      share: computeHeardShare(directory.findByServices(services), directory, now),
       latencyGoal: goals.length > 0 ? Math.min(...goals) : 0,
     };
   }
--- a/src/packets/startup/view-convergence.ts
+++ b/src/packets/startup/view-convergence.ts
@@ -10,7 +10,7 @@
  * resets wait for the agents' word only: 100 ms in place of 3 s, so that clients of dead flows come
  * back at once.
  */
-import { REWRITE_TIME } from '../store-position';
+import { REWRITE_TIME_MS } from '../store-position';
 
 /** Milliseconds after the start in which the agents' word comes: several round trips between zones. */
 const AGENT_REPLY_WAIT_MS = 100;
@@ -31,7 +31,7 @@
 
   /** Whether agents are to tell which era they have seen. */
   shouldQueryAgents(now: number): boolean {
-    return now - this.startedAt <= REWRITE_TIME;
+    return now - this.startedAt <= REWRITE_TIME_MS;
   }
 
   /**
@@ -40,6 +40,6 @@
    */
   isConverged(era: number, now: number): boolean {
     const wasRestored = this.earliestObservedEra < era;
-    return now - this.startedAt > (wasRestored ? REWRITE_TIME : AGENT_REPLY_WAIT_MS);
+    return now - this.startedAt > (wasRestored ? REWRITE_TIME_MS : AGENT_REPLY_WAIT_MS);
   }
 }
--- a/src/packets/store-position.ts
+++ b/src/packets/store-position.ts
@@ -20,7 +20,7 @@
  * Milliseconds in which the owners of what a copy lacks write it again: a balancer tells an agent every
  * two seconds whether it is listed, and readers enter one that is still missing after three.
  */
-export const REWRITE_TIME = 3_000;
+export const REWRITE_TIME_MS = 3_000;
 
 /** Whether a moment is later than another one. Within a later era every revision is. */
 export function isLater(one: StorePosition, other: StorePosition): boolean {
@@ -28,6 +28,6 @@
 }
 
 /** A moment as told by a program that may not know eras: then it is taken to be of the known one. */
-export function placeInEra<T extends StorePosition>(told: T, known: StorePosition): T {
-  return told.era === 0 ? { ...told, era: known.era } : told;
+export function resolveEra<T extends StorePosition>(received: T, known: StorePosition): T {
+  return received.era === 0 ? { ...received, era: known.era } : received;
 }
--- a/src/packets/store-readers.ts
+++ b/src/packets/store-readers.ts
@@ -10,29 +10,29 @@
 import type { Endpoint } from '../environment';
 
 /** Balancers that read: one may be lost, and the other still tells of changes at once. */
-export const READERS_WANTED = 2;
+export const READER_COUNT = 2;
 /** Readers noted, so that one too many knows those that come before it. */
-const READERS_NOTED = 32;
+const MAXIMUM_TRACKED_READERS = 32;
 /**
  * Balancers up to which each reads for itself: that many long waiting calls cost about as much
  * as the short ones of two readers (6 a minute and collection against 40).
  */
-const SMALL_CLUSTER = 12;
+const SMALL_CLUSTER_SIZE = 12;
 /**
  * Milliseconds for which an answer counts as recent at most. A reader has one at least in
  * half of this time and tells everyone at once.
  */
-const LONGEST_RECENT_TIME = 3_000;
+const MAXIMUM_RECENT_TIME_MS = 3_000;
 /** Part of the time in which a change must be in force in which readers must be replaced. */
-const RECENT_SHARE = 0.5;
+const RECENT_TIME_SHARE = 0.5;
 /** Part of the recent time that a call may wait at the store. */
-const WAIT_SHARE = 1 / 2;
+const WAIT_TIME_SHARE = 1 / 2;
 /** Milliseconds over which balancers spread when readers are missing: one of 60 comes in 17. */
-const VOLUNTEER_SPREAD = 1_000;
+const TAKEOVER_SPREAD_MS = 1_000;
 /** The spread grows with each failed try up to this many times. */
-const LONGEST_SPREAD = 8;
+const MAXIMUM_SPREAD_FACTOR = 8;
 /** Milliseconds in which a balancer that starts may get everything from another. */
-const START_SPREAD = 250;
+const STARTUP_SPREAD_MS = 250;
 /**
  * Megabits of a table of 1,500 routes and a registry of 50 agents as the store lists them. From
  * another balancer both come in a twentieth of that, so one with a slow link waits for that as long
@@ -41,12 +41,12 @@
  */
 const LISTING_MEGABITS = 2.8;
 /** Part of that time for which a balancer waits that others ask first. */
-const FIRST_WAIT_SHARE = 0.5;
-const MILLI = 1_000;
+const FIRST_READER_WAIT_SHARE = 0.5;
+const MS_PER_SECOND = 1_000;
 /** Milliseconds after its start in which a balancer may not know yet how many there are. */
-const DISCOVERY_TIME = 3_000;
+const DISCOVERY_TIME_MS = 3_000;
 /** Milliseconds of waiting at the store where every balancer reads for itself. */
-const LONG_WAIT = 10_000;
+const INDEPENDENT_WAIT_MS = 10_000;
 
 /** One reader as balancers tell of it. */
 export interface StoreReader {
@@ -72,8 +72,8 @@
 export class StoreReaders {
   /** When the store last answered each reader; the most recent last. */
   private readonly answeredAt = new Map<Endpoint, number>();
-  private volunteersAt: number | undefined;
-  private failedTries = 0;
+  private takeoverAt: number | undefined;
+  private failedAttempts = 0;
   /** Milliseconds for which an answer counts as recent. */
   private readonly recentTime: number;
 
@@ -92,112 +92,112 @@
     private readonly startedAt: number,
     private readonly random: () => number,
   ) {
-    this.recentTime = Math.min(LONGEST_RECENT_TIME, applyTime * RECENT_SHARE);
+    this.recentTime = Math.min(MAXIMUM_RECENT_TIME_MS, applyTime * RECENT_TIME_SHARE);
   }
 
   /** The store has answered this balancer. */
-  answered(now: number): void {
-    this.failedTries = 0;
-    this.note(this.self, now);
+  recordAnswer(now: number): void {
+    this.failedAttempts = 0;
+    this.recordAnswerTime(this.self, now);
   }
 
   /**
    * The store has failed this balancer's latest call. One that has had no recent answer leaves
    * the next try to others; if the store fails them all, they try by turns.
    */
-  failed({ clusterSize, hasView, now }: ReadingCircumstances): ReadingDecision {
-    this.failedTries++;
+  recordFailure({ clusterSize, hasView, now }: ReadingCircumstances): ReadingDecision {
+    this.failedAttempts++;
     const isRecent = now - (this.answeredAt.get(this.self) ?? -Infinity) <= this.recentTime;
-    const mayRest = hasView && !isRecent && !this.readsForItself(clusterSize, now);
-    return mayRest ? 'rest' : 'unchanged';
+    const mayStop = hasView && !isRecent && !this.readsIndependently(clusterSize, now);
+    return mayStop ? 'rest' : 'unchanged';
   }
 
   /** Takes what another balancer tells of readers. */
-  learn(readers: readonly StoreReader[], now: number): void {
+  mergeReaders(readers: readonly StoreReader[], now: number): void {
     for (const { reader, age } of readers) {
       if (reader !== this.self) {
-        this.note(reader, now - age);
+        this.recordAnswerTime(reader, now - age);
       }
     }
   }
 
   /** The readers with the most recent answers, for other balancers. */
-  tell(now: number): StoreReader[] {
-    const known = [...this.answeredAt].slice(-READERS_WANTED).reverse();
+  getLatestReaders(now: number): StoreReader[] {
+    const known = [...this.answeredAt].slice(-READER_COUNT).reverse();
     return known.map(([reader, at]) => ({ reader, age: Math.round(now - at) }));
   }
 
   /** Time at which this balancer begins to read if readers are still missing then. */
   get dueAt(): number | undefined {
-    return this.volunteersAt;
+    return this.takeoverAt;
   }
 
   /** Whether the store has lately answered any reader. */
-  hasRecent(now: number): boolean {
-    return this.recent(now).length > 0;
+  hasRecentAnswer(now: number): boolean {
+    return this.listRecentReaders(now).length > 0;
   }
 
   /** Milliseconds that a call may wait at the store, for a reader of all or of its own. */
-  waitTime(isForAll: boolean): number {
-    return isForAll ? this.recentTime * WAIT_SHARE : LONG_WAIT;
+  getWaitTime(isForAll: boolean): number {
+    return isForAll ? this.recentTime * WAIT_TIME_SHARE : INDEPENDENT_WAIT_MS;
   }
 
   /** Whether the readers of a cluster of this size read for all. */
-  readForAll({ clusterSize }: ReadingCircumstances): boolean {
-    return clusterSize > SMALL_CLUSTER;
+  usesSharedReaders({ clusterSize }: ReadingCircumstances): boolean {
+    return clusterSize > SMALL_CLUSTER_SIZE;
   }
 
   /** To be asked often: whether to begin or to stop reading. */
   decide(circumstances: ReadingCircumstances): ReadingDecision {
     const { now, isReading, clusterSize } = circumstances;
-    if (this.readsForItself(clusterSize, now)) {
+    if (this.readsIndependently(clusterSize, now)) {
       return isReading ? 'unchanged' : 'read';
     }
-    const others = this.recent(now).filter((reader) => reader !== this.self);
+    const others = this.listRecentReaders(now).filter((reader) => reader !== this.self);
     if (isReading) {
       return circumstances.hasView && this.isSurplus(others) ? 'rest' : 'unchanged';
     }
-    if (others.length >= READERS_WANTED && circumstances.hasView) {
-      this.volunteersAt = undefined;
+    if (others.length >= READER_COUNT && circumstances.hasView) {
+      this.takeoverAt = undefined;
       return 'unchanged';
     }
-    this.volunteersAt ??= now + this.delay(circumstances);
-    if (now < this.volunteersAt) {
+    this.takeoverAt ??= now + this.computeDelay(circumstances);
+    if (now < this.takeoverAt) {
       return 'unchanged';
     }
-    this.volunteersAt = undefined;
+    this.takeoverAt = undefined;
     return 'read';
   }
 
   /** A reader too many: others are enough, and come before it. */
   private isSurplus(others: readonly Endpoint[]): boolean {
-    return others.filter((reader) => reader < this.self).length >= READERS_WANTED;
+    return others.filter((reader) => reader < this.self).length >= READER_COUNT;
   }
 
   /** Milliseconds until this balancer begins to read. */
-  private delay({ hasView }: ReadingCircumstances): number {
-    const growth = Math.min(LONGEST_SPREAD, 2 ** this.failedTries);
+  private computeDelay({ hasView }: ReadingCircumstances): number {
+    const growth = Math.min(MAXIMUM_SPREAD_FACTOR, 2 ** this.failedAttempts);
     if (hasView) {
-      return this.random() * VOLUNTEER_SPREAD * growth;
+      return this.random() * TAKEOVER_SPREAD_MS * growth;
     }
-    const listingTime = (LISTING_MEGABITS / this.linkSpeed) * MILLI;
+    const listingTime = (LISTING_MEGABITS / this.linkSpeed) * MS_PER_SECOND;
     return this.isFirst
-      ? listingTime * FIRST_WAIT_SHARE
-      : listingTime + this.random() * START_SPREAD * growth;
+      ? listingTime * FIRST_READER_WAIT_SHARE
+      : listingTime + this.random() * STARTUP_SPREAD_MS * growth;
   }
 
-  private readsForItself(clusterSize: number, now: number): boolean {
-    return clusterSize <= SMALL_CLUSTER && now - this.startedAt > DISCOVERY_TIME;
+  private readsIndependently(clusterSize: number, now: number): boolean {
+    return clusterSize <= SMALL_CLUSTER_SIZE && now - this.startedAt > DISCOVERY_TIME_MS;
   }
 
-  private recent(now: number): Endpoint[] {
+  private listRecentReaders(now: number): Endpoint[] {
     return [...this.answeredAt]
       .filter(([, at]) => now - at <= this.recentTime)
       .map(([reader]) => reader);
   }
 
   /** Keeps the readers with the latest answers, in that order. */
-  private note(reader: Endpoint, at: number): void {
+  private recordAnswerTime(reader: Endpoint, at: number): void {
     if (at <= (this.answeredAt.get(reader) ?? -Infinity)) {
       return;
     }
@@ -205,6 +205,6 @@
     this.answeredAt.set(reader, at);
     const ordered = [...this.answeredAt].sort(([, one], [, other]) => one - other);
     this.answeredAt.clear();
-    ordered.slice(-READERS_NOTED).forEach(([key, value]) => this.answeredAt.set(key, value));
+    ordered.slice(-MAXIMUM_TRACKED_READERS).forEach(([key, value]) => this.answeredAt.set(key, value));
   }
 }
--- a/src/packets/store-reading.ts
+++ b/src/packets/store-reading.ts
@@ -21,24 +21,24 @@
 } from './store-readers';
 
 /** Milliseconds in which changes of the registry gather: releases replace many targets a second. */
-const REGISTRY_PAUSE = 1_000;
+const REGISTRY_PAUSE_MS = 1_000;
 /**
  * Milliseconds from the routing table's listing to the first waiting call: by then the registry is
  * listed too, and a balancer that need not read after all makes no further call.
  */
-const LISTING_TIME = 50;
+const LISTING_TIME_MS = 50;
 /** Milliseconds that a call at the registry waits: calls at the routing table prove the way. */
-const REGISTRY_WAIT = 10_000;
+const REGISTRY_WAIT_MS = 10_000;
 
 /** Milliseconds that a call at the evacuated zones waits: they change a few times a day. */
-const EVACUATIONS_WAIT = 10_000;
+const EVACUATIONS_WAIT_MS = 10_000;
 
 /**
  * Part of the time in which a change must be in force that lies between two probes of the store's
  * connections, and that a probe waits for its answer: a change that a silent connection holds back
  * is then read after two thirds of that time.
  */
-const PROBE_SHARE = 1 / 3;
+const PROBE_INTERVAL_SHARE = 1 / 3;
 
 /**
  * Milliseconds after its start at which a balancer without a view lists the registry, if nobody
@@ -46,7 +46,7 @@
  * is small, and the agents listed there name balancers: one whose seeds are down or still starting
  * finds the others that way.
  */
-const DISCOVERY_DELAY = 20;
+const DISCOVERY_DELAY_MS = 20;
 
 /** What the reading works with. */
 export interface StoreReadingDependencies {
@@ -65,16 +65,16 @@
   readonly evacuations: ZoneEvacuationView;
   readonly storeProbe: StoreProbePort;
   /** Balancers known, this one included. */
-  clusterSize(): number;
+  getClusterSize(): number;
   /** Whether this balancer has a routing table and knows all agents. */
   hasView(): boolean;
   /** Whether a peer's view is on its way. */
   isFetching(): boolean;
-  takeTable(table: RoutingTable): void;
-  takeListing(listing: Listing<AgentRecord>): void;
-  takeChanges(changes: Changes<AgentRecord>): void;
+  applyTable(table: RoutingTable): void;
+  applyListing(listing: Listing<AgentRecord>): void;
+  applyChanges(changes: Changes<AgentRecord>): void;
   /** The store has answered: others are to hear of it. */
-  answered(): void;
+  onAnswer(): void;
 }
 
 /** Calls to the store by their reason. */
@@ -95,12 +95,12 @@
   private readonly routing: CollectionWatcher<RoutingTable>;
   private readonly registry: CollectionWatcher<AgentRecord>;
   private readonly evacuations: CollectionWatcher<EvacuatedZone> | undefined;
-  private stopped = false;
+  private isStopped = false;
   private timer: TimerHandle | undefined;
   private discoveryTimer: TimerHandle | undefined;
-  private discoveries = 0;
-  private probedAt = -Infinity;
-  private probes = 0;
+  private discoveryCalls = 0;
+  private lastProbeAt = -Infinity;
+  private probeCalls = 0;
 
   constructor(private readonly dependencies: StoreReadingDependencies) {
     const { environment, self, isFirst, linkSpeed, applyTime } = dependencies;
@@ -125,40 +125,40 @@
     return {
       routingListings: this.routing.calls.listings,
       routingWatches: this.routing.calls.watches,
-      registryListings: this.registry.calls.listings + this.discoveries,
+      registryListings: this.registry.calls.listings + this.discoveryCalls,
       registryWatches: this.registry.calls.watches,
       evacuationListings: this.evacuations?.calls.listings ?? 0,
       evacuationWatches: this.evacuations?.calls.watches ?? 0,
-      storeProbes: this.probes,
+      storeProbes: this.probeCalls,
     };
   }
 
   /** Whether what this balancer has been told, or has read, is recent. */
   get isRecent(): boolean {
-    return this.readers.hasRecent(this.dependencies.environment.now());
+    return this.readers.hasRecentAnswer(this.dependencies.environment.now());
   }
 
   /** Once, at the start of this balancer. */
   start(): void {
-    this.run();
-    this.waitForOthers();
+    this.updateReading();
+    this.scheduleDiscovery();
   }
 
-  private waitForOthers(): void {
+  private scheduleDiscovery(): void {
     const { environment } = this.dependencies;
-    this.discoveryTimer = environment.startTimer(DISCOVERY_DELAY, () => this.findOthers());
+    this.discoveryTimer = environment.startTimer(DISCOVERY_DELAY_MS, () => this.discoverPeers());
   }
 
-  private findOthers(): void {
-    const { hasView, isFetching, registry, takeListing, environment } = this.dependencies;
-    if (this.stopped || this.isReading || hasView()) {
+  private discoverPeers(): void {
+    const { hasView, isFetching, registry, applyListing: takeListing, environment } = this.dependencies;
+    if (this.isStopped || this.isReading || hasView()) {
       return;
     }
     if (isFetching()) {
-      this.waitForOthers();
+      this.scheduleDiscovery();
       return;
     }
-    this.discoveries++;
+    this.discoveryCalls++;
     registry.list((result) => {
       if (result.ok) {
         takeListing(result.val);
@@ -171,33 +171,33 @@
   }
 
   /** Begins or stops reading if it is time for it; to be called often. */
-  run(): void {
-    if (this.stopped) {
+  updateReading(): void {
+    if (this.isStopped) {
       return;
     }
-    this.follow(this.readers.decide(this.circumstances));
-    this.checkConnections();
+    this.applyDecision(this.readers.decide(this.circumstances));
+    this.probeConnections();
   }
 
   /** Where calls wait long, a probe shows in between whether their connections are alive. */
-  private checkConnections(): void {
+  private probeConnections(): void {
     const { environment, applyTime, storeProbe } = this.dependencies;
     const now = environment.now();
-    const interval = applyTime * PROBE_SHARE;
-    const waitsLong = !this.readers.readForAll(this.circumstances);
-    if (!this.isReading || !waitsLong || now - this.probedAt < interval) {
+    const interval = applyTime * PROBE_INTERVAL_SHARE;
+    const waitsLong = !this.readers.usesSharedReaders(this.circumstances);
+    if (!this.isReading || !waitsLong || now - this.lastProbeAt < interval) {
       return;
     }
-    this.probedAt = now;
-    this.probes++;
+    this.lastProbeAt = now;
+    this.probeCalls++;
     storeProbe.check(interval, (result) => {
       if (result.err) {
-        this.reportProbe(result.val);
+        this.reportProbeFailure(result.val);
       }
     });
   }
 
-  private reportProbe({ resultCode, message }: HallholdError): void {
+  private reportProbeFailure({ resultCode, message }: HallholdError): void {
     const { number, name } = resultCode;
     this.dependencies.environment.report(Events.storeProbeFailed, {
       code: number,
@@ -205,23 +205,23 @@
     });
   }
 
-  private follow(decision: ReadingDecision): void {
+  private applyDecision(decision: ReadingDecision): void {
     switch (decision) {
       case 'read':
         this.routing.start();
-        this.report();
+        this.reportReading();
         return;
       case 'rest':
-        this.rest();
-        this.report();
+        this.stopFollowers();
+        this.reportReading();
         return;
       case 'unchanged':
-        this.runWhenDue();
+        this.scheduleUpdate();
     }
   }
 
   /** Delays are drawn finely, so that the first of many balancers spares the others their calls. */
-  private runWhenDue(): void {
+  private scheduleUpdate(): void {
     const { environment } = this.dependencies;
     const { dueAt } = this.readers;
     if (dueAt === undefined || this.timer) {
@@ -230,30 +230,30 @@
     const delay = Math.max(1, Math.ceil(dueAt - environment.now()));
     this.timer = environment.startTimer(delay, () => {
       this.timer = undefined;
-      this.run();
+      this.updateReading();
     });
   }
 
   /** Ends all calls for good. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.timer?.cancel();
     this.discoveryTimer?.cancel();
-    this.rest();
+    this.stopFollowers();
   }
 
   /** Takes what another balancer tells of readers. */
-  learn(readers: readonly StoreReader[]): void {
-    this.readers.learn(readers, this.dependencies.environment.now());
+  mergeReaders(readers: readonly StoreReader[]): void {
+    this.readers.mergeReaders(readers, this.dependencies.environment.now());
   }
 
   /** The readers, for other balancers. */
-  tell(): StoreReader[] {
-    return this.readers.tell(this.dependencies.environment.now());
+  getLatestReaders(): StoreReader[] {
+    return this.readers.getLatestReaders(this.dependencies.environment.now());
   }
 
   private get circumstances(): ReadingCircumstances {
-    const { environment, clusterSize, hasView } = this.dependencies;
+    const { environment, getClusterSize: clusterSize, hasView } = this.dependencies;
     return {
       now: environment.now(),
       isReading: this.isReading,
@@ -262,14 +262,14 @@
     };
   }
 
-  private rest(): void {
+  private stopFollowers(): void {
     this.routing.stop();
     this.registry.stop();
     this.evacuations?.stop();
   }
 
   private createRoutingFollower(): CollectionWatcher<RoutingTable> {
-    const { environment, routingTables, takeTable } = this.dependencies;
+    const { environment, routingTables, applyTable: takeTable } = this.dependencies;
     return new CollectionWatcher(
       'routing',
       routingTables,
@@ -277,7 +277,7 @@
       {
         listed: ({ items }) => {
           items.forEach(({ item }) => takeTable(item));
-          this.answered();
+          this.recordAnswer();
           if (this.isReading) {
             this.registry.start();
             this.evacuations?.start();
@@ -285,7 +285,7 @@
         },
         changed: ({ changes }) => {
           changes.filter(({ removed }) => !removed).forEach(({ item }) => takeTable(item));
-          this.answered();
+          this.recordAnswer();
         },
         failed: () => this.failed(),
       },
@@ -294,19 +294,19 @@
   }
 
   private createRegistryFollower(): CollectionWatcher<AgentRecord> {
-    const { environment, registry, takeListing, takeChanges } = this.dependencies;
+    const { environment, registry, applyListing: takeListing, applyChanges: takeChanges } = this.dependencies;
     const observer = {
       listed: (listing: Listing<AgentRecord>): void => {
         takeListing(listing);
-        this.run();
+        this.updateReading();
       },
       changed: takeChanges,
     };
     return new CollectionWatcher('agents', registry, environment, observer, () => {
-      const isForAll = this.readers.readForAll(this.circumstances);
+      const isForAll = this.readers.usesSharedReaders(this.circumstances);
       return {
-        waitTime: REGISTRY_WAIT,
-        pause: isForAll ? REGISTRY_PAUSE : 0,
+        waitTime: REGISTRY_WAIT_MS,
+        pause: isForAll ? REGISTRY_PAUSE_MS : 0,
         firstPause: 0,
       };
     });
@@ -319,37 +319,37 @@
     }
     const observer = {
       listed: (listing: Listing<EvacuatedZone>): void => {
-        evacuations.takeListing(listing);
-        this.run();
+        evacuations.applyListing(listing);
+        this.updateReading();
       },
-      changed: (changes: Changes<EvacuatedZone>): void => evacuations.takeChanges(changes),
+      changed: (changes: Changes<EvacuatedZone>): void => evacuations.applyChanges(changes),
     };
     return new CollectionWatcher('evacuations', evacuatedZones, environment, observer, () => ({
-      waitTime: EVACUATIONS_WAIT,
+      waitTime: EVACUATIONS_WAIT_MS,
       pause: 0,
-      firstPause: LISTING_TIME,
+      firstPause: LISTING_TIME_MS,
     }));
   }
 
   private get routingPace(): WatchPacing {
-    const isForAll = this.readers.readForAll(this.circumstances);
-    return { waitTime: this.readers.waitTime(isForAll), pause: 0, firstPause: LISTING_TIME };
+    const isForAll = this.readers.usesSharedReaders(this.circumstances);
+    return { waitTime: this.readers.getWaitTime(isForAll), pause: 0, firstPause: LISTING_TIME_MS };
   }
 
-  private answered(): void {
-    this.readers.answered(this.dependencies.environment.now());
-    this.dependencies.answered();
+  private recordAnswer(): void {
+    this.readers.recordAnswer(this.dependencies.environment.now());
+    this.dependencies.onAnswer();
   }
 
   private failed(): void {
-    this.follow(this.readers.failed(this.circumstances));
+    this.applyDecision(this.readers.recordFailure(this.circumstances));
   }
 
-  private report(): void {
+  private reportReading(): void {
     const { isReading } = this;
     this.dependencies.environment.report(
       isReading ? Events.storeReadingStarted : Events.storeReadingStopped,
-      { recent: this.readers.tell(this.dependencies.environment.now()).length },
+      { recent: this.readers.getLatestReaders(this.dependencies.environment.now()).length },
     );
   }
 }
--- a/src/packets/target-guard.ts
+++ b/src/packets/target-guard.ts
@@ -38,7 +38,7 @@
 
   /** Takes what a balancer tells of the deployment. */
   learn({ evacuations, profiles, storeEra }: SubscribeMessage, balancer: Endpoint): void {
-    this.evacuations.take({ ...evacuations, era: storeEra }, formatEndpoint(balancer));
+    this.evacuations.apply({ ...evacuations, era: storeEra }, formatEndpoint(balancer));
     this.profiles.learn(profiles);
   }
 
--- a/src/packets/zone-evacuations.ts
+++ b/src/packets/zone-evacuations.ts
@@ -15,8 +15,8 @@
 import type { Changes, Listing } from './collection-port';
 import {
   isLater,
-  placeInEra,
-  REWRITE_TIME,
+  resolveEra,
+  REWRITE_TIME_MS,
   UNKNOWN_POSITION,
   type StorePosition,
 } from './store-position';
@@ -27,7 +27,7 @@
 }
 
 /** All zones that are out of service as of a revision, in a message that names its era apart. */
-export interface ToldEvacuations {
+export interface AnnouncedEvacuations {
   readonly revision: number;
   readonly zones: readonly string[];
 }
@@ -45,10 +45,10 @@
 
 /** The zones out of service as one node knows them. */
 export class ZoneEvacuationView {
-  private held = UNKNOWN_EVACUATIONS;
+  private latest = UNKNOWN_EVACUATIONS;
   /** Zones that the present era of the store does not list, and the one before did. */
-  private carried: readonly string[] = [];
-  private carryTimer: TimerHandle | undefined;
+  private retained: readonly string[] = [];
+  private retentionTimer: TimerHandle | undefined;
 
   constructor(
     private readonly environment: Environment,
@@ -57,36 +57,36 @@
 
   /** The latest state known, for other nodes. */
   get current(): ZoneEvacuations {
-    return this.held;
+    return this.latest;
   }
 
   /** The same for a message whose revisions are of an era; nothing while it is known of another. */
-  currentIn(era: number): ZoneEvacuations {
-    return this.held.era === era ? this.held : UNKNOWN_EVACUATIONS;
+  getCurrentIn(era: number): ZoneEvacuations {
+    return this.latest.era === era ? this.latest : UNKNOWN_EVACUATIONS;
   }
 
   /** Whether any state is known. */
   get isKnown(): boolean {
-    return this.held.revision > 0;
+    return this.latest.revision > 0;
   }
 
   isEvacuated(zone: string): boolean {
-    return this.held.zones.includes(zone) || this.carried.includes(zone);
+    return this.latest.zones.includes(zone) || this.retained.includes(zone);
   }
 
   /** Takes a whole listing of the store. */
-  takeListing({ items, era, revision }: Listing<EvacuatedZone>): void {
-    this.take({ era, revision, zones: items.map(({ item }) => item.zone) }, 'store');
+  applyListing({ items, era, revision }: Listing<EvacuatedZone>): void {
+    this.apply({ era, revision, zones: items.map(({ item }) => item.zone) }, 'store');
   }
 
   /** Takes changes that the store told, in their order. */
-  takeChanges({ changes, era, revision }: Changes<EvacuatedZone>): void {
-    if (era !== this.held.era) {
+  applyChanges({ changes, era, revision }: Changes<EvacuatedZone>): void {
+    if (era !== this.latest.era) {
       return;
     }
-    const zones = new Set(this.held.zones);
+    const zones = new Set(this.latest.zones);
     for (const { item, removed, revision: changedAt } of changes) {
-      if (changedAt <= this.held.revision) {
+      if (changedAt <= this.latest.revision) {
         continue;
       }
       if (removed) {
@@ -95,48 +95,48 @@
         zones.add(item.zone);
       }
     }
-    this.take({ era, revision, zones: [...zones] }, 'store');
+    this.apply({ era, revision, zones: [...zones] }, 'store');
   }
 
   /** Takes what another node knows; what is not later, or says nothing, changes nothing. */
-  take(told: ZoneEvacuations, origin: string): void {
-    const before = this.held;
-    const taken = placeInEra(told, before);
-    if (told.revision === 0 || !isLater(taken, before)) {
+  apply(received: ZoneEvacuations, origin: string): void {
+    const before = this.latest;
+    const resolved = resolveEra(received, before);
+    if (received.revision === 0 || !isLater(resolved, before)) {
       return;
     }
     const zonesBefore = this.zones;
-    this.held = taken;
-    this.carry(before.revision > 0 && taken.era > before.era ? zonesBefore : this.carried);
-    this.tellChanges(zonesBefore, origin, before.revision === 0);
+    this.latest = resolved;
+    this.retain(before.revision > 0 && resolved.era > before.era ? zonesBefore : this.retained);
+    this.reportChanges(zonesBefore, origin, before.revision === 0);
   }
 
   /** Ends the timer. */
   stop(): void {
-    this.carryTimer?.cancel();
+    this.retentionTimer?.cancel();
   }
 
   /** All zones that get no new flows. */
   private get zones(): readonly string[] {
-    return [...this.held.zones, ...this.carried];
+    return [...this.latest.zones, ...this.retained];
   }
 
-  private carry(zones: readonly string[]): void {
-    const hadNone = this.carried.length === 0;
-    this.carried = zones.filter((zone) => !this.held.zones.includes(zone));
-    if (hadNone && this.carried.length > 0) {
-      this.carryTimer = this.environment.startTimer(REWRITE_TIME, () => this.endCarry());
+  private retain(zones: readonly string[]): void {
+    const hadNone = this.retained.length === 0;
+    this.retained = zones.filter((zone) => !this.latest.zones.includes(zone));
+    if (hadNone && this.retained.length > 0) {
+      this.retentionTimer = this.environment.startTimer(REWRITE_TIME_MS, () => this.endRetention());
     }
   }
 
   /** The operator has not taken these zones out of service again: the store's word counts. */
-  private endCarry(): void {
+  private endRetention(): void {
     const zonesBefore = this.zones;
-    this.carried = [];
-    this.tellChanges(zonesBefore, 'store', false);
+    this.retained = [];
+    this.reportChanges(zonesBefore, 'store', false);
   }
 
-  private tellChanges(before: readonly string[], origin: string, isFirst: boolean): void {
+  private reportChanges(before: readonly string[], origin: string, isFirst: boolean): void {
     const { zones } = this;
     const changedZones = [
       ...zones.filter((zone) => !before.includes(zone)),
@@ -146,8 +146,8 @@
       this.environment.report(Events.zonesEvacuated, {
         zones: zones.join(','),
         changed: changedZones.join(','),
-        era: this.held.era,
-        revision: this.held.revision,
+        era: this.latest.era,
+        revision: this.latest.revision,
         origin,
       });
     }
--- a/src/packets/zone-reach.ts
+++ b/src/packets/zone-reachability.ts
@@ -8,19 +8,19 @@
 import { computeReportInterval } from './report-interval';
 
 /** Agents of a zone from which on their common silence says something. */
-const AGENTS_NEEDED = 6;
+const MINIMUM_ZONE_AGENTS = 6;
 /**
  * Part of the time between two reports of one agent for which all of a zone must be silent: agents
  * that started together, within a fifth of that time, leave a gap of four fifths.
  */
-const SILENT_SHARE = 0.8;
+const SILENCE_SHARE = 0.8;
 /** Milliseconds of silence at least, however often agents report. */
-const SHORTEST_SILENCE = 250;
+const MINIMUM_SILENCE_MS = 250;
 /**
  * Part of that silence after whose begin another zone must have been heard: a balancer that hears
  * nobody has been held up itself.
  */
-const OTHERS_SHARE = 0.5;
+const OTHER_ZONE_SHARE = 0.5;
 
 /** What is known of one zone. */
 interface ZoneContact {
@@ -29,11 +29,11 @@
 }
 
 /** The zones as one balancer hears them. */
-export class ZoneReach {
+export class ZoneReachability {
   private readonly zones = new Map<string, ZoneContact>();
 
   /** An agent of a zone is heard. */
-  heard(zone: string, now: number): void {
+  recordReport(zone: string, now: number): void {
     const contact = this.zones.get(zone);
     if (contact) {
       contact.heardAt = now;
@@ -43,7 +43,7 @@
   }
 
   /** An agent of a zone was added to the directory, or taken out. */
-  count(zone: string, change: 1 | -1): void {
+  adjustAgentCount(zone: string, change: 1 | -1): void {
     const contact = this.zones.get(zone);
     if (contact) {
       contact.agents += change;
@@ -59,15 +59,15 @@
    */
   isSilent(zone: string, agents: number, now: number, listeningSince = -Infinity): boolean {
     const contact = this.zones.get(zone);
-    if (!contact || contact.agents < AGENTS_NEEDED || contact.heardAt === -Infinity) {
+    if (!contact || contact.agents < MINIMUM_ZONE_AGENTS || contact.heardAt === -Infinity) {
       return false;
     }
     const silentSince = Math.max(contact.heardAt, listeningSince);
-    const limit = Math.max(SHORTEST_SILENCE, computeReportInterval(agents) * SILENT_SHARE);
-    return now - silentSince > limit && this.hearsOther(zone, silentSince + limit * OTHERS_SHARE);
+    const limit = Math.max(MINIMUM_SILENCE_MS, computeReportInterval(agents) * SILENCE_SHARE);
+    return now - silentSince > limit && this.hasHeardOther(zone, silentSince + limit * OTHER_ZONE_SHARE);
   }
 
-  private hearsOther(zone: string, since: number): boolean {
+  private hasHeardOther(zone: string, since: number): boolean {
     for (const [other, { heardAt }] of this.zones) {
       if (other !== zone && heardAt > since) {
         return true;
--- a/test/agent-subscriptions.test.ts
+++ b/test/agent-subscriptions.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { AgentDirectory } from '../src/packets/agent-directory';
 import { AgentSubscriptions } from '../src/packets/agent-subscriptions';
-import type { DeploymentNews } from '../src/packets/deployment-news';
+import type { DeploymentState } from '../src/packets/deployment-state';
 import type { SubscribeMessage } from '../src/packets/packet-messages';
 import { createReport } from './support/reports';
 import { UNKNOWN_EVACUATIONS } from '../src/packets/zone-evacuations';
@@ -12,7 +12,7 @@
 const NO_ERAS = { storeEra: 0, asksEra: 0 };
 
 /** News of one version of the configuration. */
-function createNews(version: number): DeploymentNews {
+function createNews(version: number): DeploymentState {
   const profile = { service: 'map', latencyGoal: 250, coldTime: 0, coldRate: 0 };
   return {
     evacuations: { era: 1, revision: 7, zones: ['south'] },
@@ -37,7 +37,7 @@
 
   /** The agent reports in one of its runs. */
   hear(run: number): void {
-    this.directory.hear(AGENT, createReport({ run, sequence: ++this.sequence }), this.now);
+    this.directory.recordReport(AGENT, createReport({ run, sequence: ++this.sequence }), this.now);
   }
 
   /** Lets time pass, in which the agent goes on reporting. */
@@ -87,7 +87,7 @@
 
 test('an agent that is not heard yet is told each time', (t) => {
   const subscriptions = new Subscriptions();
-  subscriptions.directory.learn({ address: AGENT, service: 'map', zone: 'north' }, 1, 0);
+  subscriptions.directory.upsert({ address: AGENT, service: 'map', zone: 'north' }, 1, 0);
   const silent = new AgentSubscriptions(
     'north',
     subscriptions.directory,
--- a/test/ended-flows.test.ts
+++ b/test/ended-flows.test.ts
@@ -41,7 +41,7 @@
       type: PacketMessageType.search,
       searchId: 1,
       balancer: BALANCER,
-      phase: SearchPhase.askOnly,
+      phase: SearchPhase.queryOnly,
       position: 0,
       agents: [AGENT, NEXT_AGENT],
       services: ['map'],
--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -25,7 +25,7 @@
   const directory = new AgentDirectory();
   return reports.map((fields, address) => {
     const report = createReport({ slots: 1, answerTime: ANSWER_TIME_MS, ...fields });
-    return directory.hear(address + 1, report, 0)!;
+    return directory.recordReport(address + 1, report, 0)!;
   });
 }
 
@@ -323,10 +323,10 @@
 
 test('what is kept of openings is bounded, though agents are silent and services go', (t) => {
   const directory = new AgentDirectory();
-  const entry = directory.hear(1, createReport(), 0)!;
+  const entry = directory.recordReport(1, createReport(), 0)!;
   const rates = new OpeningRates();
   for (let now = 1; now <= 5_000; now++) {
-    directory.noteOpening(entry, false, now);
+    directory.recordOpening(entry, false, now);
     rates.recordOpening(`service-${now}`, now);
   }
   t.is(entry.recentOpenings.length, 1_000);
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -19,8 +19,8 @@
 import { decodeSnapshotText, encodeSnapshotText } from '../src/packets/peer-snapshot';
 import { PacketWorld } from '../src/simulation/packets/packet-world';
 import { startModelDeployment } from '../src/simulation/packets/random-faults';
-import { answerOf } from './support/answers';
-import { callStatus } from './support/call-status';
+import { awaitAnswer } from './support/answers';
+import { fetchStatus } from './support/fetch-status';
 import {
   createPorts,
   PacketClient,
@@ -29,10 +29,10 @@
   waitFor,
 } from './support/packet-cluster';
 
-const SETTINGS = { seed: 20_261_203, numRuns: 400 };
+const PROPERTY_SETTINGS = { seed: 20_261_203, numRuns: 400 };
 
 /** Values that readers must bear, among them objects whose conversion to text would throw. */
-const anything = fc.oneof(
+const arbitraryValue = fc.oneof(
   fc.jsonValue({ maxDepth: 3 }),
   fc.constantFrom<unknown>(
     { toString: 1, valueOf: 1 },
@@ -45,7 +45,7 @@
   ),
 );
 
-const GOOD_ROUTE = {
+const VALID_ROUTE = {
   name: 'good',
   host: '198.18.0.1',
   'path-prefix': '/8443/',
@@ -53,15 +53,15 @@
   'slo-ms': 200,
   type: 'safe',
 };
-const GOOD_TABLE = {
+const VALID_TABLE = {
   version: 7,
-  routes: [GOOD_ROUTE],
+  routes: [VALID_ROUTE],
   services: [{ name: 'map', 'cold-start-s': 2 }],
   limits: { 'idle-timeout-ms': 9_000 },
 };
 
 /** A good document with one field, at any depth that matters, replaced or left out. */
-function spoil(document: object, value: unknown): unknown[] {
+function replaceEachField(document: object, value: unknown): unknown[] {
   return Object.keys(document).flatMap((key) => {
     return [
       { ...document, [key]: value },
@@ -71,10 +71,10 @@
 }
 
 test('any object, table, agent or zone is read or left, and never throws', (t) => {
-  const property = fc.property(anything, anything, (value, other) => {
+  const property = fc.property(arbitraryValue, arbitraryValue, (value, other) => {
     readObject(value);
     readEvent(value);
-    for (const spec of [value, { ...GOOD_TABLE, routes: [value, other] }, { routes: value }]) {
+    for (const spec of [value, { ...VALID_TABLE, routes: [value, other] }, { routes: value }]) {
       const object = { name: 'main', revision: 1, spec };
       readRoutingTable(object);
       readAgent(object);
@@ -82,18 +82,18 @@
     }
     return true;
   });
-  fc.assert(property, SETTINGS);
+  fc.assert(property, PROPERTY_SETTINGS);
   t.pass();
 });
 
 test('a route beside unreadable ones holds, they are counted, and peers can be told the table', (t) => {
-  const property = fc.property(fc.array(anything, { maxLength: 4 }), (others) => {
+  const property = fc.property(fc.array(arbitraryValue, { maxLength: 4 }), (others) => {
     const spoilt = others.flatMap((value) => [
       value,
-      ...spoil(GOOD_ROUTE, value),
-      { ...GOOD_ROUTE, service: undefined, backends: [value, { service: 'map', weight: value }] },
+      ...replaceEachField(VALID_ROUTE, value),
+      { ...VALID_ROUTE, service: undefined, backends: [value, { service: 'map', weight: value }] },
     ]);
-    const spec = { ...GOOD_TABLE, routes: [...spoilt, GOOD_ROUTE], services: [...others] };
+    const spec = { ...VALID_TABLE, routes: [...spoilt, VALID_ROUTE], services: [...others] };
     const table = readRoutingTable({ name: 'main', revision: 1, spec })!;
     const view = { viewComplete: true, agents: [], registryRevision: 1, storeEra: 1 };
     const told = decodeSnapshotText(encodeSnapshotText({ ...view, routingTable: table }));
@@ -104,9 +104,9 @@
       told.ok
     );
   });
-  fc.assert(property, SETTINGS);
-  const routes = [GOOD_ROUTE, { ...GOOD_ROUTE, host: 7 }];
-  const table = readRoutingTable({ name: 'main', revision: 1, spec: { ...GOOD_TABLE, routes } })!;
+  fc.assert(property, PROPERTY_SETTINGS);
+  const routes = [VALID_ROUTE, { ...VALID_ROUTE, host: 7 }];
+  const table = readRoutingTable({ name: 'main', revision: 1, spec: { ...VALID_TABLE, routes } })!;
   t.is(table.unreadableRoutes, 1);
   t.is(table.routes.length, 1);
 });
@@ -115,11 +115,11 @@
   const spoilt: unknown[] = [
     null,
     {},
-    { ...GOOD_TABLE, version: '8' },
-    { ...GOOD_TABLE, version: 7.5 },
-    { ...GOOD_TABLE, version: -1 },
-    { ...GOOD_TABLE, routes: {} },
-    { ...GOOD_TABLE, routes: [{ ...GOOD_ROUTE, service: 3 }] },
+    { ...VALID_TABLE, version: '8' },
+    { ...VALID_TABLE, version: 7.5 },
+    { ...VALID_TABLE, version: -1 },
+    { ...VALID_TABLE, routes: {} },
+    { ...VALID_TABLE, routes: [{ ...VALID_ROUTE, service: 3 }] },
   ];
   for (const spec of spoilt) {
     t.is(readRoutingTable({ name: 'main', revision: 1, spec }), undefined, JSON.stringify(spec));
@@ -158,14 +158,14 @@
 test('what a reader takes of any heartbeat is fit to be told', (t) => {
   const property = fc.property(
     fc.constantFrom(...Object.keys(HEARTBEAT)),
-    anything,
+    arbitraryValue,
     (key, value) => {
       const read = readHeartbeat('i', JSON.stringify({ ...HEARTBEAT, [key]: value }));
       const numbers = read ? [read.slots, read.coldLeft, read.sequence, read.born ?? 0] : [];
       return numbers.every((number) => Number.isFinite(number) && number >= 0);
     },
   );
-  fc.assert(property, SETTINGS);
+  fc.assert(property, PROPERTY_SETTINGS);
   t.pass();
 });
 
@@ -185,7 +185,7 @@
   await new Promise((done) => server.once('listening', done));
   const { port } = server.address() as AddressInfo;
   const put = (body: string): Promise<number> =>
-    callStatus('127.0.0.1', port, 'PUT', '/hallhold/instances/i', body);
+    fetchStatus('127.0.0.1', port, 'PUT', '/hallhold/instances/i', body);
   t.is(await put('\u0000\ufffd{'), 400);
   t.is(await put(JSON.stringify({ ...HEARTBEAT, state: 'sleeping' })), 400);
   t.is(await put(JSON.stringify({ ...HEARTBEAT, service: 'unknown' })), 400);
@@ -204,7 +204,7 @@
   t.true(node.heartbeat({ incarnation: 'other', service: 'tiles', ...state }));
 });
 
-const JUNK: readonly unknown[] = [
+const INVALID_OBJECTS: readonly unknown[] = [
   {},
   null,
   7,
@@ -222,7 +222,7 @@
   service: 'map',
   zone: 'north',
 };
-const GOOD_AGENT = {
+const VALID_AGENT = {
   meta: { name: '10-0-0-1', rev: 4 },
   spec: { address: '10.0.0.1:7000', service: 'map', zone: 'north' },
 };
@@ -249,27 +249,27 @@
 
 test('good entries of a listing and of changes hold beside others, which are counted', async (t) => {
   const api = await createApi(t, (path, response) => {
-    const events = [...JUNK.map((object) => ({ object })), ...JUNK, { object: GOOD_AGENT }];
-    const listing = { items: [...JUNK, GOOD_AGENT, ...JUNK], more: false, at: 9 };
+    const events = [...INVALID_OBJECTS.map((object) => ({ object })), ...INVALID_OBJECTS, { object: VALID_AGENT }];
+    const listing = { items: [...INVALID_OBJECTS, VALID_AGENT, ...INVALID_OBJECTS], more: false, at: 9 };
     response.end(JSON.stringify(path.includes('watch') ? { events, at: 9 } : listing));
   });
   const registry = new AgentObjects(api);
-  const listing = (await answerOf(registry.list.bind(registry))).unwrap();
+  const listing = (await awaitAnswer(registry.list.bind(registry))).unwrap();
   t.deepEqual(
     listing.items.map(({ item }) => item),
     [AGENT],
   );
-  t.is(listing.skipped, 2 * JUNK.length);
-  const changes = await answerOf<Changes<AgentRecord>>((answer) =>
+  t.is(listing.skipped, 2 * INVALID_OBJECTS.length);
+  const changes = await awaitAnswer<Changes<AgentRecord>>((answer) =>
     registry.awaitChanges(listing, 100, answer),
   );
   t.deepEqual(
     changes.unwrap().changes.map(({ item }) => item),
     [AGENT],
   );
-  t.is(changes.unwrap().skipped, 2 * JUNK.length);
+  t.is(changes.unwrap().skipped, 2 * INVALID_OBJECTS.length);
   const zones = evacuatedZones(api);
-  const names = (await answerOf(zones.list.bind(zones))).unwrap().items.map(({ name }) => name);
+  const names = (await awaitAnswer(zones.list.bind(zones))).unwrap().items.map(({ name }) => name);
   t.true(names.includes('10-0-0-1'), 'an object of any content takes the zone of its name out');
 });
 
@@ -278,24 +278,24 @@
   for (const body of bodies) {
     const api = await createApi(t, (_path, response) => response.end(body));
     const tables = routingTables(api);
-    const listing = await answerOf(tables.list.bind(tables));
+    const listing = await awaitAnswer(tables.list.bind(tables));
     t.is(listing.err && listing.val.resultCode, ResultCodes.storeAnswerInvalid, body);
   }
 });
 
 test('pages are joined as of the first, so that a change meanwhile is among those that follow', async (t) => {
   const asked: string[] = [];
-  const other = { ...GOOD_AGENT, meta: { name: '10-0-0-2', rev: 12 } };
-  const spec = { ...GOOD_AGENT.spec, address: '10.0.0.2:7000' };
+  const other = { ...VALID_AGENT, meta: { name: '10-0-0-2', rev: 12 } };
+  const spec = { ...VALID_AGENT.spec, address: '10.0.0.2:7000' };
   const api = await createApi(t, (path, response) => {
     asked.push(path);
     const isFirst = !path.includes('after');
-    const first = { items: [GOOD_AGENT, {}], more: true, at: 9 };
+    const first = { items: [VALID_AGENT, {}], more: true, at: 9 };
     const second = { items: [{ ...other, spec }], more: false, at: 15 };
     response.end(JSON.stringify(isFirst ? first : second));
   });
   const registry = new AgentObjects(api);
-  const listing = (await answerOf(registry.list.bind(registry))).unwrap();
+  const listing = (await awaitAnswer(registry.list.bind(registry))).unwrap();
   t.deepEqual([listing.items.length, listing.revision, listing.skipped], [2, 9, 1]);
   t.deepEqual(asked, ['/hallhold/objects/agents', '/hallhold/objects/agents?after=10-0-0-1']);
 });
@@ -304,16 +304,16 @@
   let era = 1;
   const api = await createApi(t, (_path, response) => {
     response.setHeader('Store-Era', String(era++));
-    response.end(JSON.stringify({ items: [GOOD_AGENT], more: era === 2, at: 9 }));
+    response.end(JSON.stringify({ items: [VALID_AGENT], more: era === 2, at: 9 }));
   });
   const registry = new AgentObjects(api);
-  const listing = await answerOf(registry.list.bind(registry));
+  const listing = await awaitAnswer(registry.list.bind(registry));
   t.is(listing.err && listing.val.resultCode, ResultCodes.storeEraChanged);
   const endless = await createApi(t, (_path, response) =>
-    response.end(JSON.stringify({ items: [GOOD_AGENT], more: true, at: 9 })),
+    response.end(JSON.stringify({ items: [VALID_AGENT], more: true, at: 9 })),
   );
   const other = new AgentObjects(endless);
-  const result = await answerOf(other.list.bind(other));
+  const result = await awaitAnswer(other.list.bind(other));
   t.is(result.err && result.val.resultCode, ResultCodes.storeAnswerInvalid);
 });
 
@@ -324,14 +324,14 @@
   await cluster.start();
   const { store } = cluster;
   const addJunk = (): void => {
-    JUNK.forEach((object, index) => {
+    INVALID_OBJECTS.forEach((object, index) => {
       for (const kind of ['config', 'agents']) {
         store.putRaw(kind, `junk-${index}`, object);
       }
     });
   };
   addJunk();
-  store.put('config', 'main', { ...GOOD_TABLE, routes: [{}, GOOD_ROUTE, 7] });
+  store.put('config', 'main', { ...VALID_TABLE, routes: [{}, VALID_ROUTE, 7] });
   const balancer = cluster.spawn('balancer', '127.61.1.1');
   const agent = cluster.spawn('agent', '127.61.2.1', 'map');
   const target = await PacketTarget.start('127.61.2.1', cluster.ports, 'map');
@@ -348,7 +348,7 @@
   addJunk();
   store.put('config', 'main', { version: 'none' });
   const junk = JSON.stringify({ service: 'map', slots: '4', state: 'draining', seq: 99 });
-  const beat = callStatus('127.61.2.1', base + 5, 'PUT', '/hallhold/instances/i-1', junk);
+  const beat = fetchStatus('127.61.2.1', base + 5, 'PUT', '/hallhold/instances/i-1', junk);
   t.is(await beat, 400);
   t.is(await client.ask('127.61.1.1', 'two'), 'answer to two');
   t.is(await cluster.readiness('127.61.1.1'), 200);
--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -5,10 +5,10 @@
 import { PacketFrameCodec } from '../src/packets/packet-frames';
 import {
   FIRST_FRAME_VERSION,
-  MAXIMUM_ACKNOWLEDGED,
+  MAXIMUM_ACKNOWLEDGED_SEQUENCES,
   PacketMessageType,
-  REPAIR_VERSION,
-  SURE_SEARCH_VERSION,
+  HOP_REPAIR_VERSION,
+  CONCLUSIVE_SEARCH_VERSION,
   type PacketMessage,
 } from '../src/packets/packet-messages';
 import { RepairBudget } from '../src/packets/repair/repair-budget';
@@ -40,12 +40,12 @@
 }
 
 /** A balancer and an agent that know of each other what they understand. */
-function startPair(balancerVersion = REPAIR_VERSION, agentVersion = REPAIR_VERSION): Pair {
+function startPair(balancerVersion = HOP_REPAIR_VERSION, agentVersion = HOP_REPAIR_VERSION): Pair {
   const network = new HopNetwork();
   const balancer = network.attach(new HopNode(BALANCER, network, () => 0.5));
   const agent = network.attach(new HopNode(AGENT, network, () => 0.25));
-  balancer.link.noteVersion(AGENT, agentVersion);
-  agent.link.noteRepairs(BALANCER, balancerVersion);
+  balancer.link.recordVersion(AGENT, agentVersion);
+  agent.link.recordHopRepair(BALANCER, balancerVersion);
   return { network, balancer, agent };
 }
 
@@ -150,7 +150,7 @@
 });
 
 test('an old agent gets deliveries, an old balancer refusals, as they were', (t) => {
-  const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION, SURE_SEARCH_VERSION);
+  const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION, CONCLUSIVE_SEARCH_VERSION);
   balancer.send(AGENT);
   agent.refuse(BALANCER);
   network.runFor(SETTLED_MS);
@@ -171,20 +171,20 @@
 });
 
 test('a balancer whose version is told late or never keeps its compact frames', (t) => {
-  const { network, agent, balancer } = startPair(FIRST_FRAME_VERSION, SURE_SEARCH_VERSION);
+  const { network, agent, balancer } = startPair(FIRST_FRAME_VERSION, CONCLUSIVE_SEARCH_VERSION);
   balancer.send(AGENT);
   network.runFor(10);
-  agent.link.noteRepairs(BALANCER, FIRST_FRAME_VERSION);
-  t.true(agent.link.speaksCompact(BALANCER));
-  agent.link.noteRepairs(BALANCER, REPAIR_VERSION);
-  agent.link.noteCompact(BALANCER);
-  t.true(agent.link.repairsHops(BALANCER));
+  agent.link.recordHopRepair(BALANCER, FIRST_FRAME_VERSION);
+  t.true(agent.link.supportsCompactFrames(BALANCER));
+  agent.link.recordHopRepair(BALANCER, HOP_REPAIR_VERSION);
+  agent.link.recordCompactFrames(BALANCER);
+  t.true(agent.link.supportsHopRepair(BALANCER));
 });
 
 test('with the setting off nothing is numbered, and what others number is acknowledged', (t) => {
   const { network, agent } = startPair();
   const silent = network.attach(new HopNode(BALANCER, network, () => 0.5, false));
-  silent.link.noteVersion(AGENT, REPAIR_VERSION);
+  silent.link.recordVersion(AGENT, HOP_REPAIR_VERSION);
   silent.send(AGENT);
   agent.refuse(BALANCER);
   network.runFor(SETTLED_MS);
@@ -220,7 +220,7 @@
     // The session differs; the numbers begin close to those of the run before.
     const random = (): number => (drawn++ === 0 ? 0.3 : draws);
     const next = network.attach(new HopNode(BALANCER, network, random));
-    next.link.noteVersion(AGENT, REPAIR_VERSION);
+    next.link.recordVersion(AGENT, HOP_REPAIR_VERSION);
     for (let count = 0; count < 30; count++) {
       next.send(AGENT, `packet ${count}`);
     }
@@ -313,7 +313,7 @@
   const messages = 400;
   for (let count = 0; count < messages; count++) {
     const other = AGENT + 1 + count;
-    balancer.link.noteVersion(other, REPAIR_VERSION);
+    balancer.link.recordVersion(other, HOP_REPAIR_VERSION);
     balancer.send(other);
     network.runFor(2);
   }
@@ -380,8 +380,8 @@
   balancer.send(AGENT);
   agent.refuse(BALANCER);
   network.runFor(10);
-  balancer.link.noteVersion(AGENT, SURE_SEARCH_VERSION);
-  agent.link.noteRepairs(BALANCER, FIRST_FRAME_VERSION);
+  balancer.link.recordVersion(AGENT, CONCLUSIVE_SEARCH_VERSION);
+  agent.link.recordHopRepair(BALANCER, FIRST_FRAME_VERSION);
   network.runFor(SETTLED_MS);
   t.is(balancer.findSentFrames(numberedDeliver).length, 1);
   t.is(agent.findSentFrames(numberedRefusal).length, 1);
@@ -445,7 +445,7 @@
   const draws = [0.25, 1 - 2 ** -32];
   const balancer = network.attach(new HopNode(BALANCER, network, () => draws.shift() ?? 0));
   const agent = network.attach(new HopNode(AGENT, network, () => 0));
-  balancer.link.noteVersion(AGENT, REPAIR_VERSION);
+  balancer.link.recordVersion(AGENT, HOP_REPAIR_VERSION);
   network.isLost = dropFirst(numberedDeliver, 3);
   ['one', 'two', 'three'].forEach((data) => balancer.send(AGENT, data));
   network.runFor(SETTLED_MS);
@@ -549,9 +549,9 @@
     return decoded.err && decoded.val.resultCode === ResultCodes.frameMalformed;
   };
   const head = Buffer.from([received, 0, 0, 0, 1]);
-  const lengths = [0, 1, 3, 5, 4 * MAXIMUM_ACKNOWLEDGED + 4];
+  const lengths = [0, 1, 3, 5, 4 * MAXIMUM_ACKNOWLEDGED_SEQUENCES + 4];
   lengths.forEach((length) => t.true(isMalformed(Buffer.concat([head, Buffer.alloc(length)]))));
-  const longest = Buffer.concat([head, Buffer.alloc(4 * MAXIMUM_ACKNOWLEDGED)]);
+  const longest = Buffer.concat([head, Buffer.alloc(4 * MAXIMUM_ACKNOWLEDGED_SEQUENCES)]);
   t.false(isMalformed(longest));
   t.true(isMalformed(head.subarray(0, 3)));
   const [delivery, refusal] = HOP_MESSAGES;
@@ -571,7 +571,7 @@
 });
 
 test('a router numbers packets for agents that are heard, and only for those', (t) => {
-  const harness = new RouterHarness([REPAIR_VERSION]);
+  const harness = new RouterHarness([HOP_REPAIR_VERSION]);
   const [agent] = harness.agents;
   harness.router.route(harness.createOpening(5));
   t.deepEqual(
@@ -595,7 +595,7 @@
 });
 
 test('a router acts on a refusal once', (t) => {
-  const harness = new RouterHarness([REPAIR_VERSION, REPAIR_VERSION]);
+  const harness = new RouterHarness([HOP_REPAIR_VERSION, HOP_REPAIR_VERSION]);
   harness.router.route(harness.createOpening(5));
   const [first] = harness.sent;
   const { message, to } = first!;
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -45,7 +45,7 @@
 }
 
 function createEntry(address: number, fields: Partial<ReportMessage>): AgentEntry {
-  return new AgentDirectory().hear(address, createReport(fields), 0)!;
+  return new AgentDirectory().recordReport(address, createReport(fields), 0)!;
 }
 
 test('the distance of a zone is the shortest round trip beyond that of the own zone', (t) => {
@@ -89,7 +89,7 @@
   readonly sent: { readonly agent: number; readonly probe: DistanceProbeMessage }[];
 } {
   const directory = new AgentDirectory();
-  reports.forEach((fields, index) => directory.hear(index + 1, createReport(fields), 0));
+  reports.forEach((fields, index) => directory.recordReport(index + 1, createReport(fields), 0));
   const distances = new ZoneDistances('north');
   const sent: { agent: number; probe: DistanceProbeMessage }[] = [];
   const probes = new DistanceProbes(directory, distances, (agent, probe) =>
@@ -107,7 +107,7 @@
   for (let now = 0; now <= 7_000; now += 250) {
     for (const agent of [1, 2, 3]) {
       const { report } = directory.find(agent)!;
-      directory.hear(agent, { ...report!, sequence: report!.sequence + 1 }, now);
+      directory.recordReport(agent, { ...report!, sequence: report!.sequence + 1 }, now);
     }
     const before = sent.length;
     probes.sendDueProbes(now);
@@ -149,7 +149,7 @@
   const type = PacketMessageType.distanceReply;
   for (let now = 0; now <= 4_000; now += 250) {
     const { report } = directory.find(1)!;
-    directory.hear(1, { ...report!, sequence: report!.sequence + 1 }, now);
+    directory.recordReport(1, { ...report!, sequence: report!.sequence + 1 }, now);
     for (const { probe } of sent.filter(({ probe: { sentAt } }) => sentAt === now - 750)) {
       probes.handleReply(1, { type, sentAt: probe.sentAt }, now);
     }
@@ -278,11 +278,11 @@
 test('bytes of a service are the mean of its agents that tell them, kept for a moment', (t) => {
   const directory = new AgentDirectory();
   const traffic = new ServiceFlowBytes(directory);
-  directory.hear(1, createReport(), 0);
+  directory.recordReport(1, createReport(), 0);
   t.is(traffic.getMeanBytes('map', 0), DEFAULT_FLOW_BYTES);
-  directory.hear(2, createReport({ flowBytes: 4_000 }), 0);
-  directory.hear(3, createReport({ flowBytes: 6_000 }), 0);
-  directory.hear(4, createReport({ flowBytes: 80_000, service: 'files' }), 0);
+  directory.recordReport(2, createReport({ flowBytes: 4_000 }), 0);
+  directory.recordReport(3, createReport({ flowBytes: 6_000 }), 0);
+  directory.recordReport(4, createReport({ flowBytes: 80_000, service: 'files' }), 0);
   t.is(traffic.getMeanBytes('map', 50), DEFAULT_FLOW_BYTES);
   t.is(traffic.getMeanBytes('map', 100), 5_000);
   t.is(traffic.getMeanBytes('files', 100), 80_000);
@@ -291,7 +291,7 @@
 /** Costs in a world of one service with flows of some bytes and a zone at some distance. */
 function createCosts(flowBytes: number, distance: number, transferCost: number): MeasuredCosts {
   const directory = new AgentDirectory();
-  directory.hear(1, createReport({ flowBytes }), 0);
+  directory.recordReport(1, createReport({ flowBytes }), 0);
   const distances = new ZoneDistances('north');
   distances.addSample('south', distance, 0);
   return new MeasuredCosts('north', transferCost, distances, new ServiceFlowBytes(directory));
@@ -435,7 +435,7 @@
     const { message } = searching.sent[0]!;
     t.true(
       message.type === PacketMessageType.search &&
-        message.phase === SearchPhase.askOnly &&
+        message.phase === SearchPhase.queryOnly &&
         message.agents.includes(opening.sent[0]!.to),
     );
   }
@@ -461,7 +461,7 @@
   draining.agents.forEach((agent, index) => {
     const zone = index % 2 === 0 ? 'north' : 'south';
     const state = index % 2 === 0 ? TargetState.draining : TargetState.ready;
-    draining.directory.hear(agent, createReport({ sequence: 2, zone, state }), 1_000);
+    draining.directory.recordReport(agent, createReport({ sequence: 2, zone, state }), 1_000);
   });
   const evacuated = createPair(() => 0)('north');
   evacuated.evacuatedZones = ['north'];
@@ -469,7 +469,7 @@
   silent.now += 20_000;
   silent.agents.forEach((agent, index) => {
     if (index % 2 === 1) {
-      silent.directory.hear(agent, createReport({ sequence: 2, zone: 'south' }), silent.now);
+      silent.directory.recordReport(agent, createReport({ sequence: 2, zone: 'south' }), silent.now);
     }
   });
   for (const harness of [draining, evacuated, silent]) {
@@ -496,7 +496,7 @@
         harness.directory.forget(agent);
       }
       if (!isHome || harness !== silent) {
-        harness.directory.hear(agent, next, harness.now);
+        harness.directory.recordReport(agent, next, harness.now);
       }
     });
     harness.router.route(harness.createOpening(CLIENT));
@@ -510,7 +510,7 @@
   harness.agents.forEach((agent, index) => {
     if (index % 2 === 0) {
       const busy = { busyRequests: 4, slots: 1, answerTime: 16 };
-      harness.directory.hear(agent, createReport({ sequence: 2, ...busy }), harness.now);
+      harness.directory.recordReport(agent, createReport({ sequence: 2, ...busy }), harness.now);
     }
   });
   harness.router.route(harness.createOpening(CLIENT));
@@ -577,7 +577,7 @@
       balancer.agents.forEach((agent, index) => {
         const busyRequests = Math.ceil(Math.max(0, freeAt[index]! - now) / work);
         const fields = { ...reports[index]!, busyRequests, sequence: step + 2 };
-        balancer.directory.hear(agent, createReport(fields), now);
+        balancer.directory.recordReport(agent, createReport(fields), now);
         balancer.directory.find(agent)!.recentOpenings = [];
       });
     });
@@ -611,7 +611,7 @@
     harness.agents.forEach((agent) => {
       const { report } = harness.directory.find(agent)!;
       const next = { ...report!, sequence: report!.sequence + 1 };
-      harness.directory.hear(agent, next, harness.now);
+      harness.directory.recordReport(agent, next, harness.now);
     });
   }
   const of = (event: EventKind): EventFields[] =>
--- a/test/opening-admission.test.ts
+++ b/test/opening-admission.test.ts
@@ -64,7 +64,7 @@
 function openWithBusyTargets(busyRequests: number, priority: number): RouterHarness {
   const harness = new RouterHarness([6, 6, 6, 6, 6, 6]);
   harness.agents.forEach((agent) =>
-    harness.directory.hear(agent, createReport({ sequence: 2, busyRequests }), harness.now),
+    harness.directory.recordReport(agent, createReport({ sequence: 2, busyRequests }), harness.now),
   );
   const services = [{ service: 'map', weight: 1 }];
   const terms = { latencyGoal: 300, deadline: DEADLINE_MS };
@@ -95,7 +95,7 @@
     const sequence = 4 + round;
     harness.agents.forEach((agent) => {
       const report = agent === bad ? { ...failing, sequence } : { sequence };
-      harness.directory.hear(agent, createReport(report), harness.now);
+      harness.directory.recordReport(agent, createReport(report), harness.now);
     });
     harness.router.route(harness.createOpening(CLIENT + 1 + round));
   }
--- a/test/outliers.test.ts
+++ b/test/outliers.test.ts
@@ -121,7 +121,7 @@
   hear(address: number, fields: Partial<ReportMessage>): void {
     const usual = { slots: 1, answerTime: 20, balancerCount: this.balancers };
     const report = createReport({ ...usual, ...fields, sequence: ++this.sequence });
-    this.directory.hear(address, report, this.now);
+    this.directory.recordReport(address, report, this.now);
   }
 
   get first(): AgentEntry {
@@ -137,7 +137,7 @@
   }
 
   /** @param mayTry whether the flow's request may be repeated */
-  place(mayTry: boolean, entries = [...this.directory.all()]): Choice {
+  place(mayTry: boolean, entries = [...this.directory.getAll()]): Choice {
     const context = createSelectionContext({
       now: this.now,
       getOutlierStatus: (entry) => this.ejection.getStatus(entry, mayTry, this.now),
@@ -230,8 +230,8 @@
 test('a large fleet is compared less often, as its reports come less often', (t) => {
   const watch = new EjectionHarness();
   let comparisons = 0;
-  const find = watch.directory.ofServices.bind(watch.directory);
-  watch.directory.ofServices = (services) => {
+  const find = watch.directory.findByServices.bind(watch.directory);
+  watch.directory.findByServices = (services) => {
     comparisons++;
     return find(services);
   };
@@ -324,7 +324,7 @@
     harness.agents.forEach((agent, index) => {
       const fields = index === 0 ? FAILING : { busyRequests: 2 };
       const report = createReport({ ...fields, sequence: round + 2 });
-      harness.directory.hear(agent, report, harness.now);
+      harness.directory.recordReport(agent, report, harness.now);
     });
     harness.router.route(harness.createOpening(100 + round, openingCopy));
   }
--- a/test/packet-directory.test.ts
+++ b/test/packet-directory.test.ts
@@ -9,37 +9,37 @@
 
 test('a target that drains gets no new flow while its restarted agent does not know it', (t) => {
   const directory = new AgentDirectory();
-  directory.hear(AGENT, createReport({ state: TargetState.draining }), 0);
-  directory.hear(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
-  const entry = directory.hear(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
+  directory.recordReport(AGENT, createReport({ state: TargetState.draining }), 0);
+  directory.recordReport(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
+  const entry = directory.recordReport(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
   t.false(acceptsNewFlows(entry));
-  directory.hear(AGENT, createReport({ run: 2, sequence: 2 }), 600);
+  directory.recordReport(AGENT, createReport({ run: 2, sequence: 2 }), 600);
   t.true(acceptsNewFlows(entry));
 });
 
 test('a target that was ready may get new flows while its restarted agent does not know it', (t) => {
   const directory = new AgentDirectory();
-  directory.hear(AGENT, createReport(), 0);
-  directory.hear(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
-  const entry = directory.hear(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
+  directory.recordReport(AGENT, createReport(), 0);
+  directory.recordReport(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
+  const entry = directory.recordReport(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
   t.true(acceptsNewFlows(entry));
 });
 
 test('a new agent draws no flows until other balancers know it, those known from the start do', (t) => {
   const directory = new AgentDirectory();
-  const known = directory.learn({ address: AGENT, service: 's', zone: 'z' }, 4, 1_000);
+  const known = directory.upsert({ address: AGENT, service: 's', zone: 'z' }, 4, 1_000);
   directory.markComplete(1_000);
   t.false(directory.isSettling(known, 1_000));
-  const late = directory.learn({ address: AGENT + 1, service: 's', zone: 'z' }, 5, 1_100);
+  const late = directory.upsert({ address: AGENT + 1, service: 's', zone: 'z' }, 5, 1_100);
   t.true(directory.isSettling(late, 3_000));
   t.false(directory.isSettling(late, 3_200));
 });
 
 test('what an agent says of itself goes before an entry of an earlier target at its address', (t) => {
   const directory = new AgentDirectory();
-  directory.learn({ address: AGENT, service: 'old', zone: 'z' }, 4, 0);
-  directory.hear(AGENT, createReport({ service: 'new' }), 10);
+  directory.upsert({ address: AGENT, service: 'old', zone: 'z' }, 4, 0);
+  directory.recordReport(AGENT, createReport({ service: 'new' }), 10);
   t.is(directory.find(AGENT)!.registryRevision, undefined);
-  directory.learn({ address: AGENT, service: 'old', zone: 'z' }, 4, 20);
+  directory.upsert({ address: AGENT, service: 'old', zone: 'z' }, 4, 20);
   t.is(directory.find(AGENT)!.service, 'new');
 });
--- a/test/packet-frames.test.ts
+++ b/test/packet-frames.test.ts
@@ -70,7 +70,7 @@
 
 /** Signs any body, as a faulty program with the right key would. */
 class BodySigner extends PacketFrameCodec {
-  sign(body: Buffer): Buffer {
+  signBody(body: Buffer): Buffer {
     const frame = Buffer.concat([Buffer.alloc(18), body]);
     this.seal(frame, 2);
     return frame;
@@ -85,7 +85,7 @@
     const body = Buffer.alloc(1 + Math.floor(random.next() * 40), 0);
     body.forEach((_, index) => (body[index] = Math.floor(random.next() * 256)));
     body[0] = types[round % types.length]!;
-    const decoded = signer.decode(signer.sign(body));
+    const decoded = signer.decode(signer.signBody(body));
     t.true(decoded.ok || decoded.val.resultCode === ResultCodes.frameMalformed);
   }
 });
@@ -99,7 +99,7 @@
   link.send(1, deliver!);
   link.receiveFrom(1, codec.encodeCompact(deliver!));
   link.send(1, deliver!);
-  link.noteVersion(1, 1);
+  link.recordVersion(1, 1);
   link.send(1, deliver!);
   t.deepEqual(versions, [1, 2, 1]);
 });
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -42,7 +42,7 @@
       type: PacketMessageType.search,
       searchId: 1,
       balancer: 9,
-      phase: SearchPhase.ask,
+      phase: SearchPhase.query,
       position: 0,
       agents,
       services: ['map'],
@@ -117,7 +117,7 @@
 /** Outcome of one search message as its last agent tells it. */
 function answerSearch(harness: RouterHarness, search: SearchMessage): void {
   const { searchId, agents, payload } = search;
-  if (search.phase === SearchPhase.askOnly) {
+  if (search.phase === SearchPhase.queryOnly) {
     harness.router.noneKnows({ type: PacketMessageType.noneKnows, searchId, agents, payload });
   } else {
     harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
@@ -137,7 +137,7 @@
   const { harness, groups } = beginGroups(100);
   t.deepEqual(
     groups.map(({ phase, agents }) => [phase, agents.length]),
-    [25, 25, 25, 15].map((length) => [SearchPhase.askOnly, length]),
+    [25, 25, 25, 15].map((length) => [SearchPhase.queryOnly, length]),
   );
   groups.slice(0, 3).forEach((group) => answerSearch(harness, group));
   t.is(harness.sent.length, 5);
@@ -156,7 +156,7 @@
 test('the likely agents are only asked, and offered a packet once all others were asked too', (t) => {
   const { harness, groups } = beginGroups(100);
   const first = asSearch(harness.sent[0]!);
-  t.is(first.phase, SearchPhase.askOnly);
+  t.is(first.phase, SearchPhase.queryOnly);
   const asked = new Set([first, ...groups].flatMap(({ agents }) => agents));
   t.is(asked.size, 100);
   groups.forEach((group) => answerSearch(harness, group));
@@ -208,7 +208,7 @@
   harness.router.route(harness.createData(CLIENT));
   answerSearch(harness, asSearch(harness.sent[0]!));
   t.is(harness.sent.length, 2);
-  t.is(asSearch(harness.sent[1]!).phase, SearchPhase.ask);
+  t.is(asSearch(harness.sent[1]!).phase, SearchPhase.query);
 });
 
 test('a dead flow costs its balancer one message each way, whatever copies come', (t) => {
@@ -243,7 +243,7 @@
   harness.router.route(harness.createData(CLIENT));
   const first = asSearch(harness.sent[0]!);
   t.is(first.agents.length, 2);
-  harness.directory.hear(late!, entry.report!, harness.now);
+  harness.directory.recordReport(late!, entry.report!, harness.now);
   const { searchId, agents, payload } = first;
   harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   t.deepEqual(harness.resets, []);
@@ -256,7 +256,7 @@
   harness.pass(5_000);
   for (const agent of harness.agents.slice(1)) {
     const report = harness.directory.find(agent)!.report!;
-    harness.directory.hear(agent, { ...report, sequence: 2 }, harness.now);
+    harness.directory.recordReport(agent, { ...report, sequence: 2 }, harness.now);
   }
   harness.router.route(harness.createData(CLIENT));
   const { searchId, agents, payload } = asSearch(harness.sent[0]!);
@@ -371,14 +371,14 @@
 test('a packet that has waited for agents goes out once, and again only with a copy of the client', (t) => {
   const harness = new RouterHarness(new Array(30).fill(3));
   const late = FIRST_AGENT + 40 * NEXT_MACHINE;
-  harness.directory.learn({ address: late, service: 'map', zone: 'north' }, 1, harness.now);
+  harness.directory.upsert({ address: late, service: 'map', zone: 'north' }, 1, harness.now);
   harness.router.route(harness.createData(CLIENT));
   const asked = harness.sent.map((sent) => asSearch(sent));
-  t.true(asked.every(({ phase }) => phase === SearchPhase.askOnly));
+  t.true(asked.every(({ phase }) => phase === SearchPhase.queryOnly));
   asked.forEach((group) => answerSearch(harness, group));
   t.is(harness.sent.length, asked.length);
   harness.agents.forEach((agent) => {
-    harness.directory.hear(
+    harness.directory.recordReport(
       agent,
       createReport({ sequence: 2, frameVersion: 3 }),
       harness.now + 1_500,
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -17,7 +17,7 @@
 import { FlowSearches } from '../src/packets/flow-search';
 import { FlowTracker } from '../src/packets/flow-tracker';
 import { PacketMessageType, TargetState, type ReportMessage } from '../src/packets/packet-messages';
-import { changedKeys, checkPacketSettings } from '../src/packets/packet-settings';
+import { listChangedKeys, checkPacketSettings } from '../src/packets/packet-settings';
 import {
   decodeSnapshot,
   decodeSnapshotText,
@@ -194,7 +194,7 @@
 function entryWith(address: number, fields: Partial<ReportMessage>, zone = 'north'): AgentEntry {
   const directory = new AgentDirectory();
   const report = createReport({ zone, ...fields });
-  return directory.hear(address, report, 0)!;
+  return directory.recordReport(address, report, 0)!;
 }
 
 for (const usesExpectedWait of [true, false]) {
@@ -360,7 +360,7 @@
   };
   const before = checkPacketSettings('f', document).unwrap();
   const after = checkPacketSettings('f', { ...document, seeds: ['10.0.0.2:1'], unknown: 1 });
-  t.deepEqual(changedKeys(before, after.unwrap()), ['seeds']);
+  t.deepEqual(listChangedKeys(before, after.unwrap()), ['seeds']);
   t.deepEqual(parseMetricsPlace('9100/metrics'), { port: 9_100, path: '/metrics' });
   t.is(parseMetricsPlace('metrics'), undefined);
 });
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -321,12 +321,12 @@
   const directory = new AgentDirectory();
   const report = (run: number, sequence: number, state: TargetStateValue): ReportMessage =>
     createReport({ run, sequence, state });
-  t.truthy(directory.hear(1, report(7, 1, TargetState.ready), 10));
-  t.truthy(directory.hear(1, report(7, 3, TargetState.agentRestarting), 11));
-  t.is(directory.hear(1, report(7, 2, TargetState.ready), 12), undefined);
+  t.truthy(directory.recordReport(1, report(7, 1, TargetState.ready), 10));
+  t.truthy(directory.recordReport(1, report(7, 3, TargetState.agentRestarting), 11));
+  t.is(directory.recordReport(1, report(7, 2, TargetState.ready), 12), undefined);
   t.is(directory.find(1)!.report!.state, TargetState.agentRestarting);
-  t.truthy(directory.hear(1, report(8, 1, TargetState.unknown), 500));
-  t.is(directory.hear(1, report(7, 4, TargetState.ready), 501), undefined);
+  t.truthy(directory.recordReport(1, report(8, 1, TargetState.unknown), 500));
+  t.is(directory.recordReport(1, report(7, 4, TargetState.ready), 501), undefined);
 });
 
 for (const seed of [101, 102, 103, 104, 105, 106, 107, 108]) {
--- a/test/persistent-flows.test.ts
+++ b/test/persistent-flows.test.ts
@@ -105,7 +105,7 @@
           const figures = { slots: 1, answerTime, openFlows, balancerCount: BALANCERS };
           const told = figuresOf(target, now);
           const report = createReport({ zone, sequence, ...figures, ...told });
-          return directory.hear(target + 1, report, now)!;
+          return directory.recordReport(target + 1, report, now)!;
         });
       });
     }
@@ -127,7 +127,7 @@
       random: () => random.next(),
     });
     const { entry } = selectAgent(ordered, context)!;
-    directories[balancer]!.noteOpening(entry, requestsPerFlow > 1, now);
+    directories[balancer]!.recordOpening(entry, requestsPerFlow > 1, now);
     open[entry.address - 1]!++;
   }
   const uses = open.map((count, target) => count * getAnswerTime(target));
@@ -157,7 +157,7 @@
   const directory = new AgentDirectory();
   const reports = [{ openFlows: 90 }, { openFlows: 10 }, { openFlows: 50, busyRequests: 4 }];
   const entries = reports.map((fields, address) =>
-    directory.hear(address + 1, createReport(fields), 0)!,
+    directory.recordReport(address + 1, createReport(fields), 0)!,
   );
   entries.forEach((entry) => entry.recentFlows.push(0));
   const single = selectAgent(entries, createSelectionContext({ requestsPerFlow: 1 }))!;
@@ -171,7 +171,7 @@
   const reports = [...timed, { answers: 0, answerTime: 0 }];
   const entries = reports.map((fields, address) => {
     const report = createReport({ slots: 1, openFlows: 20, ...fields });
-    return directory.hear(address + 1, report, 0)!;
+    return directory.recordReport(address + 1, report, 0)!;
   });
   const { entry } = selectAgent(entries, createSelectionContext({ requestsPerFlow: 5 }))!;
   t.not(entry.address, 8);
@@ -181,7 +181,7 @@
   const random = new SeededRandom(9);
   const directory = new AgentDirectory();
   const entries = [377, 315, 325, 214].map((openFlows, address) =>
-    directory.hear(address + 1, createReport({ openFlows, answerTime: 15 }), 0)!,
+    directory.recordReport(address + 1, createReport({ openFlows, answerTime: 15 }), 0)!,
   );
   const counts = entries.map(() => 0);
   const context = createSelectionContext({ requestsPerFlow: 6, random: () => random.next() });
--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -19,8 +19,8 @@
 import type { RoutingTable } from '../src/packets/routing-table';
 import type { EvacuatedZone } from '../src/packets/zone-evacuations';
 import type { TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { answerOf } from './support/answers';
-import { callStatus } from './support/call-status';
+import { awaitAnswer } from './support/answers';
+import { fetchStatus } from './support/fetch-status';
 import { ObjectApiStandin, type Spoiler } from './support/object-api-standin';
 import { SilenceGate } from './support/silence-gate';
 
@@ -144,14 +144,14 @@
   const collection = evacuatedZones(api);
   standin.put('evacuations', 'hall-1', {});
   standin.put('other', 'hall-2', {});
-  const listing = await answerOf<Listing<EvacuatedZone>>((answer) => collection.list(answer));
+  const listing = await awaitAnswer<Listing<EvacuatedZone>>((answer) => collection.list(answer));
   const { items, ...position } = listing.unwrap();
   t.deepEqual(
     items.map(({ item }) => item.zone),
     ['hall-1'],
   );
   standin.remove('evacuations', 'hall-1');
-  const changes = await answerOf<Changes<EvacuatedZone>>((answer) =>
+  const changes = await awaitAnswer<Changes<EvacuatedZone>>((answer) =>
     collection.awaitChanges(position, 1_000, answer),
   );
   t.deepEqual(
@@ -166,19 +166,19 @@
   const api = new ObjectApi(parseEndpoint(await gate.start()).unwrap());
   t.teardown(() => (api.close(), gate.stop(), standin.stop()));
   const tables = routingTables(api);
-  const waiting = answerOf<Changes<RoutingTable>>((answer) =>
+  const waiting = awaitAnswer<Changes<RoutingTable>>((answer) =>
     tables.awaitChanges({ era: 2, revision: 1 }, 10_000, answer),
   );
   await untilCalled(standin, 1);
-  t.true((await answerOf<void>((answer) => api.check(1_000, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
   gate.silence();
   const startedAt = performance.now();
-  const probe = await answerOf<void>((answer) => api.check(300, answer));
+  const probe = await awaitAnswer<void>((answer) => api.check(300, answer));
   const ended = await waiting;
   t.is(probe.err && probe.val.resultCode, ResultCodes.storeUnavailable);
   t.is(ended.err && ended.val.resultCode, ResultCodes.storeUnavailable);
   t.true(performance.now() - startedAt < 5_000, 'far less than the call would have waited');
-  t.true((await answerOf<void>((answer) => api.check(1_000, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
 });
 
 async function untilCalled(standin: ObjectApiStandin, calls: number): Promise<void> {
@@ -194,19 +194,19 @@
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   const registry = new AgentObjects(api);
   t.teardown(() => (api.close(), standin.stop()));
-  t.true((await answerOf<void>((answer) => registry.register(AGENT, answer))).ok);
-  t.true((await answerOf<void>((answer) => registry.register(AGENT, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => registry.register(AGENT, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => registry.register(AGENT, answer))).ok);
   const other = { ...AGENT, service: 'tiles' };
-  t.true((await answerOf<void>((answer) => registry.register(other, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => registry.register(other, answer))).ok);
   const listed = (
-    await answerOf((answer: ResultCallback<never>) => registry.list(answer as never))
+    await awaitAnswer((answer: ResultCallback<never>) => registry.list(answer as never))
   ).unwrap();
   t.deepEqual(
     (listed as { items: { item: unknown }[] }).items.map(({ item }) => item),
     [other],
   );
-  t.true((await answerOf<void>((answer) => registry.remove(other, undefined, answer))).ok);
-  t.true((await answerOf<void>((answer) => registry.remove(other, undefined, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => registry.remove(other, undefined, answer))).ok);
+  t.true((await awaitAnswer<void>((answer) => registry.remove(other, undefined, answer))).ok);
   t.is(standin.get('agents', '10-0-0-1'), undefined);
 });
 
@@ -245,7 +245,7 @@
     standin.spoiler = spoiler;
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
-    const result = await answerOf((answer: ResultCallback<never>) =>
+    const result = await awaitAnswer((answer: ResultCallback<never>) =>
       routingTables(api).list(answer as never),
     );
     t.is(result.err && result.val.resultCode.name, expected);
@@ -270,19 +270,19 @@
   await new Promise((done) => server.once('listening', done));
   const { port } = server.address() as AddressInfo;
   const body = { service: 's', slots: 4, state: 'draining', 'cold-left-ms': 5, seq: 2 };
-  t.is(await callStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', JSON.stringify(body)), 200);
+  t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', JSON.stringify(body)), 200);
   t.deepEqual(beats, [
     { incarnation: 'i-1', service: 's', slots: 4, draining: true, coldLeft: 5, sequence: 2 },
   ]);
-  t.is(await callStatus(HOST, port, 'DELETE', '/hallhold/instances/i-1'), 200);
+  t.is(await fetchStatus(HOST, port, 'DELETE', '/hallhold/instances/i-1'), 200);
   t.deepEqual(left, ['i-1']);
-  t.is(await callStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":'), 400);
+  t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":'), 400);
   t.is(
-    await callStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":1,"slots":"x"}'),
+    await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":1,"slots":"x"}'),
     400,
   );
-  t.is(await callStatus(HOST, port, 'PUT', '/hallhold/instances/%zz', JSON.stringify(body)), 404);
-  t.is(await callStatus(HOST, port, 'GET', '/'), 404);
+  t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/%zz', JSON.stringify(body)), 404);
+  t.is(await fetchStatus(HOST, port, 'GET', '/'), 404);
   t.is(beats.length, 1);
 });
 
@@ -308,9 +308,9 @@
   t.teardown(() => server.close());
   await new Promise((done) => server.once('listening', done));
   const { port } = server.address() as AddressInfo;
-  t.is(await callStatus(HOST, port, 'GET', '/hallhold/ready'), 503);
+  t.is(await fetchStatus(HOST, port, 'GET', '/hallhold/ready'), 503);
   ready = true;
-  t.is(await callStatus(HOST, port, 'GET', '/hallhold/ready'), 200);
+  t.is(await fetchStatus(HOST, port, 'GET', '/hallhold/ready'), 200);
 });
 
 test('wrong settings are refused with every wrong key named', (t) => {
--- a/test/reader-messages.test.ts
+++ b/test/reader-messages.test.ts
@@ -18,7 +18,7 @@
 const KEY = { id: 1, secret: Buffer.from('a-test-key-of-the-cluster') };
 const AGENT = { address: 0x0a00_0003_0000, service: 'map', zone: 'south' };
 
-const STATUS: PeerStatusMessage = {
+const PEER_STATUS: PeerStatusMessage = {
   type: PacketMessageType.peerStatus,
   routingVersion: 3,
   viewComplete: 1,
@@ -48,8 +48,8 @@
 };
 
 /** Sends a message with some fields of its document replaced; a field set to undefined is left out. */
-class FieldSpoiler extends PacketFrameCodec {
-  spoil(message: PeerStatusMessage | SubscribeMessage, fields: Record<string, unknown>): Buffer {
+class FieldReplacingCodec extends PacketFrameCodec {
+  encodeWithFields(message: PeerStatusMessage | SubscribeMessage, fields: Record<string, unknown>): Buffer {
     const document = deserialize(this.encode(message).subarray(BODY_OFFSET));
     const body = serialize({ ...document, ...fields }, { ignoreUndefined: true });
     const frame = Buffer.concat([Buffer.alloc(BODY_OFFSET), Buffer.from(body)]);
@@ -59,15 +59,15 @@
 }
 
 test('a status or subscription of an earlier version tells nothing of readers and listings', (t) => {
-  const codec = new FieldSpoiler([KEY]);
+  const codec = new FieldReplacingCodec([KEY]);
   const left = { g: undefined, h: undefined, d: undefined, x: undefined, e: undefined };
-  const status = codec.decode(codec.spoil(STATUS, left)).unwrap() as PeerStatusMessage;
+  const status = codec.decode(codec.encodeWithFields(PEER_STATUS, left)).unwrap() as PeerStatusMessage;
   t.deepEqual(
     [status.registryRevision, status.storeEra, status.readers, status.delta, status.routingVersion],
     [0, 0, [], undefined, 3],
   );
   t.deepEqual(status.evacuations, UNKNOWN_EVACUATIONS);
-  const spoilt = codec.spoil(SUBSCRIPTION, {
+  const spoilt = codec.encodeWithFields(SUBSCRIPTION, {
     l: undefined,
     h: undefined,
     n: undefined,
@@ -84,7 +84,7 @@
 });
 
 test('readers, deltas and listings of any other form are malformed', (t) => {
-  const codec = new FieldSpoiler([KEY]);
+  const codec = new FieldReplacingCodec([KEY]);
   const packed = [AGENT.address, AGENT.service, AGENT.zone, 12];
   const spoilt: readonly Record<string, unknown>[] = [
     { g: -1 },
@@ -99,13 +99,13 @@
     { x: 7 },
   ];
   for (const fields of spoilt) {
-    const decoded = codec.decode(codec.spoil(STATUS, fields));
+    const decoded = codec.decode(codec.encodeWithFields(PEER_STATUS, fields));
     t.is(decoded.err && decoded.val.resultCode, ResultCodes.frameMalformed);
   }
-  const listing = codec.decode(codec.spoil(SUBSCRIPTION, { l: 3 }));
+  const listing = codec.decode(codec.encodeWithFields(SUBSCRIPTION, { l: 3 }));
   t.is(listing.err && listing.val.resultCode, ResultCodes.frameMalformed);
   for (const evacuations of [7, [7], [-1, []], [1, 'south'], [1, [2]]]) {
-    const decoded = codec.decode(codec.spoil(SUBSCRIPTION, { e: evacuations }));
+    const decoded = codec.decode(codec.encodeWithFields(SUBSCRIPTION, { e: evacuations }));
     t.is(decoded.err && decoded.val.resultCode, ResultCodes.frameMalformed);
   }
 });
--- a/test/report-frame.test.ts
+++ b/test/report-frame.test.ts
@@ -4,8 +4,8 @@
 import { PacketFrameCodec } from '../src/packets/packet-frames';
 import { PacketLink } from '../src/packets/packet-link';
 import {
-  REPAIR_VERSION,
-  SURE_SEARCH_VERSION,
+  HOP_REPAIR_VERSION,
+  CONCLUSIVE_SEARCH_VERSION,
   TargetState,
   type ReportMessage,
 } from '../src/packets/packet-messages';
@@ -83,14 +83,14 @@
     report: () => undefined,
   };
   const link = new PacketLink(CODEC, transport, environment);
-  link.noteRepairs(1, REPAIR_VERSION);
-  link.noteRepairs(2, SURE_SEARCH_VERSION);
+  link.recordHopRepair(1, HOP_REPAIR_VERSION);
+  link.recordHopRepair(2, CONCLUSIVE_SEARCH_VERSION);
   link.sendReport([1, 2, 3], createReport());
   t.deepEqual(
     [1, 2, 3].map((to) => sent.get(to)![0]),
     [COMPACT, DOCUMENT, DOCUMENT],
   );
-  link.noteRepairs(1, SURE_SEARCH_VERSION);
+  link.recordHopRepair(1, CONCLUSIVE_SEARCH_VERSION);
   link.sendReport([1], createReport());
   t.is(sent.get(1)![0], DOCUMENT);
 });
