--- a/src/bench/packets-child.ts
+++ b/src/bench/packets-child.ts
@@ -69,9 +69,9 @@
 
 async function startBalancer(): Promise<void> {
   const environment = new RealEnvironment({ report: () => undefined });
-  const frames = await bind((bytes, from) => node.frame(bytes, from));
+  const frames = await bind((bytes, from) => node.handleFrame(bytes, from));
   const clients = await bind((bytes) => {
-    node.clientDatagram(bytes);
+    node.handleClientDatagram(bytes);
     countPacket();
   });
   const node = new PacketBalancer(
--- a/src/packets/agent-subscriptions.ts
+++ b/src/packets/agent-subscriptions.ts
@@ -12,14 +12,14 @@
 import { computeReportInterval } from './report-interval';
 
 /** Milliseconds between subscriptions at an agent that is heard. */
-const SUBSCRIPTION_INTERVAL = 2_000;
+const SUBSCRIPTION_INTERVAL_MS = 2_000;
 /** A long silent agent is asked at the slower pace again. */
-const KNOCK_TIME = 10_000;
+const FAST_RETRY_PERIOD_MS = 10_000;
 /** Timers fire a little early or late. */
-const TOLERANCE = 1;
+const TIMER_TOLERANCE_MS = 1;
 
 /** Milliseconds between subscriptions at an agent that is silent; how often to call `run`. */
-export const KNOCK_INTERVAL = 100;
+export const FAST_RETRY_INTERVAL_MS = 100;
 
 /** Sends one subscription to many. */
 export type SubscriptionSender = (agents: readonly Endpoint[], message: SubscribeMessage) => void;
@@ -30,7 +30,7 @@
 /** What one subscription says; agents that are told the same get the same datagram. */
 interface SubscriptionContent {
   readonly listing: ListingStateValue;
-  readonly tellsNews: boolean;
+  readonly includesNews: boolean;
 }
 
 /** Subscriptions of one balancer. */
@@ -51,23 +51,23 @@
    * Subscribes wherever it is due.
    * @param isRecent whether what is known of the registry is recent
    */
-  run(now: number, isRecent: boolean): void {
+  sendDue(now: number, isRecent: boolean): void {
     const news = this.news();
     const isRegistryKnown = isRecent && this.directory.isComplete;
     const due = new DueSubscriptions();
     for (const entry of this.directory.getAll()) {
       if (this.isDue(entry, now)) {
         this.subscribedAt.set(entry.address, now);
-        const listing = listingOf(entry, isRegistryKnown);
+        const listing = determineListing(entry, isRegistryKnown);
         const tellsNews = this.ledger.markSentIfDue(entry.address, entry.report?.run, news);
-        due.add({ listing, tellsNews }, entry.address);
+        due.add({ listing, includesNews: tellsNews }, entry.address);
       }
     }
     due.forEach((content, agents) => this.send(agents, this.createMessage(content, news)));
   }
 
   /** Makes subscriptions due at once at the agents of some zones. */
-  forgetIn(zones: readonly string[]): void {
+  makeDueInZones(zones: readonly string[]): void {
     for (const { address, zone } of this.directory.getAll()) {
       if (zones.includes(zone)) {
         this.subscribedAt.delete(address);
@@ -76,7 +76,7 @@
   }
 
   /** Makes subscriptions due at once at all agents. */
-  forgetAll(): void {
+  makeAllDue(): void {
     this.subscribedAt.clear();
   }
 
@@ -91,7 +91,7 @@
   }
 
   private createMessage(
-    { listing, tellsNews }: SubscriptionContent,
+    { listing, includesNews: tellsNews }: SubscriptionContent,
     news: DeploymentState,
   ): SubscribeMessage {
     return {
@@ -108,18 +108,18 @@
   /** An agent that has begun another run is told the news at once. */
   private isDue(entry: AgentEntry, now: number): boolean {
     const last = this.subscribedAt.get(entry.address) ?? -Infinity;
-    const isOver = now - last >= this.intervalOf(entry, now) - TOLERANCE;
+    const isOver = now - last >= this.getInterval(entry, now) - TIMER_TOLERANCE_MS;
     return isOver || this.ledger.hasNewRun(entry.address, entry.report?.run);
   }
 
-  private intervalOf(entry: AgentEntry, now: number): number {
+  private getInterval(entry: AgentEntry, now: number): number {
     const silence = now - (entry.heardAt ?? entry.knownSince);
-    const knocking = !this.directory.isHeard(entry, now) && silence < KNOCK_TIME;
-    return knocking ? KNOCK_INTERVAL : SUBSCRIPTION_INTERVAL;
+    const knocking = !this.directory.isHeard(entry, now) && silence < FAST_RETRY_PERIOD_MS;
+    return knocking ? FAST_RETRY_INTERVAL_MS : SUBSCRIPTION_INTERVAL_MS;
   }
 }
 
-function listingOf(entry: AgentEntry, isRegistryKnown: boolean): ListingStateValue {
+function determineListing(entry: AgentEntry, isRegistryKnown: boolean): ListingStateValue {
   if (!isRegistryKnown) {
     return ListingState.unknown;
   }
@@ -134,9 +134,9 @@
   }[] = [];
 
   add(content: SubscriptionContent, agent: Endpoint): void {
-    const { listing, tellsNews } = content;
+    const { listing, includesNews: tellsNews } = content;
     const group = this.groups.find(
-      (one) => one.content.listing === listing && one.content.tellsNews === tellsNews,
+      (one) => one.content.listing === listing && one.content.includesNews === tellsNews,
     );
     if (group) {
       group.agents.push(agent);
--- a/src/packets/choice/expected-wait.ts
+++ b/src/packets/choice/expected-wait.ts
@@ -3,7 +3,7 @@
  * whose target will have answered first (docs/design/choice.md).
  */
 import type { AgentEntry } from '../agent-directory';
-import { CANDIDATES } from '../flow-candidates';
+import { CANDIDATE_COUNT } from '../flow-candidates';
 import { TargetState } from '../packet-messages';
 import { computeWaterLevel } from './water-filling';
 import { estimateLaterWaits } from './persistent-flows';
@@ -81,7 +81,7 @@
 ): Choice | undefined {
   const accepting = ordered.filter((entry) => acceptsNewFlows(entry));
   const statistics = computeServiceStatistics(accepting, context.openingRate);
-  const trial = findTrial(accepting.slice(0, CANDIDATES), context);
+  const trial = findTrial(accepting.slice(0, CANDIDATE_COUNT), context);
   if (trial) {
     return createChoice(scoreCandidate(createCandidate(trial, statistics, context), 0, 0, context), true);
   }
@@ -98,8 +98,8 @@
 
 /** How many agents to consider: ten, or so many more that one of them is able. */
 function chooseCandidateCount(accepting: readonly AgentEntry[], context: SelectionContext): number {
-  for (let count = CANDIDATES; count < accepting.length; count *= 2) {
-    const added = accepting.slice(count === CANDIDATES ? 0 : count / 2, count);
+  for (let count = CANDIDATE_COUNT; count < accepting.length; count *= 2) {
+    const added = accepting.slice(count === CANDIDATE_COUNT ? 0 : count / 2, count);
     if (added.some((entry) => getPlacementClass(entry, context) === PlacementClass.healthy)) {
       return count;
     }
--- a/src/packets/choice/least-load.ts
+++ b/src/packets/choice/least-load.ts
@@ -3,7 +3,7 @@
  * all that speaks against a target adds to its load.
  */
 import type { AgentEntry } from '../agent-directory';
-import { CANDIDATES } from '../flow-candidates';
+import { CANDIDATE_COUNT } from '../flow-candidates';
 import { TargetState, type ReportMessage } from '../packet-messages';
 import { acceptsNewFlows, getPlacementClass, type Choice, type SelectionContext } from './selection';
 import { DEFAULT_ANSWER_TIME_MS, DEFAULT_SLOTS } from './service-statistics';
@@ -124,9 +124,9 @@
   const service: ServiceLoad = {
     busyPerFlow: computeBusyPerFlow(ordered),
     meanBusy: computeMeanBusy(accepting),
-    competingShare: Math.min(1, CANDIDATES / accepting.length),
+    competingShare: Math.min(1, CANDIDATE_COUNT / accepting.length),
   };
-  for (let count = CANDIDATES; ; count *= 2) {
+  for (let count = CANDIDATE_COUNT; ; count *= 2) {
     const choice = chooseLeastLoaded(accepting.slice(0, count), service, context);
     const isGoodEnough = choice && choice.load < 1 + computeTransferLoad(choice.entry, context);
     if (count >= accepting.length || isGoodEnough) {
--- a/src/packets/client-intake.ts
+++ b/src/packets/client-packet-handler.ts
@@ -23,7 +23,7 @@
 import { PendingDeliveries } from './pending-deliveries';
 import type { AnswerRepair } from './repair/answer-repair';
 import type { HopRepair } from './repair/hop-repair';
-import { stepAfter } from './search-steps';
+import { determineNextStep } from './search-steps';
 import type { TargetAdmission } from './target-admission';
 import type { TargetGuard } from './target-guard';
 import type { TargetHealth } from './target-health';
@@ -32,11 +32,11 @@
 const TOKEN_RANGE = 2 ** 32;
 
 /** What the intake works with. */
-export interface ClientIntakeDependencies {
+export interface ClientPacketHandlerDependencies {
   readonly environment: Environment;
   readonly format: PacketFormat;
   /** Whether a flow is recognised by the handshake that its packet ends. */
-  readonly knowsHandshakes: boolean;
+  readonly recognizesHandshakes: boolean;
   readonly admission: TargetAdmission;
   readonly answers: AnswerRepair;
   readonly counters: PacketAgentCounters;
@@ -52,31 +52,31 @@
   /** The agent's state, which may differ from its target's. */
   state(): TargetStateValue;
   /** An opening packet or a request has gone to the target, or waits for it. */
-  noteLoad(): void;
+  recordLoad(): void;
   /** A balancer has sent a packet: it is there. */
-  noteBalancer(balancer: Endpoint): void;
+  recordBalancer(balancer: Endpoint): void;
   sendToTarget(packet: Buffer): void;
 }
 
 /** The intake of one agent. */
-export class ClientIntake {
+export class ClientPacketHandler {
   private readonly pending: PendingDeliveries;
 
-  constructor(private readonly dependencies: ClientIntakeDependencies) {
+  constructor(private readonly dependencies: ClientPacketHandlerDependencies) {
     const { environment } = dependencies;
     this.pending = new PendingDeliveries(Math.floor(environment.random() * TOKEN_RANGE));
   }
 
   /** Takes a client's packet from a balancer. */
-  deliver(message: DeliverMessage, balancer: Endpoint): void {
-    const { answers, noteBalancer } = this.dependencies;
+  handleDelivery(message: DeliverMessage, balancer: Endpoint): void {
+    const { answers, recordBalancer: recordBalancer } = this.dependencies;
     const packet = this.decodeFromClient(message.payload);
     if (!packet) {
       return;
     }
-    noteBalancer(balancer);
+    recordBalancer(balancer);
     answers.handleClientPacket(packet);
-    const refusal = this.refusalOf(packet, message.services);
+    const refusal = this.findRefusalReason(packet, message.services);
     if (refusal !== undefined) {
       this.refuse(packet, message.searchId, balancer, refusal);
       return;
@@ -85,7 +85,7 @@
   }
 
   /** Takes the packet of a search if this agent's target holds its flow, or passes it on. */
-  search(message: SearchMessage): void {
+  handleSearch(message: SearchMessage): void {
     const { answers, link, tracker } = this.dependencies;
     const { balancer, searchId } = message;
     const packet = this.decodeFromClient(message.payload);
@@ -94,9 +94,9 @@
     }
     link.recordCompactFrames(balancer);
     answers.handleClientPacket(packet);
-    const isRefused = this.refusalOf(packet, message.services) !== undefined;
+    const isRefused = this.findRefusalReason(packet, message.services) !== undefined;
     if (isRefused || packet.opens) {
-      this.passOn(message);
+      this.forwardSearch(message);
     } else if (this.isHolderFor(packet, balancer)) {
       const flow = Buffer.from(packet.flow, 'latin1');
       link.send(balancer, { type: PacketMessageType.held, flow });
@@ -104,14 +104,14 @@
     } else if (tracker.belongsToEndedFlow(packet)) {
       this.admit(packet, balancer, searchId);
     } else if (this.mustOffer(message.phase, packet)) {
-      this.handToTarget(packet, balancer, this.pending.add(balancer, searchId, message));
+      this.sendPacketToTarget(packet, balancer, this.pending.add(balancer, searchId, message));
     } else {
-      this.passOn(message);
+      this.forwardSearch(message);
     }
   }
 
   /** Tells a balancer that the target holds a flow, if it does; says nothing else. */
-  tellIfHeld(flow: Buffer, balancer: Endpoint): void {
+  confirmIfHeld(flow: Buffer, balancer: Endpoint): void {
     const { link, tracker } = this.dependencies;
     if (tracker.confirmHeldFor(flow.toString('latin1'), balancer)) {
       link.send(balancer, { type: PacketMessageType.held, flow });
@@ -119,12 +119,12 @@
   }
 
   /** Hands an admitted packet to the target. */
-  handOver(packet: FlowPacket, balancer: Endpoint, searchId: number): void {
-    this.handToTarget(packet, balancer, this.pending.add(balancer, searchId));
+  deliverAdmitted(packet: FlowPacket, balancer: Endpoint, searchId: number): void {
+    this.sendPacketToTarget(packet, balancer, this.pending.add(balancer, searchId));
   }
 
   /** The target has returned a client's packet: it does not hold the flow, or cannot take it. */
-  returned(packet: FlowPacket): void {
+  handleReturned(packet: FlowPacket): void {
     const { admission, answers, counters, environment, format, health, tracker } =
       this.dependencies;
     counters.packetsReturned++;
@@ -140,24 +140,24 @@
       return;
     }
     format.restoreClientForm(packet.bytes);
-    const { searchId, balancer, search } = delivery;
-    if (search) {
+    const { searchId, balancer, search: interruptedSearch } = delivery;
+    if (interruptedSearch) {
       counters.packetsRefused++;
-      this.reportReturned(packet, search);
-      this.passOn({ ...search, payload: packet.bytes });
+      this.reportReturned(packet, interruptedSearch);
+      this.forwardSearch({ ...interruptedSearch, payload: packet.bytes });
     } else {
       this.refuse(packet, searchId, balancer, RefusalReason.returnedByTarget);
     }
   }
 
   /** The target is down: clients whose requests wait for it are told now. */
-  refuseWaiting(): void {
+  refuseQueued(): void {
     for (const { packet, searchId, balancer } of this.dependencies.admission.takeAll()) {
       this.refuse(packet, searchId, balancer, RefusalReason.targetDown);
     }
   }
 
-  private refusalOf(
+  private findRefusalReason(
     { opens }: FlowPacket,
     services: readonly string[],
   ): RefusalReasonValue | undefined {
@@ -167,9 +167,9 @@
 
   /** Whether the target holds a packet's flow, or will as soon as it has this packet. */
   private isHolderFor(packet: FlowPacket, balancer: Endpoint): boolean {
-    const { knowsHandshakes, tracker } = this.dependencies;
+    const { recognizesHandshakes: recognizesHandshakes, tracker } = this.dependencies;
     const isHeld = tracker.confirmHeldFor(packet.flow, balancer);
-    return isHeld || (knowsHandshakes && tracker.confirmOpenedBy(packet, balancer));
+    return isHeld || (recognizesHandshakes && tracker.confirmOpenedBy(packet, balancer));
   }
 
   /** Whether only the target itself can tell if it holds a searched packet's flow. */
@@ -187,9 +187,9 @@
   }
 
   /** Hands a search to the next agent, or its outcome to the balancer. */
-  private passOn(message: SearchMessage): void {
+  private forwardSearch(message: SearchMessage): void {
     const { link } = this.dependencies;
-    const step = stepAfter(message);
+    const step = determineNextStep(message);
     switch (step.kind) {
       case 'next':
         link.send(step.agent, step.message);
@@ -210,16 +210,16 @@
   }
 
   private admit(packet: FlowPacket, balancer: Endpoint, searchId: number): void {
-    const { admission, counters, environment, noteLoad } = this.dependencies;
+    const { admission, counters, environment, recordLoad: recordLoad } = this.dependencies;
     if (admission.admit(packet, balancer, searchId, environment.now())) {
       counters.requestsQueued++;
     }
     if (packet.opens || packet.payloadLength > 0) {
-      noteLoad();
+      recordLoad();
     }
   }
 
-  private handToTarget(packet: FlowPacket, balancer: Endpoint, token: number): void {
+  private sendPacketToTarget(packet: FlowPacket, balancer: Endpoint, token: number): void {
     const { counters, environment, flowBytes, format, guard, sendToTarget, tracker } =
       this.dependencies;
     counters.packetsDelivered++;
@@ -235,7 +235,7 @@
 
   private reportRequest(packet: FlowPacket, balancer: Endpoint): void {
     const { admission, environment, format, state, tracker } = this.dependencies;
-    const request = format.requestId(packet);
+    const request = format.readRequestId(packet);
     if (request !== undefined) {
       environment.report(Events.requestDelivered, {
         request,
@@ -251,15 +251,15 @@
     }
   }
 
-  private reportReturned(packet: FlowPacket, search: SearchMessage): void {
+  private reportReturned(packet: FlowPacket, message: SearchMessage): void {
     const { environment, target } = this.dependencies;
     environment.report(Events.packetReturned, {
       client: formatEndpoint(packet.client),
       destination: formatEndpoint(packet.destination),
-      balancer: formatEndpoint(search.balancer),
-      phase: search.phase,
-      position: search.position,
-      agents: search.agents.length,
+      balancer: formatEndpoint(message.balancer),
+      phase: message.phase,
+      position: message.position,
+      agents: message.agents.length,
       knowsAllFlows: target.isKnownFromStart,
     });
   }
--- a/src/packets/delayed-deliveries.ts
+++ b/src/packets/delayed-deliveries.ts
@@ -8,15 +8,15 @@
 import type { DeliverMessage, SearchMessage } from './packet-messages';
 
 /** A message that brings an agent a client's packet. */
-export type PacketCarrier = DeliverMessage | SearchMessage;
+export type DelayableMessage = DeliverMessage | SearchMessage;
 
 const MAXIMUM_PER_AGENT = 256;
 /** Milliseconds: clients repeat at the latest after so long. */
-const LONGEST_WAIT = 1_600;
+const MAXIMUM_AGE_MS = 1_600;
 
 interface DelayedDelivery {
   readonly flow: FlowKey;
-  readonly message: PacketCarrier;
+  readonly message: DelayableMessage;
   readonly since: number;
 }
 
@@ -25,7 +25,7 @@
   private readonly waiting = new Map<Endpoint, DelayedDelivery[]>();
 
   /** Keeps a packet; the oldest one of the agent is dropped when there are too many. */
-  add(agent: Endpoint, flow: FlowKey, message: PacketCarrier, now: number): void {
+  add(agent: Endpoint, flow: FlowKey, message: DelayableMessage, now: number): void {
     const list = this.waiting.get(agent) ?? [];
     this.waiting.set(agent, list);
     list.push({ flow, message, since: now });
@@ -35,7 +35,7 @@
   }
 
   /** Drops what waits of a flow that an agent does not hold. */
-  forget(agent: Endpoint, flow: FlowKey): void {
+  removeFlow(agent: Endpoint, flow: FlowKey): void {
     const list = this.waiting.get(agent);
     if (list) {
       this.waiting.set(
@@ -46,17 +46,17 @@
   }
 
   /** Takes out what waits for an agent and is not too old. */
-  take(agent: Endpoint, now: number): PacketCarrier[] {
+  take(agent: Endpoint, now: number): DelayableMessage[] {
     const list = this.waiting.get(agent) ?? [];
     this.waiting.delete(agent);
-    return list.filter(({ since }) => now - since <= LONGEST_WAIT).map(({ message }) => message);
+    return list.filter(({ since }) => now - since <= MAXIMUM_AGE_MS).map(({ message }) => message);
   }
 
   /** Drops what is too old. */
   expire(now: number): void {
     for (const [agent, list] of this.waiting) {
       const newest = list.at(-1);
-      if (!newest || now - newest.since > LONGEST_WAIT) {
+      if (!newest || now - newest.since > MAXIMUM_AGE_MS) {
         this.waiting.delete(agent);
       }
     }
--- a/src/packets/delivery-rules.ts
+++ b/src/packets/delivery-rules.ts
@@ -29,7 +29,7 @@
  * @param opens whether the packet asks for a new flow
  * @param services services that the packet's route allows
  */
-export function refusalOf(
+export function findRefusalReason(
   opens: boolean,
   services: readonly string[],
   target: TargetCondition,
@@ -38,13 +38,13 @@
     return RefusalReason.otherService;
   }
   if (opens) {
-    return refusalOfOpening(target);
+    return findOpeningRefusalReason(target);
   }
   return target.isDead ? RefusalReason.targetDown : undefined;
 }
 
 /** Why the target must not get a new flow; undefined when it may. */
-function refusalOfOpening(target: TargetCondition): RefusalReasonValue | undefined {
+function findOpeningRefusalReason(target: TargetCondition): RefusalReasonValue | undefined {
   if ((target.isDown || target.isDead) && !target.isProbeDue) {
     return RefusalReason.targetDown;
   }
--- a/src/packets/flow-cache.ts
+++ b/src/packets/flow-cache.ts
@@ -12,13 +12,13 @@
   /** The agent that holds the flow, or that was sent its latest opening packet. */
   agent: Endpoint;
   /** An agent has said that its target holds the flow. */
-  confirmed: boolean;
+  isConfirmed: boolean;
   /** Service chosen when the flow opened here; undefined for a flow that was learnt. */
   readonly service: string | undefined;
   /** Agents that were sent an opening packet and have not refused it. */
-  readonly offered: Set<Endpoint>;
+  readonly offeredTo: Set<Endpoint>;
   /** Its requests, as far as they have passed here. */
-  readonly use: FlowRequestCount;
+  readonly usage: FlowRequestCount;
   usedAt: number;
 }
 
@@ -40,7 +40,7 @@
   }
 
   /** A flow, which counts as used now. */
-  use(key: FlowKey, now: number): CachedFlow | undefined {
+  get(key: FlowKey, now: number): CachedFlow | undefined {
     const flow = this.flows.get(key);
     if (!flow) {
       return undefined;
@@ -55,54 +55,54 @@
   }
 
   /** Notes that an opening packet went to an agent. */
-  noteOpening(key: FlowKey, agent: Endpoint, service: string, now: number): void {
-    const known = this.use(key, now);
+  recordOpening(key: FlowKey, agent: Endpoint, service: string, now: number): void {
+    const known = this.get(key, now);
     if (known) {
-      known.agent = known.confirmed ? known.agent : agent;
-      known.offered.add(agent);
+      known.agent = known.isConfirmed ? known.agent : agent;
+      known.offeredTo.add(agent);
       return;
     }
-    const offered = new Set([agent]);
-    const use = createFlowRequestCount();
-    this.store(key, { agent, confirmed: false, service, offered, use, usedAt: now });
+    const offeredTo = new Set([agent]);
+    const usage = createFlowRequestCount();
+    this.insert(key, { agent, isConfirmed: false, service, offeredTo: offeredTo, usage: usage, usedAt: now });
   }
 
   /** Notes that an agent's target holds the flow. */
   confirm(key: FlowKey, agent: Endpoint, now: number): void {
-    const known = this.use(key, now);
+    const known = this.get(key, now);
     if (known) {
       known.agent = agent;
-      known.confirmed = true;
+      known.isConfirmed = true;
       return;
     }
     const flow: CachedFlow = {
       agent,
-      confirmed: true,
+      isConfirmed: true,
       service: undefined,
-      offered: new Set(),
-      use: createFlowRequestCount(),
+      offeredTo: new Set(),
+      usage: createFlowRequestCount(),
       usedAt: now,
     };
-    this.store(key, flow);
+    this.insert(key, flow);
   }
 
   /** An agent's target does not hold the flow. */
-  deny(key: FlowKey, agent: Endpoint): void {
+  invalidate(key: FlowKey, agent: Endpoint): void {
     const flow = this.flows.get(key);
     if (!flow) {
       return;
     }
-    flow.offered.delete(agent);
+    flow.offeredTo.delete(agent);
     if (flow.agent !== agent) {
       return;
     }
-    const [other] = flow.offered;
+    const [other] = flow.offeredTo;
     if (other === undefined) {
       this.flows.delete(key);
       return;
     }
     flow.agent = other;
-    flow.confirmed = false;
+    flow.isConfirmed = false;
   }
 
   /** Drops flows that have not been used for their lifetime. */
@@ -115,7 +115,7 @@
     }
   }
 
-  private store(key: FlowKey, flow: CachedFlow): void {
+  private insert(key: FlowKey, flow: CachedFlow): void {
     this.flows.set(key, flow);
     if (this.flows.size > this.capacity) {
       const [oldest] = this.flows.keys();
--- a/src/packets/flow-candidates.ts
+++ b/src/packets/flow-candidates.ts
@@ -15,7 +15,7 @@
  * Agents among which a new flow is placed: with a quarter of all slots busy, one in a million
  * flows finds all of ten busy.
  */
-export const CANDIDATES = 10;
+export const CANDIDATE_COUNT = 10;
 /** Of five candidates in a row this many are of the balancer's zone: sending across zones costs. */
 const OWN_ZONE_SHARE = 3;
 const OTHER_ZONES_SHARE = 2;
@@ -39,10 +39,10 @@
   for (const agent of agents) {
     (agent.zone === zone ? own : others).push(agent);
   }
-  return mergeZones(orderByScore(own, seed), orderByScore(others, seed));
+  return interleaveZones(orderByScore(own, seed), orderByScore(others, seed));
 }
 
-function mergeZones<T>(own: readonly T[], others: readonly T[]): T[] {
+function interleaveZones<T>(own: readonly T[], others: readonly T[]): T[] {
   const merged: T[] = [];
   let fromOwn = 0;
   let fromOthers = 0;
@@ -56,13 +56,13 @@
 }
 
 function orderByScore<T extends Candidate>(agents: readonly T[], seed: number): T[] {
-  const scored = agents.map((agent) => ({ agent, score: scoreOf(agent.address, seed) }));
+  const scored = agents.map((agent) => ({ agent, score: computeScore(agent.address, seed) }));
   scored.sort((one, other) => other.score - one.score || one.agent.address - other.agent.address);
   return scored.map(({ agent }) => agent);
 }
 
 /** A 32-bit hash of an address and a flow's hash (the finalizer of MurmurHash3). */
-export function scoreOf(address: Endpoint, seed: number): number {
+export function computeScore(address: Endpoint, seed: number): number {
   let hash =
     seed ^ (address % WORD_RANGE) ^ Math.imul(Math.floor(address / WORD_RANGE), 0x9e3779b1);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
--- a/src/packets/flow-packet.ts
+++ b/src/packets/flow-packet.ts
@@ -51,7 +51,7 @@
   /** Clears the refusal mark and the token, which restores the client's own form. */
   restoreClientForm(bytes: Buffer): void;
   /** The id of the request that begins in a packet's data, if one does. */
-  requestId(packet: FlowPacket): string | undefined;
+  readRequestId(packet: FlowPacket): string | undefined;
   /** Whether the answer that begins in a target's packet says that the request failed. */
   isFailure(packet: FlowPacket): boolean;
   /** A reset for the client, in answer to one of its packets. */
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -16,9 +16,9 @@
 import type { Locality } from './locality/locality';
 import type { PacketLink } from './packet-link';
 import { PacketMessageType, ROUTE_TERMS_VERSION } from './packet-messages';
-import type { PacketOutlet } from './packet-outlet';
+import type { PacketForwarder } from './packet-forwarder';
 import { getServiceNames, type Route, type RoutingTable } from './routing-table';
-import { ServiceRotation } from './service-rotation';
+import { WeightedRoundRobin } from './weighted-round-robin';
 import { findLessUrgentRoutes, getTerms } from './terms/route-terms';
 import { SentTermsTracker } from './terms/sent-terms-tracker';
 
@@ -30,7 +30,7 @@
   readonly directory: AgentDirectory;
   readonly cache: FlowCache;
   readonly searches: FlowSearches;
-  readonly outlet: PacketOutlet;
+  readonly forwarder: PacketForwarder;
   readonly link: PacketLink;
   /** How agents are chosen; `DEFAULT_CHOICE` when undefined. */
   readonly choice?: ChoiceSettings;
@@ -40,15 +40,15 @@
 
 /** Places the new flows of one balancer. */
 export class FlowPlacement {
-  private readonly rotation = new ServiceRotation();
+  private readonly serviceSelector = new WeightedRoundRobin();
 
-  private readonly openings = new OpeningRates();
+  private readonly openingRates = new OpeningRates();
   private readonly routeUse = new RouteRequestStatistics();
   private readonly choice: ChoiceSettings;
-  private readonly setAside: OutlierEjection;
-  private readonly ledger = new SentTermsTracker();
+  private readonly outlierEjection: OutlierEjection;
+  private readonly sentTerms = new SentTermsTracker();
   private readonly admission: OpeningAdmission;
-  private lessUrgent: ReadonlySet<Endpoint> = new Set();
+  private lessUrgentRoutes: ReadonlySet<Endpoint> = new Set();
   private routingVersion = 0;
 
   constructor(private readonly dependencies: FlowPlacementDependencies) {
@@ -56,66 +56,66 @@
     this.choice = choice;
     this.admission = new OpeningAdmission(choice.keptShare);
     const share = choice.expectedWait ? choice.setAsideShare : 0;
-    this.setAside = new OutlierEjection({ environment, directory, share });
+    this.outlierEjection = new OutlierEjection({ environment, directory, share });
   }
 
   /** Targets that get no flows but trials, since they are far worse than their services. */
   get agentsSetAside(): number {
-    return this.setAside.ejectedCount;
+    return this.outlierEjection.ejectedCount;
   }
 
   /** Drops what is too old to matter. */
   expire(now: number): void {
-    this.setAside.expire(now);
-    this.openings.expire(now);
+    this.outlierEjection.expire(now);
+    this.openingRates.expire(now);
     this.routeUse.expire(now);
-    this.ledger.expire((agent) => this.dependencies.directory.find(agent) !== undefined);
+    this.sentTerms.expire((agent) => this.dependencies.directory.find(agent) !== undefined);
   }
 
   /** A packet of an open flow passes: it tells how many requests flows of its route carry. */
-  notePacket(packet: FlowPacket, use: FlowRequestCount): void {
+  recordPacket(packet: FlowPacket, usage: FlowRequestCount): void {
     if (this.choice.keptFlows) {
-      this.routeUse.recordPacket(packet, use, this.dependencies.environment.now());
+      this.routeUse.recordPacket(packet, usage, this.dependencies.environment.now());
     }
   }
 
   /** A new routing table is in force: shares begin anew. */
   apply({ routes, version }: RoutingTable): void {
-    this.rotation.reset();
+    this.serviceSelector.reset();
     this.routingVersion = version;
-    this.ledger.apply(routes);
-    this.lessUrgent = findLessUrgentRoutes(routes);
+    this.sentTerms.apply(routes);
+    this.lessUrgentRoutes = findLessUrgentRoutes(routes);
     this.admission.reset();
   }
 
   /** Places an opening packet; a copy goes to an agent that has not been offered the flow. */
-  open(packet: FlowPacket, route: Route): void {
-    const { cache, environment, outlet, searches } = this.dependencies;
+  place(packet: FlowPacket, route: Route): void {
+    const { cache, environment, forwarder: forwarder, searches } = this.dependencies;
     const now = environment.now();
-    const known = cache.use(packet.flow, now);
-    if (known?.confirmed) {
-      outlet.deliver(packet, getServiceNames(route), known.agent, 0);
+    const known = cache.get(packet.flow, now);
+    if (known?.isConfirmed) {
+      forwarder.deliver(packet, getServiceNames(route), known.agent, 0);
       return;
     }
-    const service = known?.service ?? this.rotation.next(route);
+    const service = known?.service ?? this.serviceSelector.selectNext(route);
     const search = searches.beginOpening(packet.flow, route, [service], now);
-    known?.offered.forEach((agent) => search.refusedBy.add(agent));
+    known?.offeredTo.forEach((agent) => search.refusedBy.add(agent));
     this.offer(packet, search);
   }
 
   /** The search of an opening packet that an agent refused after its notes were dropped. */
-  resume(packet: FlowPacket, route: Route): FlowSearch {
+  resumeSearch(packet: FlowPacket, route: Route): FlowSearch {
     const { cache, environment, searches } = this.dependencies;
     const now = environment.now();
     const services = getServiceNames(route);
-    const opened = cache.use(packet.flow, now)?.service;
+    const opened = cache.get(packet.flow, now)?.service;
     const service = opened !== undefined && services.includes(opened) ? opened : services[0]!;
     return searches.beginOpening(packet.flow, route, [service], now);
   }
 
   /** Offers an opening packet to the best agent that has not refused it. */
   offer(packet: FlowPacket, search: FlowSearch): void {
-    const { directory, environment, cache, isEvacuated, locality, outlet } = this.dependencies;
+    const { directory, environment, cache, isEvacuated, locality, forwarder: forwarder } = this.dependencies;
     const now = environment.now();
     const [service] = search.services;
     const candidates = directory
@@ -123,25 +123,25 @@
       .filter(({ zone, limitedUntil }) => !isEvacuated(zone) && limitedUntil <= now);
     const untried = candidates.filter(({ address }) => !search.refusedBy.has(address));
     const ordered = locality.orderForPlacement(packet.flow, untried);
-    search.services.forEach((one) => this.setAside.compareTargets(one, now));
-    const context = this.selectionContext(packet, search, now);
-    const choice = this.select(ordered, context);
+    search.services.forEach((one) => this.outlierEjection.compareTargets(one, now));
+    const context = this.createSelectionContext(packet, search, now);
+    const choice = this.chooseAgent(ordered, context);
     if (!choice) {
       this.refuse(packet, search, candidates);
       return;
     }
     if (!this.isAdmitted(packet, search, choice)) {
-      this.refuseHopeless(packet, search, choice);
+      this.refuseLate(packet, search, choice);
       return;
     }
     const { entry: chosen } = choice;
-    this.count(choice, now);
+    this.countPlacement(choice, now);
     directory.recordOpening(chosen, context.requestsPerFlow > 1, now);
-    this.openings.recordOpening(chosen.service, now);
-    cache.noteOpening(packet.flow, chosen.address, service!, now);
-    outlet.counters.flowsPlaced++;
-    const spill = locality.recordPlacement(chosen, ordered, outlet.counters);
-    outlet.report(Events.flowPlaced, packet, {
+    this.openingRates.recordOpening(chosen.service, now);
+    cache.recordOpening(packet.flow, chosen.address, service!, now);
+    forwarder.counters.flowsPlaced++;
+    const spill = locality.recordPlacement(chosen, ordered, forwarder.counters);
+    forwarder.reportEvent(Events.flowPlaced, packet, {
       agent: formatEndpoint(chosen.address),
       service,
       copy: packet.openingCopy,
@@ -155,8 +155,8 @@
       class: choice.placementClass,
       reportAge: chosen.heardAt === undefined ? undefined : Math.round(now - chosen.heardAt),
     });
-    this.tellTerms(chosen, search.route);
-    outlet.deliver(packet, search.services, chosen.address, search.id);
+    this.sendRouteTerms(chosen, search.route);
+    forwarder.deliver(packet, search.services, chosen.address, search.id);
   }
 
   /**
@@ -171,7 +171,7 @@
     const { cache, environment } = this.dependencies;
     const isNew = packet.openingCopy === 0 && refusedBy.size === 0;
     const isJudged = this.choice.admission && isNew && !choice.isTrial;
-    if (!isJudged || cache.use(packet.flow, environment.now())) {
+    if (!isJudged || cache.get(packet.flow, environment.now())) {
       return true;
     }
     const { destination } = route;
@@ -179,24 +179,24 @@
       destination,
       expectedTime: choice.reportedTime,
       deadline: getTerms(route).deadline,
-      isLessUrgent: this.lessUrgent.has(destination),
+      isLessUrgent: this.lessUrgentRoutes.has(destination),
     });
   }
 
-  private refuseHopeless(packet: FlowPacket, search: FlowSearch, { reportedTime }: Choice): void {
-    const { outlet, searches } = this.dependencies;
+  private refuseLate(packet: FlowPacket, search: FlowSearch, { reportedTime }: Choice): void {
+    const { forwarder: forwarder, searches } = this.dependencies;
     searches.end(search);
-    outlet.counters.openingsRefused++;
-    outlet.reset(packet, 'no answer in time', {
+    forwarder.counters.openingsRefused++;
+    forwarder.reset(packet, 'no answer in time', {
       expected: Math.round(reportedTime),
       deadline: getTerms(search.route).deadline,
     });
   }
 
   /** An agent learns what the callers of a route expect before their first requests come. */
-  private tellTerms({ address, report }: AgentEntry, route: Route): void {
+  private sendRouteTerms({ address, report }: AgentEntry, route: Route): void {
     const isUnderstood = report !== undefined && report.frameVersion >= ROUTE_TERMS_VERSION;
-    if (isUnderstood && this.ledger.markSentIfDue(address, report.run, route)) {
+    if (isUnderstood && this.sentTerms.markSentIfDue(address, report.run, route)) {
       this.dependencies.link.send(address, {
         type: PacketMessageType.routeTerms,
         destination: route.destination,
@@ -211,20 +211,20 @@
    * have opened the flow somewhere or agents are missing from this balancer's view.
    */
   private refuse(packet: FlowPacket, search: FlowSearch, candidates: readonly AgentEntry[]): void {
-    const { cache, directory, environment, outlet, searches } = this.dependencies;
-    const known = cache.use(packet.flow, environment.now());
-    const firstCopy = packet.openingCopy === 0 && (known?.offered.size ?? 0) === 0;
+    const { cache, directory, environment, forwarder: forwarder, searches } = this.dependencies;
+    const known = cache.get(packet.flow, environment.now());
+    const firstCopy = packet.openingCopy === 0 && (known?.offeredTo.size ?? 0) === 0;
     const everyoneHeard = candidates.every(({ report }) => report !== undefined);
     searches.end(search);
     if (firstCopy && everyoneHeard && directory.isComplete) {
-      outlet.reset(packet, 'no agent takes the flow', { refusals: search.refusedBy.size });
+      forwarder.reset(packet, 'no agent takes the flow', { refusals: search.refusedBy.size });
     } else {
-      outlet.drop(packet, 'no agent known to take the flow');
+      forwarder.drop(packet, 'no agent known to take the flow');
     }
   }
 
   /** The choice for a new flow; one of another zone only after a look at the rest of the own one. */
-  private select(ordered: readonly AgentEntry[], context: SelectionContext): Choice | undefined {
+  private chooseAgent(ordered: readonly AgentEntry[], context: SelectionContext): Choice | undefined {
     const first = selectAgent(ordered, context);
     if (!first || first.isTrial) {
       return first;
@@ -237,27 +237,27 @@
     return this.choice.keptFlows ? this.routeUse.estimateRequestsPerFlow(destination, now) : 1;
   }
 
-  private count({ entry, isTrial, placementClass }: Choice, now: number): void {
-    const { counters } = this.dependencies.outlet;
+  private countPlacement({ entry, isTrial, placementClass }: Choice, now: number): void {
+    const { counters } = this.dependencies.forwarder;
     if (isTrial) {
       counters.trialFlows++;
-      this.setAside.recordTrial(entry, now);
+      this.outlierEjection.recordTrial(entry, now);
       return;
     }
     counters.flowsPlacedDoubtful += placementClass === PlacementClass.doubtful ? 1 : 0;
     counters.flowsPlacedLastResort += placementClass === PlacementClass.lastResort ? 1 : 0;
   }
 
-  private selectionContext(packet: FlowPacket, search: FlowSearch, now: number): SelectionContext {
-    const isTrialFlow = isFitForTrial(packet, search);
+  private createSelectionContext(packet: FlowPacket, search: FlowSearch, now: number): SelectionContext {
+    const isTrialFlow = isEligibleForTrial(packet, search);
     const { directory, environment, locality } = this.dependencies;
     return {
       now,
-      openingRate: this.openings.getRate(search.services[0]!, now),
+      openingRate: this.openingRates.getRate(search.services[0]!, now),
       requestsPerFlow: this.requestsPerFlow(packet, now),
       usesExpectedWait: this.choice.expectedWait,
       competingShare: locality.rivalShare,
-      getOutlierStatus: (entry) => this.setAside.getStatus(entry, isTrialFlow, now),
+      getOutlierStatus: (entry) => this.outlierEjection.getStatus(entry, isTrialFlow, now),
       getReportAge: (entry) => now - (entry.heardAt ?? now),
       isHeard: (entry) => directory.isHeard(entry, now),
       isSettling: (entry) => directory.isSettling(entry, now),
@@ -268,6 +268,6 @@
 }
 
 /** Whether a flow may be used for a trial: its request may be repeated and it has lost no time yet. */
-function isFitForTrial({ openingCopy }: FlowPacket, { refusedBy, route }: FlowSearch): boolean {
+function isEligibleForTrial({ openingCopy }: FlowPacket, { refusedBy, route }: FlowSearch): boolean {
   return route.isRepeatable === true && openingCopy === 0 && refusedBy.size === 0;
 }
--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -21,47 +21,47 @@
   type NoneKnowsMessage,
   type NotHeldMessage,
 } from './packet-messages';
-import { PacketOutlet, type PacketOutletDependencies, type RoutingCounters } from './packet-outlet';
+import { PacketForwarder, type PacketForwarderDependencies, type RoutingCounters } from './packet-forwarder';
 import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 
 /** Milliseconds for which it is remembered who has refused a flow. */
-const SEARCH_LIFETIME = 10_000;
+const SEARCH_LIFETIME_MS = 10_000;
 
 /** What the router works with. */
-export interface FlowRouterDependencies extends PacketOutletDependencies {
+export interface FlowRouterDependencies extends PacketForwarderDependencies {
   readonly zone: string;
   readonly locality: Locality;
   /** Where agents reach this balancer. */
   readonly address: Endpoint;
   /** Milliseconds that a search for the holder of a flow has. */
-  readonly locateTimeout: number;
+  readonly searchTimeout: number;
   readonly cache: FlowCache;
   /** How agents are chosen; `DEFAULT_CHOICE` when undefined. */
   readonly choice?: ChoiceSettings;
   /** Whether a zone is out of service: none of its targets gets new flows. */
   isEvacuated(zone: string): boolean;
   /** Whether the view is not one that may lack what the store has lost; no flow is reset before. */
-  isViewSettled(): boolean;
+  isViewConverged(): boolean;
 }
 
 /** Routes packets by the routing table in force. */
 export class FlowRouter {
-  private readonly searches = new FlowSearches(SEARCH_LIFETIME);
-  private readonly outlet: PacketOutlet;
+  private readonly searches = new FlowSearches(SEARCH_LIFETIME_MS);
+  private readonly forwarder: PacketForwarder;
   private readonly placement: FlowPlacement;
-  private readonly holders: HolderSearch;
+  private readonly holderSearch: HolderSearch;
   private routes: ReadonlyMap<Endpoint, Route> | undefined;
   private routingVersion = 0;
 
   constructor(private readonly dependencies: FlowRouterDependencies) {
-    this.outlet = new PacketOutlet(dependencies);
-    const shared = { ...dependencies, searches: this.searches, outlet: this.outlet };
+    this.forwarder = new PacketForwarder(dependencies);
+    const shared = { ...dependencies, searches: this.searches, forwarder: this.forwarder };
     this.placement = new FlowPlacement(shared);
-    this.holders = new HolderSearch(shared);
+    this.holderSearch = new HolderSearch(shared);
   }
 
   get counters(): RoutingCounters {
-    return this.outlet.counters;
+    return this.forwarder.counters;
   }
 
   /** Targets that get no flows but trials, since they are far worse than their services. */
@@ -77,7 +77,7 @@
   }
 
   /** The route that a client's packet names; undefined for none, or without a routing table. */
-  routeOf({ destination }: FlowPacket): Route | undefined {
+  findRoute({ destination }: FlowPacket): Route | undefined {
     return this.routes?.get(destination);
   }
 
@@ -98,15 +98,15 @@
     if (!packet) {
       return;
     }
-    this.outlet.noteDetoured(packet);
+    this.forwarder.markDetoured(packet);
     const route = this.routes?.get(packet.destination);
     const isKnown = this.dependencies.directory.find(agent) !== undefined;
     if (route && !packet.opens && isKnown) {
-      this.outlet.deliver(packet, getServiceNames(route), agent, 0);
+      this.forwarder.deliver(packet, getServiceNames(route), agent, 0);
       return;
     }
     if (!isKnown) {
-      this.outlet.report(Events.detourLost, packet, { agent: formatEndpoint(agent) });
+      this.forwarder.reportEvent(Events.detourLost, packet, { agent: formatEndpoint(agent) });
     }
     this.routePacket(packet);
   }
@@ -126,24 +126,24 @@
     if (!route) {
       this.refuseWithoutRoute(packet);
     } else if (packet.opens) {
-      this.holders.forget(packet.flow);
-      this.placement.open(packet, route);
+      this.holderSearch.forgetReset(packet.flow);
+      this.placement.place(packet, route);
     } else {
       this.continueFlow(packet, route);
     }
   }
 
   /** An agent's target did not take a packet: offers it to the next agent. */
-  refused(agent: Endpoint, message: NotHeldMessage): void {
+  handleRefusal(agent: Endpoint, message: NotHeldMessage): void {
     const { format, cache, directory, environment } = this.dependencies;
     const packet = format.decodeFromClient(message.payload);
     const route = packet && this.routes?.get(packet.destination);
     if (!packet || !route) {
       return;
     }
-    cache.deny(packet.flow, agent);
-    this.outlet.noteRefusal(agent, packet.flow);
-    const search = this.searchOf(packet, route, message.searchId);
+    cache.invalidate(packet.flow, agent);
+    this.forwarder.discardDelayed(agent, packet.flow);
+    const search = this.findOrResumeSearch(packet, route, message.searchId);
     search.refusedBy.add(agent);
     if (message.reason === RefusalReason.coldLimit) {
       directory.recordColdLimit(agent, environment.now());
@@ -151,85 +151,85 @@
     if (packet.opens) {
       this.placement.offer(packet, search);
     } else {
-      this.holders.offerNext(packet, search);
+      this.holderSearch.offerNext(packet, search);
     }
   }
 
   /** The targets of all agents of a search do not hold a packet's flow. */
-  noneHolds(message: NoneHoldsMessage): void {
+  handleNoneHolds(message: NoneHoldsMessage): void {
     const packet = this.dependencies.format.decodeFromClient(message.payload);
     if (!packet || packet.opens) {
       return;
     }
     for (const agent of message.agents) {
-      this.dependencies.cache.deny(packet.flow, agent);
-      this.outlet.noteRefusal(agent, packet.flow);
+      this.dependencies.cache.invalidate(packet.flow, agent);
+      this.forwarder.discardDelayed(agent, packet.flow);
     }
-    const search = this.openSearchOf(packet, message.searchId);
+    const search = this.findActiveSearch(packet, message.searchId);
     if (search) {
-      this.holders.noneHolds(packet, search, message.agents);
+      this.holderSearch.handleNoneHolds(packet, search, message.agents);
     }
   }
 
   /** No agent of a group of a search knows a packet's flow; their targets were not asked. */
-  noneKnows(message: NoneKnowsMessage): void {
+  handleNoneKnows(message: NoneKnowsMessage): void {
     const packet = this.dependencies.format.decodeFromClient(message.payload);
-    const search = packet && this.openSearchOf(packet, message.searchId);
+    const search = packet && this.findActiveSearch(packet, message.searchId);
     if (packet && search) {
-      this.holders.noneKnows(packet, search, message.agents);
+      this.holderSearch.handleNoneKnows(packet, search, message.agents);
     }
   }
 
   /** An agent's target holds a flow. */
-  confirmed(flow: FlowKey, agent: Endpoint): void {
+  confirmHolder(flow: FlowKey, agent: Endpoint): void {
     this.counters.flowsFound++;
-    this.searches.forgetFlow(flow);
+    this.searches.endHolderSearch(flow);
     this.dependencies.cache.confirm(flow, agent, this.dependencies.environment.now());
-    for (const { packet, route } of this.holders.takeWaiting(flow)) {
-      this.outlet.deliver(packet, getServiceNames(route), agent, 0);
+    for (const { packet, route } of this.holderSearch.takeWaiting(flow)) {
+      this.forwarder.deliver(packet, getServiceNames(route), agent, 0);
     }
   }
 
   /** Ends the timer. */
   stop(): void {
-    this.holders.stop();
+    this.holderSearch.stop();
   }
 
   /** An agent that was away is back: hands it what has waited for it. */
-  agentReturned(agent: Endpoint): void {
-    this.outlet.deliverDelayed(agent);
+  handleAgentReturned(agent: Endpoint): void {
+    this.forwarder.deliverDelayed(agent);
   }
 
   /** Drops what is too old to matter. */
   expire(now: number): void {
     this.searches.expire(now);
-    this.outlet.expire(now);
-    this.holders.expire(now);
+    this.forwarder.expire(now);
+    this.holderSearch.expire(now);
     this.placement.expire(now);
     this.dependencies.cache.expire(now);
   }
 
   private refuseWithoutRoute(packet: FlowPacket): void {
     this.counters.packetsWithoutRoute++;
-    if (this.routes && !this.dependencies.isViewSettled()) {
-      this.outlet.drop(packet, 'no route, the table may be an earlier one');
+    if (this.routes && !this.dependencies.isViewConverged()) {
+      this.forwarder.drop(packet, 'no route, the table may be an earlier one');
     } else if (this.routes && !packet.resets) {
-      this.outlet.reset(packet, 'no route', { version: this.routingVersion });
+      this.forwarder.reset(packet, 'no route', { version: this.routingVersion });
     } else {
-      this.outlet.drop(packet, 'no routing table');
+      this.forwarder.drop(packet, 'no routing table');
     }
   }
 
   private continueFlow(packet: FlowPacket, route: Route): void {
     const { cache, directory, environment } = this.dependencies;
-    const known = cache.use(packet.flow, environment.now());
+    const known = cache.get(packet.flow, environment.now());
     if (known) {
-      this.placement.notePacket(packet, known.use);
+      this.placement.recordPacket(packet, known.usage);
     }
     if (known && directory.find(known.agent)) {
-      this.outlet.deliver(packet, getServiceNames(route), known.agent, 0);
+      this.forwarder.deliver(packet, getServiceNames(route), known.agent, 0);
     } else {
-      this.holders.find(packet, route);
+      this.holderSearch.find(packet, route);
     }
   }
 
@@ -237,7 +237,7 @@
    * The search for a packet's holder that is still under way; undefined when it has ended, so
    * that a late outcome begins nothing.
    */
-  private openSearchOf(packet: FlowPacket, searchId: number): FlowSearch | undefined {
+  private findActiveSearch(packet: FlowPacket, searchId: number): FlowSearch | undefined {
     const search = this.searches.find(searchId, this.dependencies.environment.now());
     return search?.flow === packet.flow ? search : undefined;
   }
@@ -246,13 +246,13 @@
    * The search that a refused packet belongs to. Ids begin anew with each run, so a late
    * refusal of a packet that an earlier run sent may name the search of another flow.
    */
-  private searchOf(packet: FlowPacket, route: Route, searchId: number): FlowSearch {
-    const known = this.openSearchOf(packet, searchId);
+  private findOrResumeSearch(packet: FlowPacket, route: Route, searchId: number): FlowSearch {
+    const known = this.findActiveSearch(packet, searchId);
     if (known) {
       return known;
     }
     return packet.opens
-      ? this.placement.resume(packet, route)
-      : this.holders.searchOf(packet, route);
+      ? this.placement.resumeSearch(packet, route)
+      : this.holderSearch.findOrBeginSearch(packet, route);
   }
 }
--- a/src/packets/flow-search.ts
+++ b/src/packets/flow-search.ts
@@ -17,9 +17,9 @@
 export interface SearchRound {
   readonly agents: readonly Endpoint[];
   /** Once none of the agents knows the flow, all offer the packet to their targets. */
-  readonly isOfferedNext: boolean;
+  readonly isFollowedByOffer: boolean;
   /** Agents whose groups have not told yet that none knows the flow; none where it is not in groups. */
-  readonly unasked: Set<Endpoint>;
+  readonly outstanding: Set<Endpoint>;
 }
 
 /** One search. */
@@ -37,9 +37,9 @@
   /** Times that a packet was sent through the agents. */
   attempts: number;
   /** Those times since the last outcome of any. */
-  unanswered: number;
+  unansweredAttempts: number;
   /** Those times at which all agents went by what they know, and no target was touched. */
-  sureAttempts: number;
+  conclusiveAttempts: number;
   /** The latest round of groups; undefined before the first. */
   round: SearchRound | undefined;
   /** It has been told that only silent agents are left. */
@@ -48,7 +48,7 @@
 }
 
 /** Notes that a packet is offered to an agent now. */
-export function noteOffer(search: FlowSearch, agent: Endpoint): void {
+export function recordOffer(search: FlowSearch, agent: Endpoint): void {
   search.offeredTo.delete(agent);
   search.offeredTo.add(agent);
 }
@@ -57,7 +57,7 @@
  * Of agents that have not refused, those to be asked next: those that were not asked yet, or
  * the one that was asked longest ago, since a packet or its refusal may have been lost.
  */
-export function nextToAsk<T extends { readonly address: Endpoint }>(
+export function selectNextAgents<T extends { readonly address: Endpoint }>(
   search: FlowSearch,
   candidates: readonly T[],
 ): readonly T[] {
@@ -78,7 +78,7 @@
 export class FlowSearches {
   private readonly searches = new Map<number, FlowSearch>();
   /** Searches for the holders of open flows. */
-  private readonly byFlow = new Map<FlowKey, FlowSearch>();
+  private readonly holderSearches = new Map<FlowKey, FlowSearch>();
   private nextId = 1;
 
   constructor(
@@ -92,37 +92,37 @@
 
   /** Begins a search for a target that takes a new flow; earlier notes on it are void. */
   beginOpening(flow: FlowKey, route: Route, services: readonly string[], now: number): FlowSearch {
-    this.forgetFlow(flow);
+    this.endHolderSearch(flow);
     return this.begin(flow, route, services, now);
   }
 
   /** The search for the holder of an open flow, begun now unless one is noted. */
-  forHolder(flow: FlowKey, route: Route, services: readonly string[], now: number): FlowSearch {
-    const known = this.byFlow.get(flow);
+  findOrBegin(flow: FlowKey, route: Route, services: readonly string[], now: number): FlowSearch {
+    const known = this.holderSearches.get(flow);
     if (known) {
-      return this.use(known, now);
+      return this.touch(known, now);
     }
     const search = this.begin(flow, route, services, now);
-    this.byFlow.set(flow, search);
+    this.holderSearches.set(flow, search);
     return search;
   }
 
   /** The search of an id, which counts as used now. */
   find(id: number, now: number): FlowSearch | undefined {
     const search = this.searches.get(id);
-    return search && this.use(search, now);
+    return search && this.touch(search, now);
   }
 
   end(search: FlowSearch): void {
     this.searches.delete(search.id);
-    if (this.byFlow.get(search.flow) === search) {
-      this.byFlow.delete(search.flow);
+    if (this.holderSearches.get(search.flow) === search) {
+      this.holderSearches.delete(search.flow);
     }
   }
 
   /** The holder of a flow is known, or the flow is a new one. */
-  forgetFlow(flow: FlowKey): void {
-    const search = this.byFlow.get(flow);
+  endHolderSearch(flow: FlowKey): void {
+    const search = this.holderSearches.get(flow);
     if (search) {
       this.end(search);
     }
@@ -148,8 +148,8 @@
       unknownTo: new Set(),
       offeredTo: new Set(),
       attempts: 0,
-      unanswered: 0,
-      sureAttempts: 0,
+      unansweredAttempts: 0,
+      conclusiveAttempts: 0,
       round: undefined,
       hasStalled: false,
       usedAt: now,
@@ -162,7 +162,7 @@
     return search;
   }
 
-  private use(search: FlowSearch, now: number): FlowSearch {
+  private touch(search: FlowSearch, now: number): FlowSearch {
     search.usedAt = now;
     this.searches.delete(search.id);
     this.searches.set(search.id, search);
--- a/src/packets/locality/candidate-order.ts
+++ b/src/packets/locality/candidate-order.ts
@@ -6,9 +6,9 @@
  * zone where a flow may have been placed are the first of that zone in the search.
  */
 import { hashText } from '../../core/hashing';
-import { CANDIDATES, scoreOf, type Candidate } from '../flow-candidates';
+import { CANDIDATE_COUNT, computeScore, type Candidate } from '../flow-candidates';
 import type { FlowKey } from '../flow-packet';
-import { GROUP_LENGTH, type SearchOrder } from '../search-order';
+import { GROUP_SIZE, type SearchOrder } from '../search-order';
 
 /**
  * Agents of the home zone among the candidates; the rest are the first of the other zones. With
@@ -31,7 +31,7 @@
 
 /**
  * All agents in the order for placing a flow: the first few of the home zone, then one of each
- * other zone in turn until there are {@link CANDIDATES}, the nearest zone first; then the rest of
+ * other zone in turn until there are {@link CANDIDATE_COUNT}, the nearest zone first; then the rest of
  * the home zone, and all others. A home zone of few agents leaves more places to others.
  */
 export function orderForPlacement<T extends Candidate>(
@@ -49,7 +49,7 @@
   nearestFirst.sort((one, other) => one.distance - other.distance);
   const others = interleave(nearestFirst.map(({ zone }) => byZone.get(zone)!));
   const first = own.slice(0, HOME_CANDIDATES);
-  const otherCount = CANDIDATES - first.length;
+  const otherCount = CANDIDATE_COUNT - first.length;
   return first.concat(others.slice(0, otherCount), own.slice(HOME_CANDIDATES), others.slice(otherCount));
 }
 
@@ -72,7 +72,7 @@
   for (const zone of zones) {
     splitLikely(zone, perService, likely, rest);
   }
-  return { agents: likely.concat(rest), likely: Math.min(likely.length, GROUP_LENGTH) };
+  return { agents: likely.concat(rest), likelyCount: Math.min(likely.length, GROUP_SIZE) };
 }
 
 function countServices(agents: readonly SearchCandidate[]): number {
@@ -85,8 +85,8 @@
 
 /** Likely agents of a service in a zone: all candidates in the only zone, fewer in each of many. */
 function computeLikelyPerService(zones: number, services: number): number {
-  const wanted = zones <= 1 ? CANDIDATES : HOME_CANDIDATES;
-  return Math.max(1, Math.min(wanted, Math.floor(GROUP_LENGTH / (zones * services))));
+  const wanted = zones <= 1 ? CANDIDATE_COUNT : HOME_CANDIDATES;
+  return Math.max(1, Math.min(wanted, Math.floor(GROUP_SIZE / (zones * services))));
 }
 
 /** Adds the first few of each service to the likely agents and the others to the rest. */
@@ -119,7 +119,7 @@
 function groupByScore<T extends Candidate>(seed: number, agents: readonly T[]): AgentsByZone<T> {
   const keys = new Float64Array(agents.length);
   for (let index = 0; index < agents.length; index++) {
-    keys[index] = scoreOf(agents[index]!.address, seed) * INDEX_RANGE + index;
+    keys[index] = computeScore(agents[index]!.address, seed) * INDEX_RANGE + index;
   }
   keys.sort();
   const byZone = new Map<string, T[]>();
--- a/src/packets/locality/locality.ts
+++ b/src/packets/locality/locality.ts
@@ -5,7 +5,7 @@
 import type { Endpoint, Environment } from '../../environment';
 import { Events } from '../../logging/events';
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
-import { CANDIDATES, orderCandidates } from '../flow-candidates';
+import { CANDIDATE_COUNT, orderCandidates } from '../flow-candidates';
 import type { FlowKey } from '../flow-packet';
 import type { DistanceReplyMessage } from '../packet-messages';
 import type { SearchOrder } from '../search-order';
@@ -99,7 +99,7 @@
     if (this.isEnabled) {
       return orderForSearch(flow, agents);
     }
-    return { agents: orderCandidates(flow, agents, this.settings.zone), likely: CANDIDATES };
+    return { agents: orderCandidates(flow, agents, this.settings.zone), likelyCount: CANDIDATE_COUNT };
   }
 
   /** The order for a second choice before a flow leaves the zone; undefined when none is needed. */
--- a/src/packets/locality/spill.ts
+++ b/src/packets/locality/spill.ts
@@ -1,7 +1,7 @@
 /** Whether a new flow stays in its balancer's zone, and why it does not. */
 import type { AgentEntry } from '../agent-directory';
 import { acceptsNewFlows } from '../agent-selection';
-import { CANDIDATES } from '../flow-candidates';
+import { CANDIDATE_COUNT } from '../flow-candidates';
 
 /** Why a flow is placed in another zone. */
 export const SpillReason = {
@@ -57,7 +57,7 @@
     return undefined;
   }
   const accepting = ordered.filter((entry) => acceptsNewFlows(entry));
-  const remainingHome = accepting.slice(CANDIDATES).filter(({ zone }) => zone === home);
+  const remainingHome = accepting.slice(CANDIDATE_COUNT).filter(({ zone }) => zone === home);
   if (remainingHome.length === 0) {
     return undefined;
   }
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -7,7 +7,7 @@
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import { AgentRegistration } from './agent-registration';
-import { ClientIntake } from './client-intake';
+import { ClientPacketHandler } from './client-packet-handler';
 import type { FlowPacket } from './flow-packet';
 import { FlowTracker } from './flow-tracker';
 import { LoadReporter } from './load-reporter';
@@ -67,7 +67,7 @@
   private readonly health = new TargetHealth();
   private readonly flowBytes = new MeanFlowBytes();
   private readonly admission: TargetAdmission;
-  private readonly intake: ClientIntake;
+  private readonly intake: ClientPacketHandler;
   private readonly reporter: LoadReporter;
   private readonly timers: NodeTimers;
   private readonly registration: AgentRegistration;
@@ -281,13 +281,13 @@
   private handleMessage(message: PlainMessage, from: Endpoint): void {
     switch (message.type) {
       case PacketMessageType.deliver:
-        this.intake.deliver(message, from);
+        this.intake.handleDelivery(message, from);
         return;
       case PacketMessageType.search:
-        this.intake.search(message);
+        this.intake.handleSearch(message);
         return;
       case PacketMessageType.locate:
-        this.intake.tellIfHeld(message.flow, from);
+        this.intake.confirmIfHeld(message.flow, from);
         return;
       case PacketMessageType.subscribe:
         this.link.recordHopRepair(from, message.frameVersion);
@@ -354,7 +354,7 @@
     this.health.recordActivity();
     this.liveness.recordActivity();
     if (packet.refused) {
-      this.intake.returned(packet);
+      this.intake.handleReturned(packet);
       return;
     }
     this.counters.packetsSent++;
@@ -410,17 +410,17 @@
       lowerShare: this.settings.lowerPriorityShare,
       getTerms: (destination) => this.terms.getTerms(destination),
       getLatencyGoal: () => this.guard.latencyGoal,
-      handOver: (packet, balancer, searchId) => this.intake.handOver(packet, balancer, searchId),
+      handOver: (packet, balancer, searchId) => this.intake.deliverAdmitted(packet, balancer, searchId),
     });
   }
 
-  private createIntake(): ClientIntake {
+  private createIntake(): ClientPacketHandler {
     const { settings, dependencies, admission, answers, counters, flowBytes } = this;
     const { guard, health, hops, link, target, tracker } = this;
-    return new ClientIntake({
+    return new ClientPacketHandler({
       environment: dependencies.environment,
       format: dependencies.format,
-      knowsHandshakes: settings.earlyStart,
+      recognizesHandshakes: settings.earlyStart,
       admission,
       answers,
       counters,
@@ -433,8 +433,8 @@
       tracker,
       isTargetMissing: () => this.isTargetAbsent(),
       state: () => this.state,
-      noteLoad: () => this.reporter.reportIfLoadSpiked(),
-      noteBalancer: (balancer) => this.reporter.subscribe(balancer),
+      recordLoad: () => this.reporter.reportIfLoadSpiked(),
+      recordBalancer: (balancer) => this.reporter.subscribe(balancer),
       sendToTarget: (packet) => dependencies.sendToTarget(packet),
     });
   }
@@ -507,7 +507,7 @@
   /** Clients of its flows are told now, those whose requests wait here among them. */
   private handleTargetDeath(): void {
     this.logTargetState();
-    this.intake.refuseWaiting();
+    this.intake.refuseQueued();
   }
 
   /** Tells every balancer of a change at once, and again shortly after. */
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -7,9 +7,9 @@
 import { Events } from '../logging/events';
 import { AgentDirectory } from './agent-directory';
 import { AgentReportHandler } from './agent-report-handler';
-import { AgentSubscriptions, KNOCK_INTERVAL, type SubscriptionEras } from './agent-subscriptions';
+import { AgentSubscriptions, FAST_RETRY_INTERVAL_MS, type SubscriptionEras } from './agent-subscriptions';
 import { FlowCache } from './flow-cache';
-import { locateTimeout } from './flow-locator';
+import { computeSearchTimeout } from './pending-searches';
 import { FlowRouter } from './flow-router';
 import { INITIAL_PROBE_INTERVAL_MS } from './locality/distance-probes';
 import { Locality } from './locality/locality';
@@ -37,12 +37,12 @@
 import { ZoneDetour } from './zone-detour';
 import { ZoneEvacuationView } from './zone-evacuations';
 
-const CACHED_FLOWS = 500_000;
-const UPKEEP_INTERVAL = 1_000;
+const FLOW_CACHE_CAPACITY = 500_000;
+const MAINTENANCE_INTERVAL_MS = 1_000;
 /** Milliseconds after its start in which a balancer that relays takes no traffic by itself. */
-const RELAY_SEARCH_TIME = 5_000;
+const RELAY_DISCOVERY_TIME_MS = 5_000;
 /** Milliseconds after its start in which the code of a weak balancer is still slow. */
-const WARM_UP_TIME = 8_000;
+const WARM_UP_TIME_MS = 8_000;
 
 /** One packet balancer. */
 export class PacketBalancer {
@@ -66,11 +66,11 @@
   private stopping = false;
   private wasReady = false;
   private wasRelaying = false;
-  private readonly gate: StartupGate;
+  private readonly startupGate: StartupGate;
   private readonly startupRelay: StartupRelay;
-  private readonly settling = new ViewConvergence();
+  private readonly viewConvergence = new ViewConvergence();
   /** The store's era that agents have been told. */
-  private eraTold = 0;
+  private announcedEra = 0;
   private packetsRelayed = 0;
   private startedAt = 0;
 
@@ -83,13 +83,13 @@
     this.detours = new ZoneDetour(settings.zone);
     this.relay = new TrafficRelay(settings.address, settings.zone, settings.capacity);
     this.startupRelay = new StartupRelay(settings.zone, settings.capacity);
-    this.cache = new FlowCache(CACHED_FLOWS, settings.flowLifetime);
+    this.cache = new FlowCache(FLOW_CACHE_CAPACITY, settings.flowLifetime);
     this.link = new PacketLink(codec, transport, environment);
     this.hops = this.createHopRepair();
     this.table = new ActiveRoutingTable(environment, (table, hasOtherProfiles) =>
       this.applyTable(table, hasOtherProfiles),
     );
-    this.evacuations = new ZoneEvacuationView(environment, (zones) => this.tellOfZones(zones));
+    this.evacuations = new ZoneEvacuationView(environment, (zones) => this.announceZones(zones));
     this.locality = new Locality(settings, environment, this.directory, (agent, probe) =>
       this.link.send(agent, probe),
     );
@@ -108,20 +108,20 @@
       directory: this.directory,
       link: this.link,
       learnPeer: (peer) => this.peers.addPeer(peer),
-      onAgentReturned: (agent) => this.router.agentReturned(agent),
+      onAgentReturned: (agent) => this.router.handleAgentReturned(agent),
       onHeardAgentsChanged: () => this.updateReadiness(),
     });
     this.reading = this.createReading();
-    this.gate = this.createGate();
+    this.startupGate = this.createGate();
   }
 
   start(): void {
     this.startedAt = this.dependencies.environment.now();
-    this.settling.start(this.startedAt);
+    this.viewConvergence.start(this.startedAt);
     this.reading.start();
     this.peers.start();
     this.peers.requestView();
-    this.timers.scheduleRepeating(KNOCK_INTERVAL, () => {
+    this.timers.scheduleRepeating(FAST_RETRY_INTERVAL_MS, () => {
       if (!this.hasView) {
         this.peers.requestView();
       }
@@ -129,7 +129,7 @@
       this.subscribe();
     });
     this.timers.scheduleRepeating(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
-    this.timers.scheduleRepeating(UPKEEP_INTERVAL, () => this.maintain());
+    this.timers.scheduleRepeating(MAINTENANCE_INTERVAL_MS, () => this.maintain());
   }
 
   /** Takes no new part of the traffic from now on; packets that still come are served. */
@@ -151,7 +151,7 @@
     this.peers.stop();
     this.router.stop();
     this.hops.stop();
-    this.gate.stop();
+    this.startupGate.stop();
     this.evacuations.stop();
     this.timers.cancelAll();
   }
@@ -165,10 +165,10 @@
     if (this.stopping) {
       return false;
     }
-    if (this.relay.isPossible(now)) {
-      return this.relay.isNeeded(this.hasRunLong, now);
+    if (this.relay.canRelay(now)) {
+      return this.relay.isNeeded(this.isWarmedUp, now);
     }
-    if (this.relay.isWanted && now - this.startedAt < RELAY_SEARCH_TIME) {
+    if (this.relay.prefersRelaying && now - this.startedAt < RELAY_DISCOVERY_TIME_MS) {
       return false;
     }
     return this.canServe;
@@ -183,9 +183,9 @@
       flowsCached: this.cache.size,
       framesRejected: this.link.framesRejected,
       packetsRelayed: this.packetsRelayed,
-      packetsKeptAtStart: this.gate.kept,
-      packetsRelayedAtStart: this.gate.relayedOn,
-      packetsDroppedAtStart: this.gate.dropped,
+      packetsKeptAtStart: this.startupGate.kept,
+      packetsRelayedAtStart: this.startupGate.relayedOn,
+      packetsDroppedAtStart: this.startupGate.dropped,
       ready: this.isReady,
       readsStore: this.reading.isReading,
       storeEra: Math.max(this.reading.era, this.view.position.era),
@@ -210,14 +210,14 @@
   }
 
   /** A datagram of a client. */
-  clientDatagram(bytes: Buffer): void {
-    if (!this.gate.handlePacket(bytes)) {
+  handleClientDatagram(bytes: Buffer): void {
+    if (!this.startupGate.handlePacket(bytes)) {
       this.routeDatagram(bytes);
     }
   }
 
   private routeDatagram(bytes: Buffer): void {
-    const destination = this.relay.isWanted ? this.relayDestination(bytes) : undefined;
+    const destination = this.relay.prefersRelaying ? this.findRelayDestination(bytes) : undefined;
     if (destination === undefined) {
       this.router.route(bytes);
       return;
@@ -227,16 +227,16 @@
   }
 
   /** Smoothed round trip to an agent in milliseconds; undefined before it is measured. */
-  roundTripTo(agent: Endpoint): number | undefined {
+  getRoundTrip(agent: Endpoint): number | undefined {
     return this.hops.getRoundTrip(agent);
   }
 
   /** A frame of another node. */
-  frame(bytes: Buffer, from: Endpoint): void {
+  handleFrame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
     const unpacked = message && this.hops.receive(from, message);
     if (unpacked) {
-      this.take(unpacked, from);
+      this.handleMessage(unpacked, from);
     }
   }
 
@@ -250,16 +250,16 @@
   }
 
   private get eras(): SubscriptionEras {
-    const isAsking = this.settling.shouldQueryAgents(this.dependencies.environment.now());
+    const isAsking = this.viewConvergence.shouldQueryAgents(this.dependencies.environment.now());
     return { storeEra: this.view.position.era, asksEra: isAsking ? 1 : 0 };
   }
 
   /** Agents are told of another era at once: some have lost their entries, and all know how old they are. */
-  private noteEra(): void {
+  private announceEra(): void {
     const { era } = this.view.position;
-    if (era !== this.eraTold) {
-      this.eraTold = era;
-      this.subscriptions.forgetAll();
+    if (era !== this.announcedEra) {
+      this.announcedEra = era;
+      this.subscriptions.makeAllDue();
     }
   }
 
@@ -271,7 +271,7 @@
   /** Whether any flow can be routed or relayed now, by a balancer that is wanted or not. */
   private get canServe(): boolean {
     const now = this.dependencies.environment.now();
-    if (this.relay.isPossible(now)) {
+    if (this.relay.canRelay(now)) {
       return true;
     }
     const maySeeNone = this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
@@ -287,35 +287,35 @@
       directory: this.directory,
       isPaced: this.settings.earlyStart,
       canServe: () => this.canServe,
-      isRelaying: () => this.relay.isPossible(environment.now()),
-      relay: this.settings.earlyStart && !this.relay.isWanted ? this.startupRelay : undefined,
+      isRelaying: () => this.relay.canRelay(environment.now()),
+      relay: this.settings.earlyStart && !this.relay.prefersRelaying ? this.startupRelay : undefined,
       getClusterSize: () => this.peers.clusterSize,
       forward: (to, bytes) => this.dependencies.relay(to, bytes),
       getTable: () => this.table.current,
-      findRoute: (packet) => this.router.routeOf(packet),
+      findRoute: (packet) => this.router.findRoute(packet),
       route: (bytes) => this.routeDatagram(bytes),
     });
   }
 
-  private relayDestination(bytes: Buffer): Endpoint | undefined {
+  private findRelayDestination(bytes: Buffer): Endpoint | undefined {
     const { environment, format } = this.dependencies;
     const packet = format.decodeFromClient(bytes);
-    return packet && this.relay.destinationOf(packet.flow, environment.now());
+    return packet && this.relay.selectDestination(packet.flow, environment.now());
   }
 
-  private take(message: PlainMessage, from: Endpoint): void {
+  private handleMessage(message: PlainMessage, from: Endpoint): void {
     switch (message.type) {
       case PacketMessageType.notHeld:
-        this.router.refused(from, message);
+        this.router.handleRefusal(from, message);
         return;
       case PacketMessageType.noneHolds:
-        this.router.noneHolds(message);
+        this.router.handleNoneHolds(message);
         return;
       case PacketMessageType.noneKnows:
-        this.router.noneKnows(message);
+        this.router.handleNoneKnows(message);
         return;
       case PacketMessageType.held:
-        this.router.confirmed(message.flow.toString('latin1'), from);
+        this.router.confirmHolder(message.flow.toString('latin1'), from);
         return;
       case PacketMessageType.report:
         this.reports.handleReport(from, message);
@@ -330,14 +330,14 @@
         this.locality.handleProbeReply(from, message);
         return;
       case PacketMessageType.eraSeen:
-        this.settling.recordObservedEra(message.era);
+        this.viewConvergence.recordObservedEra(message.era);
         return;
       default:
-        this.refuseMessage(message);
+        this.reportUnexpectedMessage(message);
     }
   }
 
-  private refuseMessage({ type }: MessageToAgent): void {
+  private reportUnexpectedMessage({ type }: MessageToAgent): void {
     this.dependencies.environment.report(Events.frameUnexpected, { type });
   }
 
@@ -349,7 +349,7 @@
       zone: settings.zone,
       locality,
       address: settings.address,
-      locateTimeout: locateTimeout(settings.capacity),
+      searchTimeout: computeSearchTimeout(settings.capacity),
       format,
       directory,
       cache,
@@ -358,7 +358,7 @@
       hops,
       sendToClient: (client, packet) => dependencies.sendToClient(client, packet),
       isEvacuated: (zone) => this.evacuations.isEvacuated(zone),
-      isViewSettled: () => this.settling.isConverged(this.view.position.era, environment.now()),
+      isViewConverged: () => this.viewConvergence.isConverged(this.view.position.era, environment.now()),
       detours,
     });
   }
@@ -381,7 +381,7 @@
       environment: this.dependencies.environment,
       directory: this.directory,
       onChanged: () => {
-        this.noteEra();
+        this.announceEra();
         this.subscribe();
         this.peers.notifyWaitingPeers();
         this.updateReadiness();
@@ -413,13 +413,13 @@
       link: this.link,
       snapshots,
       relay: this.relay,
-      onStatus: (peer, status) => this.learnStatus(peer, status),
+      onStatus: (peer, status) => this.recordStatus(peer, status),
       detours: this.detours,
       lacksView: () => !this.hasView,
       evacuations: this.evacuations,
       getRoutingVersion: () => this.table.version,
       getOwnStatus: () => this.ownStatus,
-      onSnapshot: (peer, snapshot) => this.takeSnapshot(peer, snapshot),
+      onSnapshot: (peer, snapshot) => this.applySnapshot(peer, snapshot),
       onAgents: (agents) => this.view.mergeAgents(agents),
       getRegistryPosition: () => this.view.position,
       onDelta: (delta, era) => this.view.applyDelta(delta, era),
@@ -428,9 +428,9 @@
     });
   }
 
-  private learnStatus(peer: Endpoint, status: BalancerStatus): void {
+  private recordStatus(peer: Endpoint, status: BalancerStatus): void {
     this.startupRelay.learn(peer, status, this.dependencies.environment.now());
-    this.gate.processBacklog();
+    this.startupGate.processBacklog();
   }
 
   /** A balancer that starts first asks others; those that others ask first read at once. */
@@ -468,15 +468,15 @@
 
   private get ownStatus(): BalancerStatus {
     const { zone, packetAddress, capacity } = this.settings;
-    const told = this.relay.isWanted && !this.hasRunLong ? 0 : capacity;
+    const told = this.relay.prefersRelaying && !this.isWarmedUp ? 0 : capacity;
     return { zone, packetAddress, capacity: told, isReady: this.isReady };
   }
 
-  private get hasRunLong(): boolean {
-    return this.dependencies.environment.now() - this.startedAt > WARM_UP_TIME;
+  private get isWarmedUp(): boolean {
+    return this.dependencies.environment.now() - this.startedAt > WARM_UP_TIME_MS;
   }
 
-  private takeSnapshot(peer: Endpoint, snapshot: PeerSnapshot): void {
+  private applySnapshot(peer: Endpoint, snapshot: PeerSnapshot): void {
     const { agents, registryRevision, routingTable, storeEra, viewComplete } = snapshot;
     const origin = formatEndpoint(peer);
     if (routingTable) {
@@ -494,15 +494,15 @@
     this.router.apply(table);
     this.peers.notifyWaitingPeers();
     if (hasOtherProfiles) {
-      this.subscriptions.forgetAll();
+      this.subscriptions.makeAllDue();
       this.subscribe();
     }
     this.updateReadiness();
   }
 
   /** Zones went out of service or came back: tells their agents, and other balancers. */
-  private tellOfZones(zones: readonly string[]): void {
-    this.subscriptions.forgetIn(zones);
+  private announceZones(zones: readonly string[]): void {
+    this.subscriptions.makeDueInZones(zones);
     this.subscribe();
     if (this.reading.isReading) {
       this.peers.broadcastStatus();
@@ -513,14 +513,14 @@
   /** A balancer that relays needs no reports. */
   private subscribe(): void {
     const now = this.dependencies.environment.now();
-    const isRelaying = this.relay.isPossible(now);
+    const isRelaying = this.relay.canRelay(now);
     this.reportRelaying(isRelaying);
     if (isRelaying) {
       this.directory.stopListening();
       return;
     }
     this.directory.startListening(now);
-    this.subscriptions.run(now, this.reading.isRecent);
+    this.subscriptions.sendDue(now, this.reading.isRecent);
   }
 
   private reportRelaying(isRelaying: boolean): void {
@@ -533,7 +533,7 @@
   }
 
   private maintain(): void {
-    this.gate.processBacklog();
+    this.startupGate.processBacklog();
     this.router.expire(this.dependencies.environment.now());
     this.hops.expire(this.dependencies.environment.now());
     this.upkeep.reconcile(this.reading.isReading);
@@ -543,7 +543,7 @@
 
   private updateReadiness(): void {
     const ready = this.isReady;
-    this.gate.processBacklog();
+    this.startupGate.processBacklog();
     if (ready !== this.wasReady) {
       this.wasReady = ready;
       const { routingVersion, agentsKnown, agentsHeard } = this.figures;
@@ -553,7 +553,7 @@
         routingVersion,
         agentsKnown,
         agentsHeard,
-        relays: this.relay.isPossible(this.dependencies.environment.now()),
+        relays: this.relay.canRelay(this.dependencies.environment.now()),
       });
     }
   }
--- a/src/packets/packet-outlet.ts
+++ b/src/packets/packet-forwarder.ts
@@ -4,7 +4,7 @@
 import type { EventFields, EventKind } from '../logging/events';
 import { Events } from '../logging/events';
 import type { AgentDirectory, AgentEntry } from './agent-directory';
-import { DelayedDeliveries, type PacketCarrier } from './delayed-deliveries';
+import { DelayedDeliveries, type DelayableMessage } from './delayed-deliveries';
 import type { FlowKey, FlowPacket, PacketFormat } from './flow-packet';
 import type { SpillCounters } from './locality/locality';
 import type { PacketLink } from './packet-link';
@@ -36,7 +36,7 @@
 }
 
 /** What the outlet works with. */
-export interface PacketOutletDependencies {
+export interface PacketForwarderDependencies {
   readonly environment: Environment;
   readonly format: PacketFormat;
   readonly directory: AgentDirectory;
@@ -48,7 +48,7 @@
 }
 
 /** The outlet of one balancer. */
-export class PacketOutlet {
+export class PacketForwarder {
   readonly counters: RoutingCounters = {
     packetsReceived: 0,
     packetsMalformed: 0,
@@ -73,7 +73,7 @@
   /** Packets that have come through another balancer. */
   private readonly detoured = new WeakSet<FlowPacket>();
 
-  constructor(private readonly dependencies: PacketOutletDependencies) {}
+  constructor(private readonly dependencies: PacketForwarderDependencies) {}
 
   /**
    * Sends a packet to an agent; keeps it for a while when the agent is away. One that is heard
@@ -103,7 +103,7 @@
   }
 
   /** Sends an agent that is not heard a packet, or a search with it; keeps it for a while. */
-  sendToSilent(packet: FlowPacket, message: PacketCarrier, agent: Endpoint): void {
+  sendToSilent(packet: FlowPacket, message: DelayableMessage, agent: Endpoint): void {
     const { directory, environment, link } = this.dependencies;
     const now = environment.now();
     const entry = directory.find(agent);
@@ -117,7 +117,7 @@
   }
 
   /** A packet has come through another balancer: it is delivered or dropped here. */
-  noteDetoured(packet: FlowPacket): void {
+  markDetoured(packet: FlowPacket): void {
     this.detoured.add(packet);
   }
 
@@ -127,7 +127,7 @@
     if (this.detoured.has(packet) || !directory.isZoneSilent(zone, now)) {
       return false;
     }
-    const balancer = detours.find(packet.flow, zone, now);
+    const balancer = detours.findBalancer(packet.flow, zone, now);
     if (balancer === undefined) {
       return false;
     }
@@ -145,8 +145,8 @@
   }
 
   /** An agent does not hold a flow: what is kept of it for that agent is void. */
-  noteRefusal(agent: Endpoint, flow: FlowKey): void {
-    this.delayed.forget(agent, flow);
+  discardDelayed(agent: Endpoint, flow: FlowKey): void {
+    this.delayed.removeFlow(agent, flow);
   }
 
   /** Drops delayed packets that are too old. */
@@ -157,7 +157,7 @@
   /** Tells a client that its flow is dead. */
   reset(packet: FlowPacket, reason: string, fields: EventFields = {}): void {
     this.counters.resetsSent++;
-    this.report(Events.flowReset, packet, { reason, ...fields });
+    this.reportEvent(Events.flowReset, packet, { reason, ...fields });
     this.sendReset(packet);
   }
 
@@ -170,11 +170,11 @@
   /** Leaves a packet to the client's next copy. */
   drop(packet: FlowPacket, reason: string): void {
     this.counters.packetsDropped++;
-    this.report(Events.packetDropped, packet, { reason, opens: packet.opens });
+    this.reportEvent(Events.packetDropped, packet, { reason, opens: packet.opens });
   }
 
   /** Reports an event of a client's packet. */
-  report(event: EventKind, packet: FlowPacket, fields: EventFields): void {
+  reportEvent(event: EventKind, packet: FlowPacket, fields: EventFields): void {
     this.dependencies.environment.report(event, {
       client: formatEndpoint(packet.client),
       destination: formatEndpoint(packet.destination),
--- a/src/packets/peer-exchange.ts
+++ b/src/packets/peer-exchange.ts
@@ -90,7 +90,7 @@
   start(): void {
     this.isStarted = true;
     this.sendStatusRound();
-    if (this.dependencies.relay.isWanted) {
+    if (this.dependencies.relay.prefersRelaying) {
       this.queryRelays();
     }
   }
@@ -206,9 +206,9 @@
   private recordStatus(peer: Endpoint, status: PeerStatusMessage): void {
     const { detours, environment, relay, onStatus: statusReceived } = this.dependencies;
     const { zone, packetAddress, capacity, ready } = status;
-    detours.learn(peer, zone, ready === 1, environment.now());
+    detours.recordStatus(peer, zone, ready === 1, environment.now());
     const balancerStatus = { zone, packetAddress, capacity: capacity / CAPACITY_SCALE, isReady: ready === 1 };
-    relay.learn(peer, balancerStatus, environment.now());
+    relay.recordStatus(peer, balancerStatus, environment.now());
     statusReceived(peer, balancerStatus);
   }
 
@@ -231,7 +231,7 @@
   /** Asks the balancers that packets are relayed to how they are; those known for it, or any. */
   private queryRelays(): void {
     const { environment, link, relay } = this.dependencies;
-    const asked = new Set([...relay.askedFor(environment.now()), ...this.choosePeers()]);
+    const asked = new Set([...relay.listBalancersToPoll(environment.now()), ...this.choosePeers()]);
     link.sendToAll([...asked], this.status(true));
     this.relayTimer = environment.startTimer(RELAY_STATUS_INTERVAL_MS, () => this.queryRelays());
   }
--- a/src/packets/pending-deliveries.ts
+++ b/src/packets/pending-deliveries.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '../environment';
 import type { SearchMessage } from './packet-messages';
 
-const RING_SIZE = 4_096;
+const RING_CAPACITY = 4_096;
 const TOKEN_RANGE = 2 ** 32;
 
 /** One packet at the target. */
@@ -19,7 +19,7 @@
 
 /** The latest deliveries of one agent. */
 export class PendingDeliveries {
-  private readonly ring: (PendingDelivery | undefined)[] = new Array<undefined>(RING_SIZE);
+  private readonly ring: (PendingDelivery | undefined)[] = new Array<undefined>(RING_CAPACITY);
   private lastToken: number;
 
   /** @param firstToken differs from run to run, so that another run's tokens mean nothing */
@@ -31,13 +31,13 @@
   add(balancer: Endpoint, searchId: number, search?: SearchMessage): number {
     this.lastToken = (this.lastToken + 1) % TOKEN_RANGE || 1;
     const token = this.lastToken;
-    this.ring[token % RING_SIZE] = { token, balancer, searchId, search };
+    this.ring[token % RING_CAPACITY] = { token, balancer, searchId, search };
     return token;
   }
 
   /** Takes the delivery of a token out; undefined when it is too old or unknown. */
   take(token: number): PendingDelivery | undefined {
-    const slot = token % RING_SIZE;
+    const slot = token % RING_CAPACITY;
     const found = this.ring[slot];
     if (found?.token !== token) {
       return undefined;
--- a/src/packets/flow-locator.ts
+++ b/src/packets/pending-searches.ts
@@ -6,23 +6,23 @@
 import type { Route } from './routing-table';
 
 /** Packets of one flow that wait for its answer; the client repeats the others. */
-const MAXIMUM_PER_FLOW = 16;
+const MAXIMUM_WAITING_PER_FLOW = 16;
 const MAXIMUM_FLOWS = 4_096;
 
-const SHORTEST_TIMEOUT = 40;
-const LONGEST_TIMEOUT = 400;
+const MINIMUM_TIMEOUT_MS = 40;
+const MAXIMUM_TIMEOUT_MS = 400;
 /** Milliseconds that a whole processor needs to send and to read the outcome, with much to spare. */
-const ASKING_TIME = 20;
+const BASE_SEARCH_TIME_MS = 20;
 
 /**
  * Milliseconds for each agent of a search, which visits it twice: sending across zones, and an
  * agent's turn while it handles others.
  */
-const AGENT_TIME = 4;
+const TIME_PER_AGENT_MS = 4;
 
 /** Milliseconds in which a search has its outcome, for a balancer with so many processors. */
-export function locateTimeout(capacity: number): number {
-  return Math.min(LONGEST_TIMEOUT, Math.max(SHORTEST_TIMEOUT, ASKING_TIME / capacity));
+export function computeSearchTimeout(capacity: number): number {
+  return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, BASE_SEARCH_TIME_MS / capacity));
 }
 
 /** A packet that waits for its flow's holder. */
@@ -33,7 +33,7 @@
   readonly hasWaited?: boolean;
 }
 
-interface Question {
+interface PendingSearch {
   dueAt: number;
   /** A packet that begins another search by itself, as it has not been offered to anybody. */
   retry: WaitingPacket | undefined;
@@ -41,69 +41,69 @@
 }
 
 /** Searches under way, by flow, oldest first. */
-export class FlowLocator {
-  private readonly questions = new Map<FlowKey, Question>();
+export class PendingSearches {
+  private readonly searches = new Map<FlowKey, PendingSearch>();
 
   /** @param timeout milliseconds that a search has for its outcome at least */
   constructor(private readonly timeout: number) {}
 
   get size(): number {
-    return this.questions.size;
+    return this.searches.size;
   }
 
   /** Whether the holder of a flow is being searched for. */
-  isAsked(flow: FlowKey): boolean {
-    return this.questions.has(flow);
+  isPending(flow: FlowKey): boolean {
+    return this.searches.has(flow);
   }
 
   /**
    * A search for the holder of a flow begins, or goes on through other agents; further packets
    * are to wait, up to a bound.
    * @param agents number of agents that it goes through
-   * @param unanswered searches before it that have had no outcome: each doubles the time that it has
+   * @param unansweredAttempts searches before it that have had no outcome: each doubles the time that it has
    */
-  ask(flow: FlowKey, agents: number, now: number, unanswered = 0): void {
-    const shortest = Math.max(this.timeout, agents * AGENT_TIME);
-    const doubled = Math.min(LONGEST_TIMEOUT, shortest * 2 ** unanswered);
+  beginOrExtend(flow: FlowKey, agents: number, now: number, unansweredAttempts = 0): void {
+    const shortest = Math.max(this.timeout, agents * TIME_PER_AGENT_MS);
+    const doubled = Math.min(MAXIMUM_TIMEOUT_MS, shortest * 2 ** unansweredAttempts);
     const dueAt = now + Math.max(shortest, doubled);
-    const known = this.questions.get(flow);
+    const known = this.searches.get(flow);
     if (known) {
       known.dueAt = dueAt;
       known.retry = undefined;
-    } else if (this.questions.size < MAXIMUM_FLOWS) {
-      this.questions.set(flow, { dueAt, retry: undefined, waiting: [] });
+    } else if (this.searches.size < MAXIMUM_FLOWS) {
+      this.searches.set(flow, { dueAt, retry: undefined, waiting: [] });
     }
   }
 
   /** Keeps the packet that a flow is searched for with, until the next search for it begins. */
   keepForRetry(packet: WaitingPacket): void {
-    const question = this.questions.get(packet.packet.flow);
-    if (question) {
-      question.retry = packet;
+    const search = this.searches.get(packet.packet.flow);
+    if (search) {
+      search.retry = packet;
     }
   }
 
   /** Keeps another packet of a flow that is searched for. */
-  wait(waiting: WaitingPacket): void {
-    const question = this.questions.get(waiting.packet.flow);
-    if (question && question.waiting.length < MAXIMUM_PER_FLOW) {
-      question.waiting.push(waiting);
+  enqueue(waiting: WaitingPacket): void {
+    const search = this.searches.get(waiting.packet.flow);
+    if (search && search.waiting.length < MAXIMUM_WAITING_PER_FLOW) {
+      search.waiting.push(waiting);
     }
   }
 
   /** The holder is known, or need not be: takes out what waits for it. */
-  take(flow: FlowKey): readonly WaitingPacket[] {
-    const question = this.questions.get(flow);
-    this.questions.delete(flow);
-    return question?.waiting ?? [];
+  takeWaiting(flow: FlowKey): readonly WaitingPacket[] {
+    const search = this.searches.get(flow);
+    this.searches.delete(flow);
+    return search?.waiting ?? [];
   }
 
   /** Takes out what has waited too long for the outcome. */
   takeOverdue(now: number): WaitingPacket[] {
     const overdue: WaitingPacket[] = [];
-    for (const [flow, { dueAt, retry, waiting }] of this.questions) {
+    for (const [flow, { dueAt, retry, waiting }] of this.searches) {
       if (now >= dueAt) {
-        this.questions.delete(flow);
+        this.searches.delete(flow);
         overdue.push(...(retry ? [retry] : []), ...waiting);
       }
     }
--- a/src/packets/search-dispatch.ts
+++ b/src/packets/search-dispatch.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '../environment';
 import type { AgentEntry } from './agent-directory';
 import type { FlowPacket } from './flow-packet';
-import { noteOffer, type FlowSearch } from './flow-search';
+import { recordOffer, type FlowSearch } from './flow-search';
 import type { Locality } from './locality/locality';
 import type { PacketLink } from './packet-link';
 import {
@@ -16,11 +16,11 @@
   type SearchMessage,
   type SearchPhaseValue,
 } from './packet-messages';
-import type { PacketOutlet } from './packet-outlet';
-import { GROUP_LENGTH, orderSearch, splitIntoGroups } from './search-order';
+import type { PacketForwarder } from './packet-forwarder';
+import { GROUP_SIZE, orderSearch, splitIntoGroups } from './search-order';
 
 /** Agents of one round of groups: a balancer sends and hears 20 messages for each stage of it. */
-const MAXIMUM_ROUND_LENGTH = 20 * GROUP_LENGTH;
+const MAXIMUM_ROUND_SIZE = 20 * GROUP_SIZE;
 
 /** What the dispatch works with. */
 export interface SearchDispatchDependencies {
@@ -28,9 +28,9 @@
   readonly address: Endpoint;
   readonly locality: Locality;
   readonly link: PacketLink;
-  readonly outlet: PacketOutlet;
+  readonly forwarder: PacketForwarder;
   /** A packet goes out in chains of so many agents at most; their outcome is awaited from now on. */
-  sent(packet: FlowPacket, search: FlowSearch, agents: number): void;
+  waitForOutcome(packet: FlowPacket, search: FlowSearch, agents: number): void;
 }
 
 /** The dispatch of one balancer. */
@@ -41,25 +41,25 @@
    * Asks agents whether they know a packet's flow. Those that are heard will answer; those that are
    * not stand in groups of their own, since one that is down ends the way of its group.
    */
-  askInParts(
+  queryInParts(
     heard: readonly AgentEntry[],
     awaited: readonly AgentEntry[],
     packet: FlowPacket,
     search: FlowSearch,
   ): void {
-    const parts = [heard, awaited].map((agents) => this.orderForAsking(agents, search));
+    const parts = [heard, awaited].map((agents) => this.orderForQuery(agents, search));
     search.attempts++;
-    this.askAgents(packet, search, parts);
+    this.queryAgents(packet, search, parts);
   }
 
   /**
    * Sends a packet through agents: first through the few where its flow was placed in all
    * likelihood, then through those that know all flows of their targets, then through the rest.
    */
-  sendThrough(agents: readonly AgentEntry[], packet: FlowPacket, search: FlowSearch): void {
-    const sure = agents.filter((agent) => this.isSure(agent));
+  sendThroughAgents(agents: readonly AgentEntry[], packet: FlowPacket, search: FlowSearch): void {
+    const conclusive = agents.filter((agent) => this.isConclusive(agent));
     const isFirst = search.attempts === 0;
-    this.send(packet, search, isFirst || sure.length === 0 ? agents : sure);
+    this.send(packet, search, isFirst || conclusive.length === 0 ? agents : conclusive);
   }
 
   /** None of some agents knows a packet's flow: all of them offer it to their targets. */
@@ -73,38 +73,38 @@
    */
   offerToSilent(agent: AgentEntry, packet: FlowPacket, search: FlowSearch): void {
     const { address } = agent;
-    const { link, outlet } = this.dependencies;
-    noteOffer(search, address);
+    const { link, forwarder: forwarder } = this.dependencies;
+    recordOffer(search, address);
     if (!link.supportsConclusiveSearch(address)) {
-      outlet.deliver(packet, search.services, address, search.id);
+      forwarder.deliver(packet, search.services, address, search.id);
       return;
     }
     const message = this.createSearch(packet, search, [address], SearchPhase.conclusive);
-    outlet.sendToSilent(packet, message, address);
+    forwarder.sendToSilent(packet, message, address);
   }
 
   /** Sends a packet through agents; further packets of its flow wait for the outcome. */
   private send(packet: FlowPacket, search: FlowSearch, agents: readonly AgentEntry[]): void {
     const { link, locality } = this.dependencies;
     const ordered = locality.orderForSearch(packet.flow, agents);
-    const knowGroups = agents.every(({ address }) => link.supportsGroupSearch(address));
-    const isInGroups = search.attempts > 0 && agents.length > GROUP_LENGTH && knowGroups;
-    const maximum = isInGroups ? MAXIMUM_ROUND_LENGTH : MAXIMUM_SEARCH_AGENTS;
-    const order = orderSearch(ordered.agents, search.attempts, maximum, ordered.likely);
+    const allSupportGroupSearch = agents.every(({ address }) => link.supportsGroupSearch(address));
+    const isInGroups = search.attempts > 0 && agents.length > GROUP_SIZE && allSupportGroupSearch;
+    const maximum = isInGroups ? MAXIMUM_ROUND_SIZE : MAXIMUM_SEARCH_AGENTS;
+    const order = orderSearch(ordered.agents, search.attempts, maximum, ordered.likelyCount);
     search.attempts++;
     const visited = new Set(order);
-    const isSure = agents.every((agent) => !visited.has(agent.address) || this.isSure(agent));
-    search.sureAttempts += isSure ? 1 : 0;
+    const isConclusive = agents.every((agent) => !visited.has(agent.address) || this.isConclusive(agent));
+    search.conclusiveAttempts += isConclusive ? 1 : 0;
     if (isInGroups) {
-      this.searchGroups(packet, search, order, isSure);
-    } else if (!isSure && knowGroups && order.length < agents.length) {
-      this.askAgents(packet, search, [order]);
+      this.searchGroups(packet, search, order, isConclusive);
+    } else if (!isConclusive && allSupportGroupSearch && order.length < agents.length) {
+      this.queryAgents(packet, search, [order]);
     } else {
-      search.round = { agents: order, unasked: new Set(), isOfferedNext: false };
-      this.dependencies.sent(packet, search, order.length);
-      this.sendChain(packet, search, order, isSure ? SearchPhase.conclusive : SearchPhase.query);
+      search.round = { agents: order, outstanding: new Set(), isFollowedByOffer: false };
+      this.dependencies.waitForOutcome(packet, search, order.length);
+      this.sendChain(packet, search, order, isConclusive ? SearchPhase.conclusive : SearchPhase.query);
     }
-    search.unanswered++;
+    search.unansweredAttempts++;
   }
 
   /** Searches groups of agents at the same time; those that do not know the flow are not asked again. */
@@ -112,11 +112,11 @@
     packet: FlowPacket,
     search: FlowSearch,
     agents: readonly Endpoint[],
-    isSure: boolean,
+    isConclusive: boolean,
   ): void {
     const unasked = agents.filter((agent) => !search.unknownTo.has(agent));
-    search.round = { agents, unasked: new Set(unasked), isOfferedNext: true };
-    if (isSure) {
+    search.round = { agents, outstanding: new Set(unasked), isFollowedByOffer: true };
+    if (isConclusive) {
       this.sendToGroups(packet, search, agents, SearchPhase.conclusive);
     } else if (unasked.length > 0) {
       this.sendToGroups(packet, search, unasked, SearchPhase.queryOnly);
@@ -126,13 +126,13 @@
   }
 
   /** Asks agents whether they know a packet's flow; each part goes its own way. */
-  private askAgents(
+  private queryAgents(
     packet: FlowPacket,
     search: FlowSearch,
     parts: readonly (readonly Endpoint[])[],
   ): void {
     const agents = parts.flat();
-    search.round = { agents, unasked: new Set(agents), isOfferedNext: false };
+    search.round = { agents, outstanding: new Set(agents), isFollowedByOffer: false };
     parts.forEach((part) => this.sendToGroups(packet, search, part, SearchPhase.queryOnly));
   }
 
@@ -142,18 +142,18 @@
     agents: readonly Endpoint[],
     phase: SearchPhaseValue,
   ): void {
-    this.dependencies.sent(packet, search, GROUP_LENGTH);
+    this.dependencies.waitForOutcome(packet, search, GROUP_SIZE);
     for (const group of splitIntoGroups(agents)) {
       this.sendChain(packet, search, group, phase);
     }
   }
 
-  private orderForAsking(
+  private orderForQuery(
     agents: readonly AgentEntry[],
     { flow, attempts }: FlowSearch,
   ): Endpoint[] {
     const ordered = this.dependencies.locality.orderForSearch(flow, agents);
-    return orderSearch(ordered.agents, attempts, MAXIMUM_ROUND_LENGTH, agents.length);
+    return orderSearch(ordered.agents, attempts, MAXIMUM_ROUND_SIZE, agents.length);
   }
 
   private sendChain(
@@ -177,7 +177,7 @@
     return { type, searchId, balancer, phase, position: 0, agents, services, payload };
   }
 
-  private isSure({ address, report }: AgentEntry): boolean {
+  private isConclusive({ address, report }: AgentEntry): boolean {
     return (
       report?.flowKnowledge === FlowKnowledge.complete &&
       this.dependencies.link.supportsConclusiveSearch(address)
--- a/src/packets/search-order.ts
+++ b/src/packets/search-order.ts
@@ -1,12 +1,12 @@
 /** The order in which agents are searched for the holder of a flow. */
 import type { Endpoint } from '../environment';
-import { CANDIDATES } from './flow-candidates';
+import { CANDIDATE_COUNT } from './flow-candidates';
 
 /** Agents in the order that belongs to a flow's search. */
 export interface SearchOrder<T> {
   readonly agents: readonly T[];
   /** So many of the first are where the flow was placed in all likelihood. */
-  readonly likely: number;
+  readonly likelyCount: number;
 }
 
 /**
@@ -17,19 +17,19 @@
  * @param agents in the order that belongs to the flow
  * @param attempts searches for this flow before
  * @param maximum agents that a search after the first visits at most
- * @param likely agents that the first one visits at most
+ * @param likelyCount agents that the first one visits at most
  */
 export function orderSearch(
   agents: readonly { readonly address: Endpoint }[],
   attempts: number,
   maximum: number,
-  likely = CANDIDATES,
+  likelyCount = CANDIDATE_COUNT,
 ): Endpoint[] {
   const isForward = attempts % 2 === 0;
   const begin = Math.floor(attempts / 2);
   const first = isForward ? begin : begin + agents.length - 1;
   const step = isForward ? 1 : agents.length - 1;
-  const length = Math.min(agents.length, attempts === 0 ? likely : maximum);
+  const length = Math.min(agents.length, attempts === 0 ? likelyCount : maximum);
   const order: Endpoint[] = [];
   for (let index = 0; index < length; index++) {
     order.push(agents[(first + index * step) % agents.length]!.address);
@@ -38,13 +38,13 @@
 }
 
 /** Agents of one group: its search is as long as that many hops, twice. */
-export const GROUP_LENGTH = 25;
+export const GROUP_SIZE = 25;
 
 /** The agents of a round in groups that are searched at the same time. */
 export function splitIntoGroups(agents: readonly Endpoint[]): Endpoint[][] {
   const groups: Endpoint[][] = [];
-  for (let start = 0; start < agents.length; start += GROUP_LENGTH) {
-    groups.push(agents.slice(start, start + GROUP_LENGTH));
+  for (let start = 0; start < agents.length; start += GROUP_SIZE) {
+    groups.push(agents.slice(start, start + GROUP_SIZE));
   }
   return groups;
 }
--- a/src/packets/search-plan.ts
+++ b/src/packets/search-plan.ts
@@ -7,7 +7,7 @@
  */
 import type { Endpoint } from '../environment';
 import type { AgentEntry } from './agent-directory';
-import { nextToAsk, type FlowSearch } from './flow-search';
+import { selectNextAgents, type FlowSearch } from './flow-search';
 
 /** The next step of a search. */
 export type SearchPlan =
@@ -32,9 +32,9 @@
 export interface SearchView {
   isHeard(entry: AgentEntry): boolean;
   /** Whether an agent has not had the time to be heard. */
-  isAwaited(entry: AgentEntry): boolean;
-  speaksCompact(agent: Endpoint): boolean;
-  searchesInGroups(agent: Endpoint): boolean;
+  isReportPending(entry: AgentEntry): boolean;
+  supportsCompactFrames(agent: Endpoint): boolean;
+  supportsGroupSearch(agent: Endpoint): boolean;
 }
 
 /**
@@ -47,15 +47,15 @@
   view: SearchView,
 ): SearchPlan {
   const unasked = untried.filter(({ address }) => !search.unknownTo.has(address));
-  return unasked.some((entry) => view.isAwaited(entry))
-    ? planAsking(unasked, view)
+  return unasked.some((entry) => view.isReportPending(entry))
+    ? planQuery(unasked, view)
     : planOffer(untried, search, view);
 }
 
-function planAsking(unasked: readonly AgentEntry[], view: SearchView): SearchPlan {
-  const askable = unasked.filter(({ address }) => view.searchesInGroups(address));
+function planQuery(unasked: readonly AgentEntry[], view: SearchView): SearchPlan {
+  const askable = unasked.filter(({ address }) => view.supportsGroupSearch(address));
   const heard = askable.filter((entry) => view.isHeard(entry));
-  const awaited = askable.filter((entry) => view.isAwaited(entry));
+  const awaited = askable.filter((entry) => view.isReportPending(entry));
   const isAnyAskable = heard.length + awaited.length > 0;
   return isAnyAskable ? { kind: 'ask', heard, awaited } : { kind: 'wait' };
 }
@@ -66,11 +66,11 @@
   view: SearchView,
 ): SearchPlan {
   const heard = untried.filter((entry) => view.isHeard(entry));
-  const agents = heard.filter(({ address }) => view.speaksCompact(address));
+  const agents = heard.filter(({ address }) => view.supportsCompactFrames(address));
   if (agents.length > 0) {
     return { kind: 'search', agents };
   }
-  const [agent] = nextToAsk(search, heard.length > 0 ? heard : untried);
+  const [agent] = selectNextAgents(search, heard.length > 0 ? heard : untried);
   if (agent === undefined) {
     return { kind: 'conclude' };
   }
--- a/src/packets/search-steps.ts
+++ b/src/packets/search-steps.ts
@@ -21,15 +21,15 @@
  * The step after an agent that did not take the packet: the next agent of the phase, the
  * first one of the next phase, or the answer to the balancer after the last one.
  */
-export function stepAfter(search: SearchMessage): SearchStep {
+export function determineNextStep(search: SearchMessage): SearchStep {
   const { agents, balancer, payload, searchId } = search;
   const following = search.position + 1;
   if (following < agents.length) {
-    return goTo({ ...search, position: following });
+    return createNextStep({ ...search, position: following });
   }
   switch (search.phase) {
     case SearchPhase.query:
-      return goTo({ ...search, phase: SearchPhase.offer, position: 0 });
+      return createNextStep({ ...search, phase: SearchPhase.offer, position: 0 });
     case SearchPhase.queryOnly:
       return {
         kind: 'over',
@@ -46,6 +46,6 @@
   }
 }
 
-function goTo(message: SearchMessage): SearchStep {
+function createNextStep(message: SearchMessage): SearchStep {
   return { kind: 'next', agent: message.agents[message.position]!, message };
 }
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -5,7 +5,7 @@
 import type { Endpoint, Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
-import { KNOCK_INTERVAL } from '../agent-subscriptions';
+import { FAST_RETRY_INTERVAL_MS } from '../agent-subscriptions';
 import type { FlowPacket, PacketFormat } from '../flow-packet';
 import { getServiceNames, type Route, type RoutingTable } from '../routing-table';
 import type { StartupRelay } from './startup-relay';
@@ -13,10 +13,10 @@
 
 /**
  * Milliseconds from the first moment at which this balancer can serve to the end of its start. Every
- * agent known is asked for a report each {@link KNOCK_INTERVAL} and answers at once: one that has
+ * agent known is asked for a report each {@link FAST_RETRY_INTERVAL_MS} and answers at once: one that has
  * missed two of these questions is down, or starts so late that nothing should wait for it.
  */
-const AGENT_REPORT_WAIT_MS = 1.5 * KNOCK_INTERVAL;
+const AGENT_REPORT_WAIT_MS = 1.5 * FAST_RETRY_INTERVAL_MS;
 /**
  * Milliseconds after the start for which packets of flows that were handed on go the same way: most
  * flows carry one request and are over by then, and those that go on are searched for once.
--- a/src/packets/target-guard.ts
+++ b/src/packets/target-guard.ts
@@ -5,7 +5,7 @@
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { ColdStartLimiter, type ColdStartLimitSettings } from './cold-start-limiter';
-import { refusalOf, type TargetCondition } from './delivery-rules';
+import { findRefusalReason, type TargetCondition } from './delivery-rules';
 import type { RefusalReasonValue, SubscribeMessage } from './packet-messages';
 import type { TargetLiveness } from './target-liveness';
 import type { TargetHealth } from './target-health';
@@ -57,7 +57,7 @@
    * @param services services that the packet's route allows
    */
   findRefusalReason(opens: boolean, services: readonly string[]): RefusalReasonValue | undefined {
-    return refusalOf(opens, services, this.condition);
+    return findRefusalReason(opens, services, this.condition);
   }
 
   /** An opening packet is handed to the target. */
--- a/src/packets/traffic-relay.ts
+++ b/src/packets/traffic-relay.ts
@@ -9,16 +9,16 @@
 import type { FlowKey } from './flow-packet';
 
 /** Processors below which a balancer relays, and from which on it takes what others relay. */
-export const ROUTING_CAPACITY = 0.1;
+export const MINIMUM_ROUTING_CAPACITY = 0.1;
 /** Milliseconds without a status after which a balancer is taken to be away. */
-const AWAY_AFTER = 1_100;
+const STATUS_TIMEOUT_MS = 1_100;
 
 /** Balancers noted at most. */
 const MAXIMUM_BALANCERS = 64;
 /** Milliseconds for which a silent balancer still counts as one of its zone. */
-const MEMBER_TIME = 15_000;
+const MEMBERSHIP_TIMEOUT_MS = 15_000;
 /** Milliseconds of silence after which another weak balancer stands in for one. */
-const STAND_IN_TIME = 2_000;
+const STAND_IN_TIMEOUT_MS = 2_000;
 
 /** A balancer as it tells of itself. */
 export interface BalancerStatus {
@@ -52,25 +52,25 @@
   ) {}
 
   /** Whether this balancer should relay when it can. */
-  get isWanted(): boolean {
-    return this.capacity < ROUTING_CAPACITY;
+  get prefersRelaying(): boolean {
+    return this.capacity < MINIMUM_ROUTING_CAPACITY;
   }
 
   /** Takes the status of another balancer. */
-  learn(balancer: Endpoint, status: BalancerStatus, now: number): void {
-    if (this.isWanted) {
+  recordStatus(balancer: Endpoint, status: BalancerStatus, now: number): void {
+    if (this.prefersRelaying) {
       this.balancers.set(balancer, { status, heardAt: now });
     }
     if (this.balancers.size > MAXIMUM_BALANCERS) {
-      this.forgetOldest();
+      this.evictOldest();
     }
   }
 
   /** Balancers whose status matters, also those that may be away: of this zone, or all. */
-  askedFor(now: number): Endpoint[] {
-    const hasOwn = this.present(now).some(([, one]) => this.isOfZone(one));
+  listBalancersToPoll(now: number): Endpoint[] {
+    const hasOwn = this.listAvailable(now).some(([, one]) => this.isInOwnZone(one));
     return [...this.balancers]
-      .filter(([, one]) => this.isOfZone(one) || (!hasOwn && isRouting(one)))
+      .filter(([, one]) => this.isInOwnZone(one) || (!hasOwn && routesItself(one)))
       .map(([address]) => address);
   }
 
@@ -80,39 +80,39 @@
    * make more than half take traffic: those first that have run for a while, since code that
    * has just started is slow, then those whose addresses are lowest. One that has just started
    * does so only if half of the zone is not ready without it.
-   * @param hasRunLong whether this balancer has run for a while
+   * @param isWarmedUp whether this balancer has run for a while
    */
-  isNeeded(hasRunLong: boolean, now: number): boolean {
+  isNeeded(isWarmedUp: boolean, now: number): boolean {
     const zone = [...this.balancers].filter(
-      ([, one]) => this.isOfZone(one) && now - one.heardAt <= MEMBER_TIME,
+      ([, one]) => this.isInOwnZone(one) && now - one.heardAt <= MEMBERSHIP_TIMEOUT_MS,
     );
-    const routing = this.present(now).filter(([, one]) => this.isOfZone(one)).length;
+    const routing = this.listAvailable(now).filter(([, one]) => this.isInOwnZone(one)).length;
     const members = zone.length + 1;
-    const wanted = hasRunLong ? Math.floor(members / 2) + 1 : Math.ceil(members / 2);
+    const wanted = isWarmedUp ? Math.floor(members / 2) + 1 : Math.ceil(members / 2);
     const before = zone.filter(
       ([address, one]) =>
-        isStandIn(one) &&
-        now - one.heardAt <= STAND_IN_TIME &&
-        (!hasRunLong || address < this.self),
+        isWarmRelay(one) &&
+        now - one.heardAt <= STAND_IN_TIMEOUT_MS &&
+        (!isWarmedUp || address < this.self),
     );
     return routing + before.length < wanted;
   }
 
   /** Whether some balancer would take what is relayed. */
-  isPossible(now: number): boolean {
-    return this.present(now).length > 0;
+  canRelay(now: number): boolean {
+    return this.listAvailable(now).length > 0;
   }
 
   /**
    * Where packets of a flow go: to a balancer of this zone, or of another one without it;
    * undefined when this balancer has to route them itself.
    */
-  destinationOf(flow: FlowKey, now: number): Endpoint | undefined {
-    const present = this.present(now);
-    const own = present.filter(([, one]) => this.isOfZone(one));
+  selectDestination(flow: FlowKey, now: number): Endpoint | undefined {
+    const available = this.listAvailable(now);
+    const own = available.filter(([, one]) => this.isInOwnZone(one));
     let best: Endpoint | undefined;
     let bestScore = -1;
-    for (const [address, { status }] of own.length > 0 ? own : present) {
+    for (const [address, { status }] of own.length > 0 ? own : available) {
       const score = computeRendezvousScore(flow, String(address));
       if (score > bestScore) {
         bestScore = score;
@@ -122,28 +122,28 @@
     return best;
   }
 
-  private present(now: number): [Endpoint, KnownBalancer][] {
+  private listAvailable(now: number): [Endpoint, KnownBalancer][] {
     return [...this.balancers].filter(
-      ([, one]) => isRouting(one) && one.status.isReady && now - one.heardAt <= AWAY_AFTER,
+      ([, one]) => routesItself(one) && one.status.isReady && now - one.heardAt <= STATUS_TIMEOUT_MS,
     );
   }
 
-  private isOfZone({ status }: KnownBalancer): boolean {
+  private isInOwnZone({ status }: KnownBalancer): boolean {
     return status.zone === this.zone;
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const oldest = [...this.balancers].reduce((a, b) => (a[1].heardAt <= b[1].heardAt ? a : b));
     this.balancers.delete(oldest[0]);
   }
 }
 
 /** Whether a balancer takes what others relay. */
-function isRouting({ status }: KnownBalancer): boolean {
-  return status.capacity >= ROUTING_CAPACITY;
+function routesItself({ status }: KnownBalancer): boolean {
+  return status.capacity >= MINIMUM_ROUTING_CAPACITY;
 }
 
 /** Whether a balancer relays, and has run for a while. */
-function isStandIn({ status }: KnownBalancer): boolean {
-  return status.capacity > 0 && status.capacity < ROUTING_CAPACITY;
+function isWarmRelay({ status }: KnownBalancer): boolean {
+  return status.capacity > 0 && status.capacity < MINIMUM_ROUTING_CAPACITY;
 }
--- a/src/packets/service-rotation.ts
+++ b/src/packets/weighted-round-robin.ts
@@ -6,15 +6,15 @@
 import type { Route } from './routing-table';
 
 /** Counters of the routes that have more than one service. */
-export class ServiceRotation {
+export class WeightedRoundRobin {
   private readonly credits = new Map<Endpoint, Map<string, number>>();
 
   /** The service for the route's next flow. */
-  next(route: Route): string {
+  selectNext(route: Route): string {
     if (route.services.length === 1) {
       return route.services[0]!.service;
     }
-    const credits = this.creditsOf(route);
+    const credits = this.getCredits(route);
     let total = 0;
     let best = route.services[0]!.service;
     let bestCredit = -Infinity;
@@ -36,7 +36,7 @@
     this.credits.clear();
   }
 
-  private creditsOf(route: Route): Map<string, number> {
+  private getCredits(route: Route): Map<string, number> {
     const known = this.credits.get(route.destination);
     if (known) {
       return known;
--- a/src/packets/zone-detour.ts
+++ b/src/packets/zone-detour.ts
@@ -9,7 +9,7 @@
 import type { FlowKey } from './flow-packet';
 
 /** Milliseconds after its last status in which a balancer may be asked; statuses come in turns. */
-const STATUS_LIFETIME = 10_000;
+const STATUS_LIFETIME_MS = 10_000;
 /** Balancers noted at most. */
 const MAXIMUM_BALANCERS = 256;
 
@@ -26,7 +26,7 @@
   constructor(private readonly zone: string) {}
 
   /** Takes the status of another balancer. */
-  learn(balancer: Endpoint, zone: string, isReady: boolean, now: number): void {
+  recordStatus(balancer: Endpoint, zone: string, isReady: boolean, now: number): void {
     this.balancers.delete(balancer);
     if (!isReady || zone === this.zone) {
       return;
@@ -39,11 +39,11 @@
   }
 
   /** The balancer through which a flow's packets reach a zone; the same for all of its packets. */
-  find(flow: FlowKey, target: string, now: number): Endpoint | undefined {
+  findBalancer(flow: FlowKey, targetZone: string, now: number): Endpoint | undefined {
     let best: Endpoint | undefined;
     let bestScore = -1;
     for (const [address, { zone, heardAt }] of this.balancers) {
-      if (zone === target || now - heardAt > STATUS_LIFETIME) {
+      if (zone === targetZone || now - heardAt > STATUS_LIFETIME_MS) {
         continue;
       }
       const score = computeRendezvousScore(flow, String(address));
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -91,7 +91,7 @@
     const packetAddress = requireSetting(settings.packetAddress, 'packetAddress');
     const clients = await bind(packetAddress, (bytes) => started.process?.clientDatagram(bytes));
     const frames = await bind(settings.listenAddress, (bytes, from) =>
-      started.process?.node.frame(bytes, from),
+      started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketBalancer(
       { ...settings, packetAddress },
@@ -145,7 +145,7 @@
 
   private clientDatagram(bytes: Buffer): void {
     this.lastPacketAt = this.environment.now();
-    this.node.clientDatagram(bytes);
+    this.node.handleClientDatagram(bytes);
     this.packetObserver?.(this.environment.now() - this.lastPacketAt);
   }
 }
--- a/src/simulation/packets/model-packet-format.ts
+++ b/src/simulation/packets/model-packet-format.ts
@@ -81,7 +81,7 @@
     bytes.writeUInt32BE(0, Offset.token);
     bytes[Offset.flags]! &= ~ModelFlag.refused;
   },
-  requestId: () => undefined,
+  readRequestId: () => undefined,
   isFailure: (packet) => payloadOf(packet).startsWith(FAILED_ANSWER),
   createReset: ({ client, destination }) =>
     encodeModelPacket({
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -216,9 +216,9 @@
     );
     balancer.process = process;
     balancer.node = node;
-    this.network.bind(address, process, (frame, from) => node.frame(Buffer.from(frame), from));
+    this.network.bind(address, process, (frame, from) => node.handleFrame(Buffer.from(frame), from));
     this.network.bind(samePlace(address, PACKET_PORT), process, (bytes) =>
-      node.clientDatagram(Buffer.from(bytes)),
+      node.handleClientDatagram(Buffer.from(bytes)),
     );
     node.start();
   }
--- a/test/agent-subscriptions.test.ts
+++ b/test/agent-subscriptions.test.ts
@@ -44,7 +44,7 @@
   pass(milliseconds: number, run: number): void {
     this.now += milliseconds;
     this.hear(run);
-    this.subscriptions.run(this.now, true);
+    this.subscriptions.sendDue(this.now, true);
   }
 
   /** Whether each subscription so far told the news. */
@@ -95,6 +95,6 @@
     () => subscriptions.news,
     () => NO_ERAS,
   );
-  [0, 100, 200, 300].forEach((now) => silent.run(now, true));
+  [0, 100, 200, 300].forEach((now) => silent.sendDue(now, true));
   t.deepEqual(subscriptions.told, [true, true, true, true]);
 });
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -107,14 +107,14 @@
   harness.router.route(harness.createOpening(1));
   for (let refusals = 0; refusals < 2; refusals++) {
     const { to, message } = harness.sent.at(-1)!;
-    harness.router.refused(to, { ...message, reason: RefusalReason.coldLimit } as never);
+    harness.router.handleRefusal(to, { ...message, reason: RefusalReason.coldLimit } as never);
   }
   t.deepEqual(harness.resets, [1]);
   const sent = harness.sent.length;
   harness.router.route(harness.createOpening(2));
   t.deepEqual(harness.resets, [1, 2]);
   t.is(harness.sent.length, sent);
-  harness.pass(101);
+  harness.runFor(101);
   harness.router.route(harness.createOpening(3));
   t.is(harness.sent.length, sent + 1);
 });
--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -578,15 +578,15 @@
     harness.sent.map(({ to, message }) => [to, message.type]),
     [[agent, numberedDeliver]],
   );
-  harness.pass(29);
+  harness.runFor(29);
   t.is(harness.sent.length, 1);
-  harness.pass(1);
+  harness.runFor(1);
   t.is(harness.sent.length, 2);
   t.deepEqual(harness.sent[1]!.message, harness.sent[0]!.message);
   // The agent falls silent: packets go out as they did before, and wait for it.
-  harness.pass(10_000);
+  harness.runFor(10_000);
   harness.sent.length = 0;
-  harness.router.confirmed(harness.createData(6).toString('latin1', 1, 13), agent!);
+  harness.router.confirmHolder(harness.createData(6).toString('latin1', 1, 13), agent!);
   harness.router.route(harness.createData(6));
   t.deepEqual(
     harness.sent.map(({ message }) => message.type),
@@ -605,7 +605,7 @@
     for (let copy = 0; copy < 2; copy++) {
       const unpacked = harness.hops.receive(to, refusal);
       if (unpacked?.type === notHeld) {
-        harness.router.refused(to, unpacked);
+        harness.router.handleRefusal(to, unpacked);
       }
     }
   }
@@ -685,5 +685,5 @@
   const acknowledged = world.agents.map(({ node }) => node.figures.hopAcknowledgements);
   t.true(acknowledged.every((count) => count > 0));
   t.is(balancer!.node.figures.hopRepeats, 0);
-  t.true(balancer!.node.roundTripTo(world.agents[0]!.address)! > 0);
+  t.true(balancer!.node.getRoundTrip(world.agents[0]!.address)! > 0);
 });
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { Events, type EventFields, type EventKind } from '../src/logging/events';
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
-import { CANDIDATES, orderCandidates } from '../src/packets/flow-candidates';
+import { CANDIDATE_COUNT, orderCandidates } from '../src/packets/flow-candidates';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import {
   HOME_CANDIDATES,
@@ -322,11 +322,11 @@
   for (let flow = 0; flow < 50; flow++) {
     const order = orderForPlacement(`f${flow}`, agents, 'north', (zone) => distances[zone]!);
     t.is(new Set(order).size, agents.length);
-    const zones = order.slice(0, CANDIDATES).map(({ zone }) => zone);
+    const zones = order.slice(0, CANDIDATE_COUNT).map(({ zone }) => zone);
     t.is(zones.filter((zone) => zone === 'north').length, HOME_CANDIDATES);
     t.is(zones[HOME_CANDIDATES], 'east');
     nearestFirst.add(zones[HOME_CANDIDATES + 1]!);
-    t.true(order.slice(CANDIDATES, 15).every(({ zone }) => zone === 'north'));
+    t.true(order.slice(CANDIDATE_COUNT, 15).every(({ zone }) => zone === 'north'));
   }
   t.deepEqual([...nearestFirst].sort(), ['south', 'west'], 'equal distances take turns');
 });
@@ -335,7 +335,7 @@
   const others = createAgents(['south', 'east'], 12);
   const home = [1, 2].map((address) => ({ address, zone: 'north', service: 'map' }));
   const order = orderForPlacement('f', [...others, ...home], 'north', () => 5);
-  const zones = order.slice(0, CANDIDATES).map(({ zone }) => zone);
+  const zones = order.slice(0, CANDIDATE_COUNT).map(({ zone }) => zone);
   t.deepEqual(
     ['north', 'south', 'east'].map((zone) => zones.filter((one) => one === zone).length),
     [2, 4, 4],
@@ -356,7 +356,7 @@
       orderForPlacement(`f${flow}`, agents, 'north', () => 5),
       before,
     );
-    t.deepEqual(orderForSearch(`f${flow}`, agents), { agents: before, likely: CANDIDATES });
+    t.deepEqual(orderForSearch(`f${flow}`, agents), { agents: before, likely: CANDIDATE_COUNT });
   }
 });
 
@@ -365,17 +365,17 @@
   const reversed = [...agents].reverse();
   const begins = new Set<string>();
   for (let flow = 0; flow < 50; flow++) {
-    const { agents: order, likely } = orderForSearch(`f${flow}`, agents);
+    const { agents: order, likelyCount: likely } = orderForSearch(`f${flow}`, agents);
     t.deepEqual(orderForSearch(`f${flow}`, reversed).agents, order);
     t.is(new Set(order).size, agents.length);
     t.true(likely <= 25);
     begins.add(order[0]!.zone);
     const first = order.slice(0, likely);
     for (const zone of ZONES) {
-      const placed = orderForPlacement(`f${flow}`, agents, zone, () => 5).slice(0, CANDIDATES);
+      const placed = orderForPlacement(`f${flow}`, agents, zone, () => 5).slice(0, CANDIDATE_COUNT);
       const found = placed.filter((agent) => first.includes(agent));
-      t.true(found.length >= CANDIDATES - 1, `${found.length} of those of ${zone}`);
-      const old = orderCandidates(`f${flow}`, agents, zone).slice(0, CANDIDATES);
+      t.true(found.length >= CANDIDATE_COUNT - 1, `${found.length} of those of ${zone}`);
+      const old = orderCandidates(`f${flow}`, agents, zone).slice(0, CANDIDATE_COUNT);
       t.true(
         old.every((agent) => first.includes(agent)),
         'placed by the version before',
@@ -393,14 +393,14 @@
     );
     let most = 0;
     for (let flow = 0; flow < 50; flow++) {
-      const { agents: order, likely } = orderForSearch(`f${flow}`, agents);
+      const { agents: order, likelyCount: likely } = orderForSearch(`f${flow}`, agents);
       t.is(new Set(order).size, agents.length);
       t.true(likely <= 25);
       const first = new Set(order.slice(0, likely));
       for (const service of ['map', 'tiles']) {
         const ofService = agents.filter((agent) => agent.service === service);
         const placed = orderForPlacement(`f${flow}`, ofService, 'north', () => 5);
-        const missed = placed.slice(0, CANDIDATES).filter((agent) => !first.has(agent));
+        const missed = placed.slice(0, CANDIDATE_COUNT).filter((agent) => !first.has(agent));
         most = Math.max(most, missed.length);
       }
     }
--- a/test/opening-admission.test.ts
+++ b/test/opening-admission.test.ts
@@ -91,7 +91,7 @@
   const [bad] = harness.agents;
   const failing = { sequence: 3, busyRequests: 900, failurePercent: 90 };
   for (let round = 0; round < 60; round++) {
-    harness.pass(100);
+    harness.runFor(100);
     const sequence = 4 + round;
     harness.agents.forEach((agent) => {
       const report = agent === bad ? { ...failing, sequence } : { sequence };
--- a/test/outliers.test.ts
+++ b/test/outliers.test.ts
@@ -318,9 +318,9 @@
   const route = { name: 'map', destination: DESTINATION, services, isRepeatable: true };
   harness.router.apply({ version: 2, idleTimeout: 60_000, profiles: [], routes: [route] });
   // Agents that are heard for the first time are doubtful for a while.
-  harness.pass(2 * SECOND_MS);
+  harness.runFor(2 * SECOND_MS);
   for (let round = 0; round < 200; round++) {
-    harness.pass(STEP_MS);
+    harness.runFor(STEP_MS);
     harness.agents.forEach((agent, index) => {
       const fields = index === 0 ? FAILING : { busyRequests: 2 };
       const report = createReport({ ...fields, sequence: round + 2 });
--- a/test/packet-decisions.test.ts
+++ b/test/packet-decisions.test.ts
@@ -1,9 +1,9 @@
 /** Small decisions of the packet interface, each alone. */
 import test from 'ava';
-import { refusalOf, type TargetCondition } from '../src/packets/delivery-rules';
-import { FlowLocator, locateTimeout, type WaitingPacket } from '../src/packets/flow-locator';
+import { findRefusalReason, type TargetCondition } from '../src/packets/delivery-rules';
+import { PendingSearches, computeSearchTimeout, type WaitingPacket } from '../src/packets/pending-searches';
 import type { FlowPacket } from '../src/packets/flow-packet';
-import { FlowSearches, nextToAsk, noteOffer } from '../src/packets/flow-search';
+import { FlowSearches, selectNextAgents, recordOffer } from '../src/packets/flow-search';
 import { PACKET_MESSAGE_FIELDS } from '../src/packets/packet-message-schema';
 import {
   PacketMessageType,
@@ -31,83 +31,83 @@
 }
 
 test('an agent refuses by service, health, and for new flows by state', (t) => {
-  t.is(refusalOf(true, ['map'], READY), undefined);
-  t.is(refusalOf(false, ['tiles'], READY), RefusalReason.otherService);
+  t.is(findRefusalReason(true, ['map'], READY), undefined);
+  t.is(findRefusalReason(false, ['tiles'], READY), RefusalReason.otherService);
   const draining = { ...READY, state: TargetState.draining };
-  t.is(refusalOf(true, ['map'], draining), RefusalReason.draining);
-  t.is(refusalOf(false, ['map'], draining), undefined);
+  t.is(findRefusalReason(true, ['map'], draining), RefusalReason.draining);
+  t.is(findRefusalReason(false, ['map'], draining), undefined);
   const gone = { ...READY, state: TargetState.gone };
-  t.is(refusalOf(true, ['map'], gone), RefusalReason.noTarget);
-  t.is(refusalOf(false, ['map'], gone), undefined);
+  t.is(findRefusalReason(true, ['map'], gone), RefusalReason.noTarget);
+  t.is(findRefusalReason(false, ['map'], gone), undefined);
   const limited = { ...READY, isAtColdLimit: true };
-  t.is(refusalOf(true, ['map'], limited), RefusalReason.coldLimit);
-  t.is(refusalOf(false, ['map'], limited), undefined);
+  t.is(findRefusalReason(true, ['map'], limited), RefusalReason.coldLimit);
+  t.is(findRefusalReason(false, ['map'], limited), undefined);
   const disputed = { ...READY, isServiceDisputed: true };
-  t.is(refusalOf(true, ['map'], disputed), RefusalReason.otherService);
-  t.is(refusalOf(false, ['map'], disputed), undefined);
+  t.is(findRefusalReason(true, ['map'], disputed), RefusalReason.otherService);
+  t.is(findRefusalReason(false, ['map'], disputed), undefined);
   const evacuated = { ...READY, isEvacuated: true };
-  t.is(refusalOf(true, ['map'], evacuated), RefusalReason.zoneEvacuated);
-  t.is(refusalOf(false, ['map'], evacuated), undefined);
+  t.is(findRefusalReason(true, ['map'], evacuated), RefusalReason.zoneEvacuated);
+  t.is(findRefusalReason(false, ['map'], evacuated), undefined);
 });
 
 test('a silent target gets one opening packet now and then, and all of its open flows', (t) => {
   const down = { ...READY, isDown: true };
-  t.is(refusalOf(true, ['map'], down), RefusalReason.targetDown);
-  t.is(refusalOf(true, ['map'], { ...down, isProbeDue: true }), undefined);
-  t.is(refusalOf(false, ['map'], down), undefined);
-  t.is(refusalOf(false, ['map'], { ...down, isProbeDue: true }), undefined);
+  t.is(findRefusalReason(true, ['map'], down), RefusalReason.targetDown);
+  t.is(findRefusalReason(true, ['map'], { ...down, isProbeDue: true }), undefined);
+  t.is(findRefusalReason(false, ['map'], down), undefined);
+  t.is(findRefusalReason(false, ['map'], { ...down, isProbeDue: true }), undefined);
 });
 
 test('a dead target gets one opening packet now and then, and nothing else', (t) => {
   for (const isDown of [true, false]) {
     const dead = { ...READY, isDown, isDead: true };
-    t.is(refusalOf(true, ['map'], dead), RefusalReason.targetDown);
-    t.is(refusalOf(true, ['map'], { ...dead, isProbeDue: true }), undefined);
-    t.is(refusalOf(false, ['map'], { ...dead, isProbeDue: true }), RefusalReason.targetDown);
+    t.is(findRefusalReason(true, ['map'], dead), RefusalReason.targetDown);
+    t.is(findRefusalReason(true, ['map'], { ...dead, isProbeDue: true }), undefined);
+    t.is(findRefusalReason(false, ['map'], { ...dead, isProbeDue: true }), RefusalReason.targetDown);
   }
 });
 
 test('packets wait for the holder of their flow, within bounds, and not for ever', (t) => {
-  const locator = new FlowLocator(40);
-  locator.ask('a', 10, 0);
-  t.true(locator.isAsked('a'));
+  const locator = new PendingSearches(40);
+  locator.beginOrExtend('a', 10, 0);
+  t.true(locator.isPending('a'));
   for (let packet = 0; packet < 40; packet++) {
-    locator.wait(waiting('a'));
+    locator.enqueue(waiting('a'));
   }
-  locator.ask('b', 10, 30);
-  locator.wait(waiting('b'));
+  locator.beginOrExtend('b', 10, 30);
+  locator.enqueue(waiting('b'));
   t.deepEqual(locator.takeOverdue(39), []);
   t.is(locator.takeOverdue(41).length, 16);
-  t.false(locator.isAsked('a'));
-  t.is(locator.take('b').length, 1);
+  t.false(locator.isPending('a'));
+  t.is(locator.takeWaiting('b').length, 1);
   t.is(locator.size, 0);
 });
 
 test('a search through many agents has longer for its outcome, also when it goes on', (t) => {
-  const locator = new FlowLocator(40);
-  locator.ask('a', 10, 0);
-  locator.wait(waiting('a'));
-  locator.ask('a', 64, 30);
+  const locator = new PendingSearches(40);
+  locator.beginOrExtend('a', 10, 0);
+  locator.enqueue(waiting('a'));
+  locator.beginOrExtend('a', 64, 30);
   t.deepEqual(locator.takeOverdue(280), []);
   t.is(locator.takeOverdue(290).length, 1);
 });
 
 test('a balancer with little processor time waits longer for answers, within bounds', (t) => {
-  t.is(locateTimeout(1), 40);
-  t.is(locateTimeout(0.1), 200);
-  t.is(locateTimeout(0.001), 400);
+  t.is(computeSearchTimeout(1), 40);
+  t.is(computeSearchTimeout(0.1), 200);
+  t.is(computeSearchTimeout(0.001), 400);
 });
 
 test('a search asks everyone once before it asks anyone again', (t) => {
-  const search = new FlowSearches(10_000).forHolder('f', ROUTE, ['map'], 0);
+  const search = new FlowSearches(10_000).findOrBegin('f', ROUTE, ['map'], 0);
   const agents = [{ address: 1 }, { address: 2 }, { address: 3 }];
-  noteOffer(search, 2);
-  t.deepEqual(nextToAsk(search, agents), [{ address: 1 }, { address: 3 }]);
-  noteOffer(search, 1);
-  noteOffer(search, 3);
-  t.deepEqual(nextToAsk(search, agents), [{ address: 2 }]);
-  noteOffer(search, 2);
-  t.deepEqual(nextToAsk(search, agents), [{ address: 1 }]);
+  recordOffer(search, 2);
+  t.deepEqual(selectNextAgents(search, agents), [{ address: 1 }, { address: 3 }]);
+  recordOffer(search, 1);
+  recordOffer(search, 3);
+  t.deepEqual(selectNextAgents(search, agents), [{ address: 2 }]);
+  recordOffer(search, 2);
+  t.deepEqual(selectNextAgents(search, agents), [{ address: 1 }]);
 });
 
 test('every message of the packet interface survives its frame', (t) => {
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -135,7 +135,7 @@
     sequence: 0,
     acknowledgement: 0,
   });
-  balancer!.node.clientDatagram(opening);
+  balancer!.node.handleClientDatagram(opening);
   const { counters } = balancer!.node.router;
   t.is(counters.packetsReceived, 0);
   world.runFor(300);
--- a/test/packet-relay.test.ts
+++ b/test/packet-relay.test.ts
@@ -33,36 +33,36 @@
 test('only a weak balancer relays, to present and strong ones of its zone', (t) => {
   const status = { zone: 'north', packetAddress: 11, capacity: 0.5, isReady: true };
   const relay = new TrafficRelay(50, 'north', WEAK);
-  relay.learn(1, status, 0);
-  relay.learn(2, { ...status, zone: 'south', packetAddress: 12 }, 1_000);
-  relay.learn(3, { ...status, capacity: WEAK }, 0);
-  t.deepEqual(relay.askedFor(0), [1, 3]);
-  t.is(relay.destinationOf('f', 1_000), 11);
-  t.is(relay.destinationOf('f', 1_200), 12);
-  relay.learn(1, { ...status, isReady: false }, 1_200);
-  t.is(relay.destinationOf('f', 1_200), 12);
-  t.deepEqual(relay.askedFor(1_200), [1, 2, 3]);
-  t.false(relay.isPossible(2_200));
+  relay.recordStatus(1, status, 0);
+  relay.recordStatus(2, { ...status, zone: 'south', packetAddress: 12 }, 1_000);
+  relay.recordStatus(3, { ...status, capacity: WEAK }, 0);
+  t.deepEqual(relay.listBalancersToPoll(0), [1, 3]);
+  t.is(relay.selectDestination('f', 1_000), 11);
+  t.is(relay.selectDestination('f', 1_200), 12);
+  relay.recordStatus(1, { ...status, isReady: false }, 1_200);
+  t.is(relay.selectDestination('f', 1_200), 12);
+  t.deepEqual(relay.listBalancersToPoll(1_200), [1, 2, 3]);
+  t.false(relay.canRelay(2_200));
   const strong = new TrafficRelay(50, 'north', 1);
-  strong.learn(1, status, 0);
-  t.is(strong.destinationOf('f', 0), undefined);
+  strong.recordStatus(1, status, 0);
+  t.is(strong.selectDestination('f', 0), undefined);
 });
 
 test('as many weak balancers take traffic as make more than half of the zone', (t) => {
   const strong = { zone: 'north', packetAddress: 11, capacity: 0.5, isReady: true };
   const weak = { ...strong, capacity: WEAK, isReady: false };
   const relay = new TrafficRelay(50, 'north', WEAK);
-  relay.learn(1, strong, 0);
-  relay.learn(2, strong, 0);
+  relay.recordStatus(1, strong, 0);
+  relay.recordStatus(2, strong, 0);
   t.false(relay.isNeeded(true, 0));
-  relay.learn(60, weak, 0);
+  relay.recordStatus(60, weak, 0);
   t.true(relay.isNeeded(true, 0));
-  relay.learn(40, weak, 0);
+  relay.recordStatus(40, weak, 0);
   t.false(relay.isNeeded(true, 0));
-  relay.learn(2, { ...strong, isReady: false }, 0);
+  relay.recordStatus(2, { ...strong, isReady: false }, 0);
   t.true(relay.isNeeded(true, 0));
-  relay.learn(1, strong, 3_000);
-  relay.learn(2, strong, 3_000);
+  relay.recordStatus(1, strong, 3_000);
+  relay.recordStatus(2, strong, 3_000);
   t.true(relay.isNeeded(true, 3_000));
 });
 
@@ -70,14 +70,14 @@
   const strong = { zone: 'north', packetAddress: 11, capacity: 0.5, isReady: true };
   const weak = { ...strong, capacity: WEAK, isReady: false };
   const relay = new TrafficRelay(50, 'north', WEAK);
-  relay.learn(1, strong, 0);
-  relay.learn(2, strong, 0);
-  relay.learn(60, { ...weak, capacity: 0 }, 0);
+  relay.recordStatus(1, strong, 0);
+  relay.recordStatus(2, strong, 0);
+  relay.recordStatus(60, { ...weak, capacity: 0 }, 0);
   t.true(relay.isNeeded(true, 0));
   t.false(relay.isNeeded(false, 0));
-  relay.learn(2, { ...strong, isReady: false }, 0);
+  relay.recordStatus(2, { ...strong, isReady: false }, 0);
   t.true(relay.isNeeded(false, 0));
-  relay.learn(60, weak, 0);
+  relay.recordStatus(60, weak, 0);
   t.false(relay.isNeeded(false, 0));
 });
 
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -9,9 +9,9 @@
   type SearchMessage,
 } from '../src/packets/packet-messages';
 import { RecentResets } from '../src/packets/recent-resets';
-import { CANDIDATES, orderCandidates } from '../src/packets/flow-candidates';
+import { CANDIDATE_COUNT, orderCandidates } from '../src/packets/flow-candidates';
 import { orderSearch } from '../src/packets/search-order';
-import { stepAfter, type SearchStep } from '../src/packets/search-steps';
+import { determineNextStep, type SearchStep } from '../src/packets/search-steps';
 import { modelPacketFormat } from '../src/simulation/packets/model-packet-format';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { PacketWorld } from '../src/simulation/packets/packet-world';
@@ -52,7 +52,7 @@
   const visited: string[] = [];
   while (step.kind === 'next') {
     visited.push(`${step.message.phase}:${step.agent}`);
-    step = stepAfter(step.message);
+    step = determineNextStep(step.message);
   }
   t.deepEqual(visited, ['1:5', '1:6', '1:7', '2:5', '2:6', '2:7']);
   t.is(step.balancer, 9);
@@ -85,7 +85,7 @@
     const { searchId, agents, payload } = asSearch(harness.sent[round]!);
     agents.forEach((agent) => visited.add(agent));
     lengths.push(agents.length);
-    harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+    harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   }
   t.deepEqual(lengths, [10, 64, 26]);
   t.is(visited.size, 100);
@@ -108,9 +108,9 @@
     address: FIRST_AGENT + index * NEXT_MACHINE,
     zone: index % 5 === 0 ? 'north' : 'south',
   }));
-  const before = orderCandidates('flow', agents, 'north').slice(0, CANDIDATES);
+  const before = orderCandidates('flow', agents, 'north').slice(0, CANDIDATE_COUNT);
   const left = agents.filter((_, index) => index % 2 === 0);
-  const after = orderCandidates('flow', left, 'north').slice(0, CANDIDATES);
+  const after = orderCandidates('flow', left, 'north').slice(0, CANDIDATE_COUNT);
   before.filter((agent) => left.includes(agent)).forEach((agent) => t.true(after.includes(agent)));
 });
 
@@ -118,9 +118,9 @@
 function answerSearch(harness: RouterHarness, search: SearchMessage): void {
   const { searchId, agents, payload } = search;
   if (search.phase === SearchPhase.queryOnly) {
-    harness.router.noneKnows({ type: PacketMessageType.noneKnows, searchId, agents, payload });
+    harness.router.handleNoneKnows({ type: PacketMessageType.noneKnows, searchId, agents, payload });
   } else {
-    harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+    harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   }
 }
 
@@ -183,7 +183,7 @@
   const offers = harness.sent.slice(5).map((sent) => asSearch(sent));
   offers.slice(1).forEach((offer) => answerSearch(harness, offer));
   t.is(harness.resets.length, 0);
-  harness.pass(1_000);
+  harness.runFor(1_000);
   harness.router.route(harness.createData(CLIENT));
   const again = asSearch(harness.sent.at(-1)!);
   t.deepEqual([...again.agents].sort(), [...offers[0]!.agents].sort());
@@ -195,7 +195,7 @@
   const { harness, groups } = beginGroups(100);
   const [holder] = groups[2]!.agents;
   const { flow } = modelPacketFormat.decodeFromClient(harness.createData(CLIENT))!;
-  harness.router.confirmed(flow, holder!);
+  harness.router.confirmHolder(flow, holder!);
   const before = harness.sent.length;
   groups.forEach((group) => answerSearch(harness, group));
   groups.forEach((group) => answerSearch(harness, { ...group, phase: SearchPhase.offer }));
@@ -218,7 +218,7 @@
   }
   t.is(harness.sent.length, 1);
   const { searchId, agents, payload } = asSearch(harness.sent[0]!);
-  harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+  harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   t.deepEqual(harness.resets, [CLIENT]);
   harness.router.route(harness.createData(CLIENT));
   t.is(harness.sent.length, 1);
@@ -229,7 +229,7 @@
   const harness = new RouterHarness([2]);
   harness.router.route(harness.createData(CLIENT));
   const { searchId, agents, payload } = asSearch(harness.sent[0]!);
-  harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+  harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   harness.router.route(harness.createOpening(CLIENT));
   harness.router.route(harness.createData(CLIENT));
   t.is(harness.resets.length, 1);
@@ -245,7 +245,7 @@
   t.is(first.agents.length, 2);
   harness.directory.recordReport(late!, entry.report!, harness.now);
   const { searchId, agents, payload } = first;
-  harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+  harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   t.deepEqual(harness.resets, []);
   t.deepEqual(asSearch(harness.sent[1]!).agents, [late]);
 });
@@ -253,7 +253,7 @@
 test('a silent agent keeps a flow from being declared dead', (t) => {
   const harness = new RouterHarness([2, 2, 2]);
   const silent = harness.agents[0]!;
-  harness.pass(5_000);
+  harness.runFor(5_000);
   for (const agent of harness.agents.slice(1)) {
     const report = harness.directory.find(agent)!.report!;
     harness.directory.recordReport(agent, { ...report, sequence: 2 }, harness.now);
@@ -261,7 +261,7 @@
   harness.router.route(harness.createData(CLIENT));
   const { searchId, agents, payload } = asSearch(harness.sent[0]!);
   t.is(agents.length, 2);
-  harness.router.noneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+  harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   t.deepEqual(harness.resets, []);
   t.is(harness.sent[1]!.to, silent);
 });
@@ -274,7 +274,7 @@
     t.is(version, 1);
     const { searchId, payload } = message as Extract<PacketMessage, { searchId: number }>;
     const reason = RefusalReason.returnedByTarget;
-    harness.router.refused(to, { type: PacketMessageType.notHeld, searchId, reason, payload });
+    harness.router.handleRefusal(to, { type: PacketMessageType.notHeld, searchId, reason, payload });
   }
   t.deepEqual(
     harness.sent.map(({ message }) => message.type),
@@ -291,10 +291,10 @@
   const payload = harness.createData(OTHER_CLIENT);
   const reason = RefusalReason.returnedByTarget;
   for (const agent of harness.agents) {
-    harness.router.refused(agent, { type: PacketMessageType.notHeld, searchId, reason, payload });
+    harness.router.handleRefusal(agent, { type: PacketMessageType.notHeld, searchId, reason, payload });
   }
   t.deepEqual(harness.resets, [OTHER_CLIENT]);
-  harness.pass(50);
+  harness.runFor(50);
   harness.router.route(harness.createData(CLIENT));
   t.deepEqual(harness.resets, [OTHER_CLIENT]);
 });
@@ -336,8 +336,8 @@
   const outsider = harness.agents.find((agent) => !agents.includes(agent))!;
   const reason = RefusalReason.returnedByTarget;
   const refusal = { type: PacketMessageType.notHeld, searchId, reason, payload } as const;
-  harness.router.refused(outsider, refusal);
-  harness.router.refused(agents[3]!, refusal);
+  harness.router.handleRefusal(outsider, refusal);
+  harness.router.handleRefusal(agents[3]!, refusal);
   t.is(harness.sent.length, 1);
   answerSearch(harness, asSearch(harness.sent[0]!));
   t.is(harness.sent.length, 2);
@@ -346,7 +346,7 @@
 test('a search that has no outcome in time is followed by the next one', (t) => {
   const harness = new RouterHarness(new Array(30).fill(3));
   harness.router.route(harness.createData(CLIENT));
-  harness.pass(1_000);
+  harness.runFor(1_000);
   harness.router.route(harness.createData(CLIENT));
   t.true(harness.sent.length > 1);
 });
@@ -355,15 +355,15 @@
 test('a packet kept for a silent agent is dropped once that agent refuses it', (t) => {
   const harness = new RouterHarness([0]);
   const [agent] = harness.agents;
-  harness.pass(10_000);
+  harness.runFor(10_000);
   harness.router.route(harness.createData(CLIENT));
   const [sent] = harness.sent;
   t.is(sent!.message.type, PacketMessageType.deliver);
   const { payload, searchId } = sent!.message as DeliverMessage;
   const reason = RefusalReason.returnedByTarget;
-  harness.router.refused(agent!, { type: PacketMessageType.notHeld, searchId, reason, payload });
+  harness.router.handleRefusal(agent!, { type: PacketMessageType.notHeld, searchId, reason, payload });
   harness.sent.length = 0;
-  harness.router.agentReturned(agent!);
+  harness.router.handleAgentReturned(agent!);
   t.deepEqual(harness.sent, []);
 });
 
@@ -384,12 +384,12 @@
       harness.now + 1_500,
     );
   });
-  harness.pass(1_600);
+  harness.runFor(1_600);
   const offers = harness.sent.slice(asked.length).map((sent) => asSearch(sent));
   t.true(offers.length > 0 && offers.every(({ phase }) => phase === SearchPhase.offer));
   const before = harness.sent.length;
   for (let round = 0; round < 5; round++) {
-    harness.pass(200);
+    harness.runFor(200);
   }
   t.is(harness.sent.length, before);
 });
@@ -404,7 +404,7 @@
     const since = harness.now;
     harness.router.route(harness.createData(CLIENT));
     while (harness.sent.length === sent) {
-      harness.pass(10);
+      harness.runFor(10);
     }
     delays.push(harness.now - since);
   }
@@ -421,7 +421,7 @@
   }
   t.is(harness.sent.length, 1);
   for (let round = 0; round < 20; round++) {
-    harness.pass(100);
+    harness.runFor(100);
   }
   t.is(harness.sent.length, 2);
 });
@@ -431,10 +431,10 @@
   for (let copy = 0; copy < 3; copy++) {
     harness.router.route(harness.createData(CLIENT));
   }
-  harness.pass(60);
+  harness.runFor(60);
   t.is(harness.sent.length, 2);
   const { flow } = modelPacketFormat.decodeFromClient(harness.createData(CLIENT))!;
-  harness.router.confirmed(flow, harness.agents[0]!);
+  harness.router.confirmHolder(flow, harness.agents[0]!);
   t.is(harness.sent.length, 3);
   t.is(harness.sent[2]!.to, harness.agents[0]);
 });
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -25,7 +25,7 @@
   encodeSnapshotText,
 } from '../src/packets/peer-snapshot';
 import { PendingDeliveries } from '../src/packets/pending-deliveries';
-import { ServiceRotation } from '../src/packets/service-rotation';
+import { WeightedRoundRobin } from '../src/packets/weighted-round-robin';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { createReport } from './support/reports';
@@ -114,17 +114,17 @@
 
 test('the cache keeps what is used, and falls back to another agent that was offered the flow', (t) => {
   const cache = new FlowCache(2, 1_000);
-  cache.noteOpening('a', 1, 'map', 0);
-  cache.noteOpening('a', 2, 'map', 200);
-  t.is(cache.use('a', 201)!.agent, 2);
-  cache.deny('a', 2);
-  t.is(cache.use('a', 202)!.agent, 1);
+  cache.recordOpening('a', 1, 'map', 0);
+  cache.recordOpening('a', 2, 'map', 200);
+  t.is(cache.get('a', 201)!.agent, 2);
+  cache.invalidate('a', 2);
+  t.is(cache.get('a', 202)!.agent, 1);
   cache.confirm('b', 3, 203);
-  cache.use('a', 204);
+  cache.get('a', 204);
   cache.confirm('c', 3, 205);
-  t.is(cache.use('b', 206), undefined);
-  t.truthy(cache.use('a', 207));
-  t.is(cache.use('c', 1_300), undefined);
+  t.is(cache.get('b', 206), undefined);
+  t.truthy(cache.get('a', 207));
+  t.is(cache.get('c', 1_300), undefined);
   cache.expire(5_000);
   t.is(cache.size, 0);
 });
@@ -133,12 +133,12 @@
 
 test('a search of an open flow outlives its packet; a new opening voids it', (t) => {
   const searches = new FlowSearches(1_000);
-  const search = searches.forHolder('f', ROUTE, ['map'], 0);
+  const search = searches.findOrBegin('f', ROUTE, ['map'], 0);
   search.refusedBy.add(5);
-  t.is(searches.forHolder('f', ROUTE, ['map'], 500), search);
+  t.is(searches.findOrBegin('f', ROUTE, ['map'], 500), search);
   t.is(searches.find(search.id, 600), search);
   searches.beginOpening('f', ROUTE, ['map'], 700);
-  t.is(searches.forHolder('f', ROUTE, ['map'], 800).refusedBy.size, 0);
+  t.is(searches.findOrBegin('f', ROUTE, ['map'], 800).refusedBy.size, 0);
   searches.expire(5_000);
   t.is(searches.size, 0);
 });
@@ -173,7 +173,7 @@
 });
 
 test('weights split new flows evenly mixed; a weight of 0 gets none', (t) => {
-  const rotation = new ServiceRotation();
+  const rotation = new WeightedRoundRobin();
   const services = [
     { service: 'a', weight: 9 },
     { service: 'b', weight: 1 },
@@ -182,7 +182,7 @@
   const route = { name: 'r', destination: 1, services };
   const counts = new Map<string, number>();
   for (let index = 0; index < 100; index++) {
-    const service = rotation.next(route);
+    const service = rotation.selectNext(route);
     counts.set(service, (counts.get(service) ?? 0) + 1);
   }
   t.deepEqual([...counts].sort(), [
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -308,9 +308,9 @@
   world.configure(1, ROUTES);
   const balancer = world.addBalancer('north');
   world.runFor(1_000);
-  balancer.node.frame(Buffer.from('not a frame'), 1);
-  balancer.node.frame(Buffer.alloc(64, 1), 1);
-  balancer.node.clientDatagram(Buffer.from('short'));
+  balancer.node.handleFrame(Buffer.from('not a frame'), 1);
+  balancer.node.handleFrame(Buffer.alloc(64, 1), 1);
+  balancer.node.handleClientDatagram(Buffer.from('short'));
   t.is(balancer.node.figures.framesRejected, 2);
   t.is(balancer.node.router.counters.packetsMalformed, 1);
   t.true(reported.includes(Events.packetMalformed.name));
--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -81,8 +81,8 @@
   const data = Buffer.from('GET / HTTP/1.1\r\nHost: h\r\nX-Request-Id: abc-1\r\n\r\n');
   const bytes = Buffer.concat([SYN, data]);
   bytes.writeUInt16BE(data.length, 12);
-  t.is(packetFormat.requestId(packetFormat.decodeFromClient(bytes)!), 'abc-1');
-  t.is(packetFormat.requestId(packetFormat.decodeFromClient(Buffer.from(SYN))!), undefined);
+  t.is(packetFormat.readRequestId(packetFormat.decodeFromClient(bytes)!), 'abc-1');
+  t.is(packetFormat.readRequestId(packetFormat.decodeFromClient(Buffer.from(SYN))!), undefined);
 });
 
 test('a configuration becomes a routing table, with weights', (t) => {
--- a/test/relay-ends.test.ts
+++ b/test/relay-ends.test.ts
@@ -46,7 +46,7 @@
     const bytes = Buffer.from(frame);
     isFreeAt = Math.max(isFreeAt, world.clock.now) + FRAME_TIME;
     const delay = isFreeAt - world.clock.now;
-    world.clock.schedule(delay, () => process.run(() => node.frame(bytes, from)));
+    world.clock.schedule(delay, () => process.run(() => node.handleFrame(bytes, from)));
   });
 }
 
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -171,7 +171,7 @@
   const [strong, slow] = world.balancers;
   world.store.down = true;
   world.startBalancer(slow!);
-  slow!.node.clientDatagram(
+  slow!.node.handleClientDatagram(
     encodeModelPacket({
       client: 0x6440_0007_9c41,
       destination: MAP_DESTINATION,
@@ -214,13 +214,13 @@
       payload: '',
     };
     const opening = { ...packet, flags: ModelFlag.opens, acknowledgement: 0 };
-    first!.node.clientDatagram(encodeModelPacket(opening));
+    first!.node.handleClientDatagram(encodeModelPacket(opening));
     world.runFor(10);
     const key = modelPacketFormat.decodeFromClient(encodeModelPacket(opening))!.flow;
     const holder = world.agents.find(({ target }) => target.flows.has(key))!;
     const acknowledgement = holder.target.flows.get(key)!.sequence + 1;
     const request = { ...packet, flags: 0, sequence: 2, acknowledgement, payload: `r${flow}` };
-    second!.node.clientDatagram(encodeModelPacket(request));
+    second!.node.handleClientDatagram(encodeModelPacket(request));
     world.runFor(100);
     t.true(holder.target.holds(key));
   }
@@ -255,7 +255,7 @@
     acknowledgement: 7,
     payload: 'request',
   };
-  node.clientDatagram(encodeModelPacket(dead));
+  node.handleClientDatagram(encodeModelPacket(dead));
   world.runFor(100);
   return node.router.counters.resetsSent;
 }
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -218,7 +218,7 @@
   t.true(view.isEvacuated('south'));
   t.deepEqual(changed, [['south']]);
   // Nobody takes it out of service again: the store's word counts.
-  harness.pass(REWRITE_TIME_MS + 1);
+  harness.runFor(REWRITE_TIME_MS + 1);
   t.false(view.isEvacuated('south'));
   t.deepEqual(changed, [['south'], ['south']]);
 });
@@ -229,7 +229,7 @@
   view.apply({ era: 1, revision: 20, zones: ['south'] }, 'store');
   view.apply({ ...UNKNOWN_EVACUATIONS, era: 2 }, 'peer');
   t.true(view.isKnown);
-  harness.pass(REWRITE_TIME_MS + 1);
+  harness.runFor(REWRITE_TIME_MS + 1);
   t.true(view.isEvacuated('south'));
 });
 
@@ -242,7 +242,7 @@
   view.apply({ era: 2, revision: 12, zones: [] }, 'store');
   t.false(view.isEvacuated('south'), 'taken out and put back again');
   view.apply({ era: 2, revision: 13, zones: ['north'] }, 'store');
-  harness.pass(REWRITE_TIME_MS + 1);
+  harness.runFor(REWRITE_TIME_MS + 1);
   t.true(view.isEvacuated('north'));
   // A zone that the copy has brought back is out of service until the operator puts it back.
   view.apply({ era: 3, revision: 5, zones: ['east'] }, 'store');
--- a/test/support/router-harness.ts
+++ b/test/support/router-harness.ts
@@ -23,7 +23,7 @@
 export const FIRST_AGENT = 0x0a00_0002_0000;
 export const NEXT_MACHINE = 0x1_0000;
 const KEY = { id: 1, secret: Buffer.from('a-test-key-of-the-cluster') };
-const LOCATE_TIMEOUT = 40;
+const SEARCH_TIMEOUT_MS = 40;
 
 /** A message that the router sent. */
 export interface SentMessage {
@@ -93,7 +93,7 @@
       zone,
       locality: this.locality,
       address: BALANCER,
-      locateTimeout: LOCATE_TIMEOUT,
+      searchTimeout: SEARCH_TIMEOUT_MS,
       format: modelPacketFormat,
       directory: this.directory,
       cache: new FlowCache(1_000, 60_000),
@@ -102,7 +102,7 @@
       sendToClient: (client) => this.resets.push(client),
       detours: this.detours,
       isEvacuated: (zone) => this.evacuatedZones.includes(zone),
-      isViewSettled: () => true,
+      isViewConverged: () => true,
     });
     this.router.apply({
       version: 1,
@@ -138,7 +138,7 @@
   }
 
   /** Lets time pass, with the timers that come due. */
-  pass(milliseconds: number): void {
+  runFor(milliseconds: number): void {
     this.now += milliseconds;
     const due = this.timers.filter(({ at }) => at <= this.now);
     due.forEach((timer) => this.timers.splice(this.timers.indexOf(timer), 1));
--- a/test/sure-search.test.ts
+++ b/test/sure-search.test.ts
@@ -66,7 +66,7 @@
 }
 
 function answerNone(harness: RouterHarness, { agents, payload, searchId }: SearchMessage): void {
-  harness.router.noneHolds({ type: PacketMessageType.noneHolds, agents, payload, searchId });
+  harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, agents, payload, searchId });
 }
 
 test('one pass through agents that know their flows ends in a reset', (t) => {
--- a/test/zone-cut.test.ts
+++ b/test/zone-cut.test.ts
@@ -42,19 +42,19 @@
 
 test('a way round goes through a ready balancer of a third zone, the same for a flow', (t) => {
   const detour = new ZoneDetour('north');
-  t.is(detour.find('f', 'south', 0), undefined);
-  detour.learn(1, 'north', true, 0);
-  detour.learn(2, 'south', true, 0);
-  detour.learn(3, 'east', false, 0);
-  t.is(detour.find('f', 'south', 1), undefined);
-  detour.learn(4, 'east', true, 0);
-  detour.learn(5, 'west', true, 0);
-  const found = detour.find('f', 'south', 1);
+  t.is(detour.findBalancer('f', 'south', 0), undefined);
+  detour.recordStatus(1, 'north', true, 0);
+  detour.recordStatus(2, 'south', true, 0);
+  detour.recordStatus(3, 'east', false, 0);
+  t.is(detour.findBalancer('f', 'south', 1), undefined);
+  detour.recordStatus(4, 'east', true, 0);
+  detour.recordStatus(5, 'west', true, 0);
+  const found = detour.findBalancer('f', 'south', 1);
   t.true(found === 4 || found === 5);
-  t.is(detour.find('f', 'south', 2), found);
-  detour.learn(found!, 'east', false, 3);
-  t.not(detour.find('f', 'south', 4), found);
-  t.is(detour.find('f', 'south', 20_000), undefined);
+  t.is(detour.findBalancer('f', 'south', 2), found);
+  detour.recordStatus(found!, 'east', false, 3);
+  t.not(detour.findBalancer('f', 'south', 4), found);
+  t.is(detour.findBalancer('f', 'south', 20_000), undefined);
 });
 
 function cutZones(world: PacketWorld, one: string, other: string): () => void {
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -87,7 +87,7 @@
   }
   t.true(harness.sent.every(({ to }) => to !== first));
   const data = harness.createData(99);
-  harness.router.confirmed(modelPacketFormat.decodeFromClient(data)!.flow, first!);
+  harness.router.confirmHolder(modelPacketFormat.decodeFromClient(data)!.flow, first!);
   harness.router.route(data);
   t.is(harness.sent.at(-1)!.to, first);
 });
@@ -229,7 +229,7 @@
   const { node } = stale!;
   for (let flow = 0; flow < 40; flow++) {
     const client = 0x0ac8_0001_0000 + flow;
-    node.clientDatagram(
+    node.handleClientDatagram(
       encodeModelPacket({
         client,
         destination: MAP_DESTINATION,
