--- a/src/agent/bucket-directory.ts
+++ b/src/agent/bucket-directory.ts
@@ -335,7 +335,9 @@
     if (claim.awaiting.size > 0 || !this.claims.delete(claim.id)) {
       return claim.awaiting.size === 0;
     }
-    const gained = claim.buckets.listBuckets().filter((bucket) => this.phases[bucket] === 'claiming');
+    const gained = claim.buckets
+      .listBuckets()
+      .filter((bucket) => this.phases[bucket] === 'claiming');
     for (const bucket of gained) {
       this.phases[bucket] = 'owned';
     }
@@ -436,7 +438,9 @@
     }
     const older = message.tableRevision < this.membership.tableRevision;
     return (
-      older || computeBucketScore(service, bucket, target) > computeBucketScore(service, bucket, message.target)
+      older ||
+      computeBucketScore(service, bucket, target) >
+        computeBucketScore(service, bucket, message.target)
     );
   }
 
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -10,7 +10,12 @@
  */
 import type { PlacementCandidate } from '../core/placement';
 import type { ServiceTable, TableRow } from '../core/table';
-import { HEARTBEAT_INTERVAL_MS, OWNER_LEASE_MS, PEER_TIMEOUT_MS, WARM_UP_DURATION_MS } from '../core/timing';
+import {
+  HEARTBEAT_INTERVAL_MS,
+  OWNER_LEASE_MS,
+  PEER_TIMEOUT_MS,
+  WARM_UP_DURATION_MS,
+} from '../core/timing';
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
 import {
--- a/src/balancer/table-acceptance.ts
+++ b/src/balancer/table-acceptance.ts
@@ -6,7 +6,12 @@
  * of write ids tells what happened. Until then the outcome is said to be unknown.
  */
 import { Err, Ok, type Result } from 'ts-results';
-import { findConflictingRows, findChangedRows, type TableRow, type ServiceTable } from '../core/table';
+import {
+  findConflictingRows,
+  findChangedRows,
+  type TableRow,
+  type ServiceTable,
+} from '../core/table';
 import { formatEndpoint } from '../core/endpoint';
 import { HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -33,7 +33,11 @@
   return owners;
 }
 
-function findOwner(service: string, bucket: number, eligible: readonly string[]): string | undefined {
+function findOwner(
+  service: string,
+  bucket: number,
+  eligible: readonly string[],
+): string | undefined {
   let best: string | undefined;
   let bestScore = -1;
   for (const target of eligible) {
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -49,7 +49,10 @@
   return candidate.reportedFlows + candidate.placedSince * weight;
 }
 
-function computeMeanFlowsPerShare(candidates: readonly PlacementCandidate[], weight: number): number {
+function computeMeanFlowsPerShare(
+  candidates: readonly PlacementCandidate[],
+  weight: number,
+): number {
   const flows = candidates.reduce((sum, candidate) => sum + estimateFlows(candidate, weight), 0);
   const shares = candidates.reduce((sum, candidate) => sum + candidate.share, 0);
   return flows / shares;
--- a/src/core/table-cache.ts
+++ b/src/core/table-cache.ts
@@ -73,7 +73,9 @@
     const hasGap = delta.fromRevision > this.completeThrough;
     if (hasGap) {
       const { fromRevision, throughRevision } = delta;
-      this.outOfOrder = [...this.outOfOrder, { fromRevision, throughRevision }].slice(-MAXIMUM_OUT_OF_ORDER_DELTAS);
+      this.outOfOrder = [...this.outOfOrder, { fromRevision, throughRevision }].slice(
+        -MAXIMUM_OUT_OF_ORDER_DELTAS,
+      );
     } else {
       this.advanceTo(delta.throughRevision);
     }
--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -111,7 +111,9 @@
     if (entry.heardAt === undefined || entry.report?.state === TargetState.agentRestarting) {
       return false;
     }
-    return now - entry.heardAt <= computeSilenceTimeout(this.size) && !this.isZoneSilent(entry.zone, now);
+    return (
+      now - entry.heardAt <= computeSilenceTimeout(this.size) && !this.isZoneSilent(entry.zone, now)
+    );
   }
 
   /** Agents are asked for reports from now on, unless they were before. */
@@ -172,7 +174,11 @@
    * An agent is sent an opening packet.
    * @param staysOpen whether the flow is expected to carry several requests
    */
-  recordOpening({ recentOpenings, recentFlows }: AgentEntry, staysOpen: boolean, now: number): void {
+  recordOpening(
+    { recentOpenings, recentFlows }: AgentEntry,
+    staysOpen: boolean,
+    now: number,
+  ): void {
     appendBounded(recentOpenings, now);
     if (staysOpen) {
       appendBounded(recentFlows, now);
--- a/src/packets/agent-report-handler.ts
+++ b/src/packets/agent-report-handler.ts
@@ -61,7 +61,11 @@
   }
 
   private handleAgentReturned(entry: AgentEntry, now: number): void {
-    const { onAgentReturned: agentReturned, onHeardAgentsChanged: changed, directory } = this.dependencies;
+    const {
+      onAgentReturned: agentReturned,
+      onHeardAgentsChanged: changed,
+      directory,
+    } = this.dependencies;
     if (directory.isHeard(entry, now)) {
       agentReturned(entry.address);
     }
--- a/src/packets/agent-subscriptions.ts
+++ b/src/packets/agent-subscriptions.ts
@@ -1,7 +1,11 @@
 /** A balancer's requests for reports: often at agents that are silent, else now and then. */
 import type { Endpoint } from '../environment';
 import type { AgentDirectory, AgentEntry } from './agent-directory';
-import { SentStateTracker, UNKNOWN_DEPLOYMENT_STATE, type DeploymentState } from './deployment-state';
+import {
+  SentStateTracker,
+  UNKNOWN_DEPLOYMENT_STATE,
+  type DeploymentState,
+} from './deployment-state';
 import {
   ListingState,
   PacketMessageType,
--- a/src/packets/choice/degradation-detector.ts
+++ b/src/packets/choice/degradation-detector.ts
@@ -56,7 +56,9 @@
   private hasSlowed(answerTime: number): boolean {
     const baseline = this.answerTime;
     return (
-      baseline !== undefined && answerTime >= baseline * SLOWDOWN_FACTOR && answerTime >= baseline + SLOW_MARGIN_MS
+      baseline !== undefined &&
+      answerTime >= baseline * SLOWDOWN_FACTOR &&
+      answerTime >= baseline + SLOW_MARGIN_MS
     );
   }
 }
--- a/src/packets/choice/expected-wait.ts
+++ b/src/packets/choice/expected-wait.ts
@@ -15,7 +15,12 @@
   type PlacementClassValue,
   type SelectionContext,
 } from './selection';
-import { estimateAnswerTime, computeServiceStatistics, getSlots, type ServiceStatistics } from './service-statistics';
+import {
+  estimateAnswerTime,
+  computeServiceStatistics,
+  getSlots,
+  type ServiceStatistics,
+} from './service-statistics';
 
 /**
  * Answers of a target, besides those that wait, in whose time what a report says of its queue falls
@@ -83,7 +88,10 @@
   const statistics = computeServiceStatistics(accepting, context.openingRate);
   const trial = findTrial(accepting.slice(0, CANDIDATE_COUNT), context);
   if (trial) {
-    return createChoice(scoreCandidate(createCandidate(trial, statistics, context), 0, 0, context), true);
+    return createChoice(
+      scoreCandidate(createCandidate(trial, statistics, context), 0, 0, context),
+      true,
+    );
   }
   const count = chooseCandidateCount(accepting, context);
   const candidates = scoreCandidates(accepting.slice(0, count), statistics, context);
@@ -118,7 +126,10 @@
 }
 
 /** Whether more candidates would most likely bring nothing better. */
-function isGoodEnough({ placementClass, time }: ScoredCandidate, statistics: ServiceStatistics): boolean {
+function isGoodEnough(
+  { placementClass, time }: ScoredCandidate,
+  statistics: ServiceStatistics,
+): boolean {
   const { answerTime, meanWait } = statistics;
   return (
     placementClass === PlacementClass.healthy && time <= answerTime + Math.max(answerTime, meanWait)
@@ -133,7 +144,10 @@
   const candidates = entries.map((entry) => createCandidate(entry, statistics, context));
   const { requestsPerFlow, competingShare: rivalShare } = context;
   const competitors = (statistics.balancers - 1) * rivalShare;
-  const laterWaits = estimateLaterWaits(entries, statistics, { requestsPerFlow, competitors: competitors });
+  const laterWaits = estimateLaterWaits(entries, statistics, {
+    requestsPerFlow,
+    competitors: competitors,
+  });
   return Object.values(PlacementClass).flatMap((wanted) => {
     const ofClass = candidates.filter(({ placementClass }) => placementClass === wanted);
     const level = estimateFilledTime(ofClass, competitors);
@@ -153,7 +167,8 @@
   const answerTime = Math.max(coldTime, estimateAnswerTime(entry, statistics));
   const delay = answerTime / getSlots(entry);
   const wait = delay * estimateRequestsAhead(entry, answerTime, statistics, context);
-  const unknownStateCost = report?.state === TargetState.ready ? 0 : answerTime * UNKNOWN_STATE_SHARE;
+  const unknownStateCost =
+    report?.state === TargetState.ready ? 0 : answerTime * UNKNOWN_STATE_SHARE;
   const failure = Math.max(MINIMUM_FAILURE_COST_MS, FAILURE_COST_ANSWERS * statistics.answerTime);
   const failureCost = (failure * (report?.failurePercent ?? 0)) / PERCENT;
   return {
@@ -174,7 +189,11 @@
 function estimateRequestsAhead(
   entry: AgentEntry,
   answerTime: number,
-  { typicalBusyRequests: usualBusy, meanOpenFlows: meanFlows, meanFlowLifetime: flowTime }: ServiceStatistics,
+  {
+    typicalBusyRequests: usualBusy,
+    meanOpenFlows: meanFlows,
+    meanFlowLifetime: flowTime,
+  }: ServiceStatistics,
   context: SelectionContext,
 ): number {
   const { report } = entry;
@@ -211,7 +230,10 @@
   for (const { timePerRequest: delay, unreportedTime: ownTime } of candidates) {
     requests += (ownTime / delay) * competitors;
   }
-  const bins = candidates.map((one) => ({ level: getComparedTime(one), width: 1 / one.timePerRequest }));
+  const bins = candidates.map((one) => ({
+    level: getComparedTime(one),
+    width: 1 / one.timePerRequest,
+  }));
   return computeWaterLevel(bins, requests);
 }
 
@@ -226,7 +248,12 @@
   laterWait: number,
   context: SelectionContext,
 ): ScoredCandidate {
-  const { entry, reportedTime, expectedFailureCost: failureCost, unreportedTime: ownTime } = candidate;
+  const {
+    entry,
+    reportedTime,
+    expectedFailureCost: failureCost,
+    unreportedTime: ownTime,
+  } = candidate;
   const answeredAfter = Math.max(reportedTime, filledTime) + ownTime;
   const time = answeredAfter + failureCost + context.getTransferCost(entry);
   return { ...candidate, time, laterWait };
@@ -245,7 +272,9 @@
   if (able && doubtful && able.time > doubtful.time + waitLimit) {
     return doubtful;
   }
-  return able ?? doubtful ?? chooseOfClass(candidates, PlacementClass.lastResort, tieWindow, context);
+  return (
+    able ?? doubtful ?? chooseOfClass(candidates, PlacementClass.lastResort, tieWindow, context)
+  );
 }
 
 /** @param tieWindow milliseconds by which balancers that know the same tell equal offers apart */
--- a/src/packets/choice/least-load.ts
+++ b/src/packets/choice/least-load.ts
@@ -5,7 +5,12 @@
 import type { AgentEntry } from '../agent-directory';
 import { CANDIDATE_COUNT } from '../flow-candidates';
 import { TargetState, type ReportMessage } from '../packet-messages';
-import { acceptsNewFlows, getPlacementClass, type Choice, type SelectionContext } from './selection';
+import {
+  acceptsNewFlows,
+  getPlacementClass,
+  type Choice,
+  type SelectionContext,
+} from './selection';
 import { DEFAULT_ANSWER_TIME_MS, DEFAULT_SLOTS } from './service-statistics';
 
 /**
--- a/src/packets/choice/outlier-ejection.ts
+++ b/src/packets/choice/outlier-ejection.ts
@@ -189,7 +189,9 @@
   private hasLostHistory({ report }: AgentEntry, state: Ejected, now: number): boolean {
     const hasRestarted = report !== undefined && report.run !== state.run;
     const knowsTarget = report !== undefined && report.answers >= MINIMUM_ANSWERS;
-    return hasRestarted && !knowsTarget && now - state.confirmedAt < MAXIMUM_EJECTION_WITHOUT_REPORT_MS;
+    return (
+      hasRestarted && !knowsTarget && now - state.confirmedAt < MAXIMUM_EJECTION_WITHOUT_REPORT_MS
+    );
   }
 
   private updateState(entry: AgentEntry, reason: OutlierReason | undefined, now: number): void {
@@ -268,7 +270,10 @@
 }
 
 /** The figures by which a target was set aside, in place of those that its agent has forgotten. */
-function createEjectionMetrics({ kind, figure }: OutlierReason): Partial<ComparedTarget<AgentEntry>> {
+function createEjectionMetrics({
+  kind,
+  figure,
+}: OutlierReason): Partial<ComparedTarget<AgentEntry>> {
   switch (kind) {
     case 'failing':
       return { failurePercent: figure };
--- a/src/packets/choice/persistent-flows.ts
+++ b/src/packets/choice/persistent-flows.ts
@@ -69,7 +69,10 @@
   return new Map(
     loads.map(({ entry, capacity }, index) => {
       const level = levels[index]! + 1 / capacity;
-      const wait = (estimateQueueLength((utilization * (level + priorLevel)) / (mean + priorLevel)) * loads.length) / total;
+      const wait =
+        (estimateQueueLength((utilization * (level + priorLevel)) / (mean + priorLevel)) *
+          loads.length) /
+        total;
       return [entry, (requestsPerFlow - 1) * wait];
     }),
   );
--- a/src/packets/choice/route-request-statistics.ts
+++ b/src/packets/choice/route-request-statistics.ts
@@ -90,7 +90,11 @@
   private getDecayedCounts(destination: Endpoint, now: number): DecayingCounts {
     const { endedFlows, laterRequests, at } = this.counts.get(destination) ?? NO_COUNTS;
     const remainingShare = Math.exp((at - now) / DECAY_TIME_MS);
-    return { endedFlows: endedFlows * remainingShare, laterRequests: laterRequests * remainingShare, at: now };
+    return {
+      endedFlows: endedFlows * remainingShare,
+      laterRequests: laterRequests * remainingShare,
+      at: now,
+    };
   }
 }
 
--- a/src/packets/choice/service-statistics.ts
+++ b/src/packets/choice/service-statistics.ts
@@ -58,7 +58,10 @@
  * The outlook by the reports of some agents that take new flows.
  * @param openingRate new flows that this balancer places with them in a millisecond
  */
-export function computeServiceStatistics(entries: readonly AgentEntry[], openingRate: number): ServiceStatistics {
+export function computeServiceStatistics(
+  entries: readonly AgentEntry[],
+  openingRate: number,
+): ServiceStatistics {
   const times: number[] = [];
   const busyCounts: number[] = [];
   let agents = 0;
@@ -110,7 +113,10 @@
  * The same as far as it is sure: what a target does for hours to come is not to be judged by its first
  * few answers, which differ by far more than targets do.
  */
-export function estimateLongTermAnswerTime(entry: AgentEntry, statistics: ServiceStatistics): number {
+export function estimateLongTermAnswerTime(
+  entry: AgentEntry,
+  statistics: ServiceStatistics,
+): number {
   const { answers = 0 } = entry.report ?? {};
   return answers > 0
     ? blendWithServiceMedian(entry, statistics, LONG_TERM_PRIOR_ANSWERS)
@@ -118,13 +124,19 @@
 }
 
 /** @param priorAnswers answers by which the service's own figure counts beside the target's */
-function blendWithServiceMedian(entry: AgentEntry, statistics: ServiceStatistics, priorAnswers: number): number {
+function blendWithServiceMedian(
+  entry: AgentEntry,
+  statistics: ServiceStatistics,
+  priorAnswers: number,
+): number {
   const answers = entry.report?.answers ?? 0;
   const reportedTime = entry.report?.answerTime ?? 0;
   const sum = answers * reportedTime + priorAnswers * statistics.answerTime;
   const expected = sum / (answers + priorAnswers);
   const ratio = expected / statistics.answerTime;
-  return ratio < EQUAL_SPEED_FACTOR && ratio > 1 / EQUAL_SPEED_FACTOR ? statistics.answerTime : expected;
+  return ratio < EQUAL_SPEED_FACTOR && ratio > 1 / EQUAL_SPEED_FACTOR
+    ? statistics.answerTime
+    : expected;
 }
 
 /** Requests that a target works on at a time. */
--- a/src/packets/collection-port.ts
+++ b/src/packets/collection-port.ts
@@ -66,5 +66,9 @@
   /** Makes the registry list an agent as given; answers when it does. */
   register(agent: AgentRecord, answer: ResultCallback<void>): void;
   /** Removes an agent if its entry is still that of a moment, or any when undefined. */
-  remove(agent: AgentRecord, entered: StorePosition | undefined, answer: ResultCallback<void>): void;
+  remove(
+    agent: AgentRecord,
+    entered: StorePosition | undefined,
+    answer: ResultCallback<void>,
+  ): void;
 }
--- a/src/packets/collection-watcher.ts
+++ b/src/packets/collection-watcher.ts
@@ -140,7 +140,11 @@
         this.recordPosition(result.val);
         this.reportSkipped(result.val.skipped);
         this.observer.changed(result.val);
-        this.scheduleWatch(result.val, result.val.changes.length > 0 ? this.pacing().pause : 0, generation);
+        this.scheduleWatch(
+          result.val,
+          result.val.changes.length > 0 ? this.pacing().pause : 0,
+          generation,
+        );
         return;
       }
       this.handleWatchFailure(result.val, after);
@@ -194,7 +198,10 @@
         reason: `${name}: ${error.message}`,
       });
     }
-    const ceiling = Math.min(MAXIMUM_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** (this.failures - 1));
+    const ceiling = Math.min(
+      MAXIMUM_RETRY_DELAY_MS,
+      INITIAL_RETRY_DELAY_MS * 2 ** (this.failures - 1),
+    );
     const delay = ceiling * (0.5 + this.environment.random() / 2);
     this.timer = this.environment.startTimer(delay, action);
     this.observer.failed?.();
--- a/src/packets/flow-cache.ts
+++ b/src/packets/flow-cache.ts
@@ -64,7 +64,14 @@
     }
     const offeredTo = new Set([agent]);
     const usage = createFlowRequestCount();
-    this.insert(key, { agent, isConfirmed: false, service, offeredTo: offeredTo, usage: usage, usedAt: now });
+    this.insert(key, {
+      agent,
+      isConfirmed: false,
+      service,
+      offeredTo: offeredTo,
+      usage: usage,
+      usedAt: now,
+    });
   }
 
   /** Notes that an agent's target holds the flow. */
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -115,7 +115,14 @@
 
   /** Offers an opening packet to the best agent that has not refused it. */
   offer(packet: FlowPacket, search: FlowSearch): void {
-    const { directory, environment, cache, isEvacuated, locality, forwarder: forwarder } = this.dependencies;
+    const {
+      directory,
+      environment,
+      cache,
+      isEvacuated,
+      locality,
+      forwarder: forwarder,
+    } = this.dependencies;
     const now = environment.now();
     const [service] = search.services;
     const candidates = directory
@@ -224,7 +231,10 @@
   }
 
   /** The choice for a new flow; one of another zone only after a look at the rest of the own one. */
-  private chooseAgent(ordered: readonly AgentEntry[], context: SelectionContext): Choice | undefined {
+  private chooseAgent(
+    ordered: readonly AgentEntry[],
+    context: SelectionContext,
+  ): Choice | undefined {
     const first = selectAgent(ordered, context);
     if (!first || first.isTrial) {
       return first;
@@ -248,7 +258,11 @@
     counters.flowsPlacedLastResort += placementClass === PlacementClass.lastResort ? 1 : 0;
   }
 
-  private createSelectionContext(packet: FlowPacket, search: FlowSearch, now: number): SelectionContext {
+  private createSelectionContext(
+    packet: FlowPacket,
+    search: FlowSearch,
+    now: number,
+  ): SelectionContext {
     const isTrialFlow = isEligibleForTrial(packet, search);
     const { directory, environment, locality } = this.dependencies;
     return {
@@ -268,6 +282,9 @@
 }
 
 /** Whether a flow may be used for a trial: its request may be repeated and it has lost no time yet. */
-function isEligibleForTrial({ openingCopy }: FlowPacket, { refusedBy, route }: FlowSearch): boolean {
+function isEligibleForTrial(
+  { openingCopy }: FlowPacket,
+  { refusedBy, route }: FlowSearch,
+): boolean {
   return route.isRepeatable === true && openingCopy === 0 && refusedBy.size === 0;
 }
--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -21,7 +21,11 @@
   type NoneKnowsMessage,
   type NotHeldMessage,
 } from './packet-messages';
-import { PacketForwarder, type PacketForwarderDependencies, type RoutingCounters } from './packet-forwarder';
+import {
+  PacketForwarder,
+  type PacketForwarderDependencies,
+  type RoutingCounters,
+} from './packet-forwarder';
 import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 
 /** Milliseconds for which it is remembered who has refused a flow. */
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -265,7 +265,13 @@
 
   /** Every agent known has refused the packet: the flow is dead if every agent is known. */
   private conclude(packet: FlowPacket, search: FlowSearch): void {
-    const { directory, environment, isViewConverged: isViewConverged, forwarder: forwarder, searches } = this.dependencies;
+    const {
+      directory,
+      environment,
+      isViewConverged: isViewConverged,
+      forwarder: forwarder,
+      searches,
+    } = this.dependencies;
     searches.end(search);
     const waiting = this.pendingSearches.takeWaiting(packet.flow);
     const isEveryAgentKnown = directory.isComplete && isViewConverged();
--- a/src/packets/load-reporter.ts
+++ b/src/packets/load-reporter.ts
@@ -74,7 +74,13 @@
   /** Reports to every subscriber at once if the target has become much worse. */
   reportIfWorse(): void {
     const now = this.dependencies.environment.now();
-    if (this.degradationDetector.shouldReport(this.measureTarget(now), now, () => this.subscribers.longestInterval)) {
+    if (
+      this.degradationDetector.shouldReport(
+        this.measureTarget(now),
+        now,
+        () => this.subscribers.longestInterval,
+      )
+    ) {
       this.reportToAll();
     }
   }
@@ -83,7 +89,9 @@
   reportIfLoadSpiked(): void {
     const { countBusyRequests: busyRequests, environment, tracker } = this.dependencies;
     const held = tracker.openFlows + busyRequests();
-    if (this.loadSpikeDetector.shouldReport(held, environment.now(), this.subscribers.longestInterval)) {
+    if (
+      this.loadSpikeDetector.shouldReport(held, environment.now(), this.subscribers.longestInterval)
+    ) {
       this.reportToAll();
     }
   }
@@ -126,7 +134,11 @@
   }
 
   private measureTarget(now: number): TargetMetrics {
-    const { countRecentAnswers: answers, computeAnswerTime: answerTime, health } = this.dependencies;
+    const {
+      countRecentAnswers: answers,
+      computeAnswerTime: answerTime,
+      health,
+    } = this.dependencies;
     return {
       answerTime: Math.round(answerTime(now)),
       answers: Math.round(answers(now)),
--- a/src/packets/locality/candidate-order.ts
+++ b/src/packets/locality/candidate-order.ts
@@ -50,7 +50,11 @@
   const others = interleave(nearestFirst.map(({ zone }) => byZone.get(zone)!));
   const first = own.slice(0, HOME_CANDIDATES);
   const otherCount = CANDIDATE_COUNT - first.length;
-  return first.concat(others.slice(0, otherCount), own.slice(HOME_CANDIDATES), others.slice(otherCount));
+  return first.concat(
+    others.slice(0, otherCount),
+    own.slice(HOME_CANDIDATES),
+    others.slice(otherCount),
+  );
 }
 
 /**
--- a/src/packets/locality/locality.ts
+++ b/src/packets/locality/locality.ts
@@ -99,7 +99,10 @@
     if (this.isEnabled) {
       return orderForSearch(flow, agents);
     }
-    return { agents: orderCandidates(flow, agents, this.settings.zone), likelyCount: CANDIDATE_COUNT };
+    return {
+      agents: orderCandidates(flow, agents, this.settings.zone),
+      likelyCount: CANDIDATE_COUNT,
+    };
   }
 
   /** The order for a second choice before a flow leaves the zone; undefined when none is needed. */
--- a/src/packets/locality/spill.ts
+++ b/src/packets/locality/spill.ts
@@ -32,7 +32,9 @@
   if (chosen.zone === home) {
     return { kind: 'home' };
   }
-  const acceptingAtHome = candidates.filter((entry) => entry.zone === home && acceptsNewFlows(entry));
+  const acceptingAtHome = candidates.filter(
+    (entry) => entry.zone === home && acceptsNewFlows(entry),
+  );
   if (acceptingAtHome.length === 0) {
     return { kind: 'spilled', reason: SpillReason.noTarget };
   }
--- a/src/packets/locality/transfer-costs.ts
+++ b/src/packets/locality/transfer-costs.ts
@@ -63,12 +63,18 @@
 
   computeCost(entry: AgentEntry, now: number): number {
     const { zone } = entry;
-    return zone === this.home ? 0 : this.computeCostAt(this.distances.getDistance(zone), entry, now);
+    return zone === this.home
+      ? 0
+      : this.computeCostAt(this.distances.getDistance(zone), entry, now);
   }
 
   /** As much as the farthest zone would cost, a zone not measured yet included. */
   computeLargestCost(entry: AgentEntry, now: number): number {
-    return this.computeCostAt(Math.max(this.distances.largestDistance, DEFAULT_DISTANCE_MS), entry, now);
+    return this.computeCostAt(
+      Math.max(this.distances.largestDistance, DEFAULT_DISTANCE_MS),
+      entry,
+      now,
+    );
   }
 
   private computeCostAt(distance: number, entry: AgentEntry, now: number): number {
--- a/src/packets/locality/zone-distances.ts
+++ b/src/packets/locality/zone-distances.ts
@@ -71,7 +71,10 @@
     if (!measured) {
       return DEFAULT_DISTANCE_MS;
     }
-    return Math.max(0, measured.shortestRoundTrip - (this.zones.get(this.home)?.shortestRoundTrip ?? 0));
+    return Math.max(
+      0,
+      measured.shortestRoundTrip - (this.zones.get(this.home)?.shortestRoundTrip ?? 0),
+    );
   }
 
   /** Number of zones with a sample, the own one included. */
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -410,7 +410,8 @@
       lowerShare: this.settings.lowerPriorityShare,
       getTerms: (destination) => this.terms.getTerms(destination),
       getLatencyGoal: () => this.guard.latencyGoal,
-      handOver: (packet, balancer, searchId) => this.intake.deliverAdmitted(packet, balancer, searchId),
+      handOver: (packet, balancer, searchId) =>
+        this.intake.deliverAdmitted(packet, balancer, searchId),
     });
   }
 
@@ -513,7 +514,9 @@
   /** Tells every balancer of a change at once, and again shortly after. */
   private announceState(): void {
     this.reporter.reportToAll();
-    REPORT_REPEAT_DELAYS_MS.forEach((delay) => this.timers.scheduleOnce(delay, () => this.reporter.reportToAll()));
+    REPORT_REPEAT_DELAYS_MS.forEach((delay) =>
+      this.timers.scheduleOnce(delay, () => this.reporter.reportToAll()),
+    );
   }
 
   private logTargetState(): void {
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -7,7 +7,11 @@
 import { Events } from '../logging/events';
 import { AgentDirectory } from './agent-directory';
 import { AgentReportHandler } from './agent-report-handler';
-import { AgentSubscriptions, FAST_RETRY_INTERVAL_MS, type SubscriptionEras } from './agent-subscriptions';
+import {
+  AgentSubscriptions,
+  FAST_RETRY_INTERVAL_MS,
+  type SubscriptionEras,
+} from './agent-subscriptions';
 import { FlowCache } from './flow-cache';
 import { computeSearchTimeout } from './pending-searches';
 import { FlowRouter } from './flow-router';
@@ -288,7 +292,8 @@
       isPaced: this.settings.earlyStart,
       canServe: () => this.canServe,
       isRelaying: () => this.relay.canRelay(environment.now()),
-      relay: this.settings.earlyStart && !this.relay.prefersRelaying ? this.startupRelay : undefined,
+      relay:
+        this.settings.earlyStart && !this.relay.prefersRelaying ? this.startupRelay : undefined,
       getClusterSize: () => this.peers.clusterSize,
       forward: (to, bytes) => this.dependencies.relay(to, bytes),
       getTable: () => this.table.current,
@@ -358,7 +363,8 @@
       hops,
       sendToClient: (client, packet) => dependencies.sendToClient(client, packet),
       isEvacuated: (zone) => this.evacuations.isEvacuated(zone),
-      isViewConverged: () => this.viewConvergence.isConverged(this.view.position.era, environment.now()),
+      isViewConverged: () =>
+        this.viewConvergence.isConverged(this.view.position.era, environment.now()),
       detours,
     });
   }
--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -171,7 +171,10 @@
       case PacketMessageType.noneHolds:
       case PacketMessageType.noneKnows: {
         const { agents } = message;
-        const frame = allocateFrame(HEADER_BYTES.noneHolds + getEndpointsBytes(agents), message.payload);
+        const frame = allocateFrame(
+          HEADER_BYTES.noneHolds + getEndpointsBytes(agents),
+          message.payload,
+        );
         frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + 1);
         writeEndpoints(frame, BODY_OFFSET + HEADER_BYTES.noneHolds, agents);
         return frame;
--- a/src/packets/peer-exchange.ts
+++ b/src/packets/peer-exchange.ts
@@ -125,7 +125,11 @@
     if (status.replyWanted === 1) {
       this.dependencies.link.send(peer, this.status(false));
     }
-    const { onAgents: agentsReceived, onDelta: deltaReceived, onReaders: readersReceived } = this.dependencies;
+    const {
+      onAgents: agentsReceived,
+      onDelta: deltaReceived,
+      onReaders: readersReceived,
+    } = this.dependencies;
     agentsReceived(status.unregistered);
     readersReceived(status.readers);
     const evacuations = { ...status.evacuations, era: status.storeEra };
@@ -193,21 +197,32 @@
 
   /** Whether a peer knows what this balancer does not. */
   private isBehind(status: PeerStatusMessage): boolean {
-    const { directory, getRegistryPosition: registryPosition, getRoutingVersion: routingVersion } = this.dependencies;
+    const {
+      directory,
+      getRegistryPosition: registryPosition,
+      getRoutingVersion: routingVersion,
+    } = this.dependencies;
     const isNewer = status.routingVersion > routingVersion();
     const hasView = status.viewComplete === 1 && status.routingVersion > 0;
     const hasCompleteView = hasView && !directory.isComplete;
     const known = registryPosition();
     const { registryRevision: revision, storeEra: era } = status;
     const peerPosition = resolveEra({ era, revision }, known);
-    return isNewer || hasCompleteView || (status.viewComplete === 1 && isLater(peerPosition, known));
+    return (
+      isNewer || hasCompleteView || (status.viewComplete === 1 && isLater(peerPosition, known))
+    );
   }
 
   private recordStatus(peer: Endpoint, status: PeerStatusMessage): void {
     const { detours, environment, relay, onStatus: statusReceived } = this.dependencies;
     const { zone, packetAddress, capacity, ready } = status;
     detours.recordStatus(peer, zone, ready === 1, environment.now());
-    const balancerStatus = { zone, packetAddress, capacity: capacity / CAPACITY_SCALE, isReady: ready === 1 };
+    const balancerStatus = {
+      zone,
+      packetAddress,
+      capacity: capacity / CAPACITY_SCALE,
+      isReady: ready === 1,
+    };
     relay.recordStatus(peer, balancerStatus, environment.now());
     statusReceived(peer, balancerStatus);
   }
@@ -247,8 +262,14 @@
   }
 
   private status(isReplyWanted: boolean, delta?: RegistryDelta): PeerStatusMessage {
-    const { directory, evacuations, getOwnStatus: ownStatus, getReaders: readers, getRegistryPosition: registryPosition, getRoutingVersion: routingVersion } =
-      this.dependencies;
+    const {
+      directory,
+      evacuations,
+      getOwnStatus: ownStatus,
+      getReaders: readers,
+      getRegistryPosition: registryPosition,
+      getRoutingVersion: routingVersion,
+    } = this.dependencies;
     const { era, revision } = registryPosition();
     const { zone, packetAddress, capacity, isReady } = ownStatus();
     return {
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -84,7 +84,9 @@
   const getTerms = unpackTerms(terms);
   return {
     routingTable:
-      table === null ? undefined : unpackTable(table, profiles ?? [], repeatablePositions, getTerms),
+      table === null
+        ? undefined
+        : unpackTable(table, profiles ?? [], repeatablePositions, getTerms),
     viewComplete: oneOf(0, 1)(complete) === 1,
     agents: listOf(unpackListedAgent)(agents),
     registryRevision: integer(registryRevision ?? 0),
--- a/src/packets/queue/request-queue.ts
+++ b/src/packets/queue/request-queue.ts
@@ -106,11 +106,19 @@
     return dropped;
   }
 
-  private groupByPriority(now: number, getWaitLimit: WaitLimitReader): Map<number, SchedulableRequest[]> {
+  private groupByPriority(
+    now: number,
+    getWaitLimit: WaitLimitReader,
+  ): Map<number, SchedulableRequest[]> {
     const requestsByPriority = new Map<number, SchedulableRequest[]>();
     for (const request of this.waiting.values()) {
       const { since, terms } = request;
-      const schedulable = { request, since, deadline: terms.deadline, patience: getWaitLimit(terms) };
+      const schedulable = {
+        request,
+        since,
+        deadline: terms.deadline,
+        patience: getWaitLimit(terms),
+      };
       if (isPastDeadline(schedulable, now)) {
         continue;
       }
--- a/src/packets/registry-reconciler.ts
+++ b/src/packets/registry-reconciler.ts
@@ -57,7 +57,11 @@
     const listed = entry.registryRevision !== undefined;
     if (!listed && silence > this.getForgetSilence(entry)) {
       this.directory.forget(entry.address);
-    } else if (!mayCall || this.pendingCalls.has(entry.address) || this.pendingCalls.size >= MAXIMUM_CONCURRENT_CALLS) {
+    } else if (
+      !mayCall ||
+      this.pendingCalls.has(entry.address) ||
+      this.pendingCalls.size >= MAXIMUM_CONCURRENT_CALLS
+    ) {
       return;
     } else if (listed && silence > REMOVAL_SILENCE_MS) {
       this.remove(entry, silence, now);
--- a/src/packets/registry-view.ts
+++ b/src/packets/registry-view.ts
@@ -66,7 +66,12 @@
   applyDelta({ from, to, changes }: RegistryDelta, era: number): void {
     const { isComplete } = this.dependencies.directory;
     const deltaPosition = resolveEra({ era, revision: to }, this.currentPosition);
-    if (isComplete && deltaPosition.era === this.currentPosition.era && from <= this.revision && this.revision < to) {
+    if (
+      isComplete &&
+      deltaPosition.era === this.currentPosition.era &&
+      from <= this.revision &&
+      this.revision < to
+    ) {
       this.updateDirectory(changes, to);
     }
   }
--- a/src/packets/repair/answer-flow.ts
+++ b/src/packets/repair/answer-flow.ts
@@ -251,17 +251,23 @@
     }
     const retransmissions = covered.reduce((sum, { retransmissions: more }) => sum + more, 0);
     const isAmbiguous = retransmissions > 0 || covered.some((one) => one.isRetransmittedByTarget);
-    const isSpurious = retransmissions > 0 && now - this.retransmittedAt < this.timing.reorderingWindow;
+    const isSpurious =
+      retransmissions > 0 && now - this.retransmittedAt < this.timing.reorderingWindow;
     if (!isAmbiguous || isSpurious) {
       const isAlone = covered.length === 1 && this.buffered.length === 0 && !last.opens;
       this.timing.addSample(isAlone ? 'delayed' : 'prompt', now - last.sentAt);
     }
-    return { acknowledgedCount: covered.length, spuriousRetransmissions: isSpurious ? retransmissions : 0 };
+    return {
+      acknowledgedCount: covered.length,
+      spuriousRetransmissions: isSpurious ? retransmissions : 0,
+    };
   }
 
   /** Takes out what is acknowledged: the first of the packets kept. */
   private removeAcknowledged(): BufferedPacket[] {
-    const open = this.buffered.findIndex(({ endSequence: end }) => computeDistance(end, this.acknowledgedUpTo) < 0);
+    const open = this.buffered.findIndex(
+      ({ endSequence: end }) => computeDistance(end, this.acknowledgedUpTo) < 0,
+    );
     const covered = this.buffered.splice(0, open < 0 ? this.buffered.length : open);
     covered.forEach(({ bytes }) => (this.byteCount -= bytes.length));
     return covered;
@@ -359,7 +365,10 @@
 }
 
 /** The packet if it may be repeated once more, and its target is not about to do so. */
-function getRetransmittable(packet: BufferedPacket | undefined, now: number): BufferedPacket | undefined {
+function getRetransmittable(
+  packet: BufferedPacket | undefined,
+  now: number,
+): BufferedPacket | undefined {
   if (!packet || now - packet.sentAt > RETRANSMISSION_CUTOFF_MS) {
     return undefined;
   }
--- a/src/packets/repair/answer-repair.ts
+++ b/src/packets/repair/answer-repair.ts
@@ -160,7 +160,8 @@
       flow.end();
       return;
     }
-    const { acknowledgedCount: acknowledged, spuriousRetransmissions: needlessRepeats } = flow.handleAcknowledgement(packet, now);
+    const { acknowledgedCount: acknowledged, spuriousRetransmissions: needlessRepeats } =
+      flow.handleAcknowledgement(packet, now);
     this.counters.answersAcknowledged += acknowledged;
     this.counters.answersRepeatedNeedlessly += needlessRepeats;
     if (packet.ends) {
--- a/src/packets/repair/hop-repair.ts
+++ b/src/packets/repair/hop-repair.ts
@@ -98,7 +98,11 @@
    */
   send(to: Endpoint, message: RepairableMessage, packet: FlowPacket): void {
     const { environment, isEnabled, link } = this.dependencies;
-    if (!isEnabled || !link.supportsHopRepair(to) || !needsAcknowledgement(packet, message.searchId)) {
+    if (
+      !isEnabled ||
+      !link.supportsHopRepair(to) ||
+      !needsAcknowledgement(packet, message.searchId)
+    ) {
       link.send(to, message);
       return;
     }
@@ -186,12 +190,16 @@
   private takeOverdue(now: number): OverdueResult {
     const { link } = this.dependencies;
     return this.sender.takeOverdue(now, {
-      isReachable: (peer) => link.supportsHopRepair(peer) && this.dependencies.isReachable(peer, now),
+      isReachable: (peer) =>
+        link.supportsHopRepair(peer) && this.dependencies.isReachable(peer, now),
       takeToken: () => this.budget.takeToken(now),
     });
   }
 
-  private retransmit({ retransmissions: retransmissions, silent, overBudget }: OverdueResult, now: number): void {
+  private retransmit(
+    { retransmissions: retransmissions, silent, overBudget }: OverdueResult,
+    now: number,
+  ): void {
     this.retransmissionCount += retransmissions.length;
     this.suppressedCount += silent + overBudget;
     retransmissions.forEach(({ peer, message }) => this.dependencies.link.send(peer, message));
--- a/src/packets/repair/hop-sender.ts
+++ b/src/packets/repair/hop-sender.ts
@@ -127,7 +127,10 @@
     const peer = this.getOrCreatePeer(to, now);
     const numbered = addNumber(message, allocateNumber(peer));
     const bytes = message.payload.length;
-    if (this.buffered.size < MAXIMUM_BUFFERED_MESSAGES && this.bufferedBytes + bytes <= MAXIMUM_BUFFERED_BYTES) {
+    if (
+      this.buffered.size < MAXIMUM_BUFFERED_MESSAGES &&
+      this.bufferedBytes + bytes <= MAXIMUM_BUFFERED_BYTES
+    ) {
       this.bufferMessage(peer, numbered, now);
     } else {
       this.unbufferedCount++;
@@ -151,7 +154,11 @@
   }
 
   /** A node has received messages. Numbers of another session or not kept are passed over. */
-  handleAcknowledgement(from: Endpoint, { session, sequences }: ReceivedMessage, now: number): void {
+  handleAcknowledgement(
+    from: Endpoint,
+    { session, sequences }: ReceivedMessage,
+    now: number,
+  ): void {
     const peer = this.peers.get(from);
     if (peer?.session !== session) {
       return;
@@ -215,7 +222,10 @@
       return 'wait';
     }
     backOff(buffered, now);
-    if (peer.consecutiveTimeouts > MAXIMUM_CONSECUTIVE_TIMEOUTS || !policy.isReachable(peer.address)) {
+    if (
+      peer.consecutiveTimeouts > MAXIMUM_CONSECUTIVE_TIMEOUTS ||
+      !policy.isReachable(peer.address)
+    ) {
       return 'silent';
     }
     if (!policy.takeToken()) {
@@ -298,7 +308,10 @@
 }
 
 /** Takes the round trip of an acknowledged message; one that was repeated tells nothing. */
-function sampleRoundTrip({ peer, retransmissions: repeats, sentAt }: BufferedMessage, now: number): void {
+function sampleRoundTrip(
+  { peer, retransmissions: repeats, sentAt }: BufferedMessage,
+  now: number,
+): void {
   if (repeats === 0) {
     peer.roundTrip.addSample(now - sentAt);
     peer.backoffTimeout = 0;
--- a/src/packets/search-dispatch.ts
+++ b/src/packets/search-dispatch.ts
@@ -93,7 +93,9 @@
     const order = orderSearch(ordered.agents, search.attempts, maximum, ordered.likelyCount);
     search.attempts++;
     const visited = new Set(order);
-    const isConclusive = agents.every((agent) => !visited.has(agent.address) || this.isConclusive(agent));
+    const isConclusive = agents.every(
+      (agent) => !visited.has(agent.address) || this.isConclusive(agent),
+    );
     search.conclusiveAttempts += isConclusive ? 1 : 0;
     if (isInGroups) {
       this.searchGroups(packet, search, order, isConclusive);
@@ -102,7 +104,12 @@
     } else {
       search.round = { agents: order, outstanding: new Set(), isFollowedByOffer: false };
       this.dependencies.waitForOutcome(packet, search, order.length);
-      this.sendChain(packet, search, order, isConclusive ? SearchPhase.conclusive : SearchPhase.query);
+      this.sendChain(
+        packet,
+        search,
+        order,
+        isConclusive ? SearchPhase.conclusive : SearchPhase.query,
+      );
     }
     search.unansweredAttempts++;
   }
@@ -148,10 +155,7 @@
     }
   }
 
-  private orderForQuery(
-    agents: readonly AgentEntry[],
-    { flow, attempts }: FlowSearch,
-  ): Endpoint[] {
+  private orderForQuery(agents: readonly AgentEntry[], { flow, attempts }: FlowSearch): Endpoint[] {
     const ordered = this.dependencies.locality.orderForSearch(flow, agents);
     return orderSearch(ordered.agents, attempts, MAXIMUM_ROUND_SIZE, agents.length);
   }
--- a/src/packets/startup/startup-backlog.ts
+++ b/src/packets/startup/startup-backlog.ts
@@ -140,7 +140,10 @@
 }
 
 /** Whether a packet may go by the allowance of its group, of which it then takes one. */
-function consumeAllowance(group: OpeningGroup | undefined, allowances: Map<string, number>): boolean {
+function consumeAllowance(
+  group: OpeningGroup | undefined,
+  allowances: Map<string, number>,
+): boolean {
   if (!group) {
     return true;
   }
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -143,7 +143,9 @@
   /** Hands a packet on if another balancer takes its flow meanwhile. */
   private relayed({ flow, bytes }: FlowPacket, now: number): boolean {
     const { getClusterSize: clusterSize, forward: handOn, relay } = this.dependencies;
-    const to = this.hasEnded ? relay?.findDestination(flow, now) : relay?.chooseDestination(flow, clusterSize(), now);
+    const to = this.hasEnded
+      ? relay?.findDestination(flow, now)
+      : relay?.chooseDestination(flow, clusterSize(), now);
     if (to === undefined) {
       return false;
     }
@@ -175,7 +177,9 @@
       last: waiting.length,
       milliseconds: Math.round(now - this.startedAt),
       paced: Math.round(now - (this.servingSince ?? now)),
-      heard: Math.round(computeHeardShare([...directory.getAll()], directory, now) * directory.size),
+      heard: Math.round(
+        computeHeardShare([...directory.getAll()], directory, now) * directory.size,
+      ),
       known: directory.size,
     });
   }
@@ -184,7 +188,10 @@
     const { directory, isPaced, isRelaying } = this.dependencies;
     const hasTimedOut = now - this.servingSince! >= AGENT_REPORT_WAIT_MS;
     return (
-      !isPaced || hasTimedOut || isRelaying() || computeHeardShare([...directory.getAll()], directory, now) === 1
+      !isPaced ||
+      hasTimedOut ||
+      isRelaying() ||
+      computeHeardShare([...directory.getAll()], directory, now) === 1
     );
   }
 
@@ -217,7 +224,11 @@
 }
 
 /** Part of some agents that are heard; 1 when there are none. */
-function computeHeardShare(agents: readonly AgentEntry[], directory: AgentDirectory, now: number): number {
+function computeHeardShare(
+  agents: readonly AgentEntry[],
+  directory: AgentDirectory,
+  now: number,
+): number {
   const heard = agents.filter((agent) => directory.isHeard(agent, now)).length;
   return agents.length > 0 ? heard / agents.length : 1;
 }
--- a/src/packets/startup/target-presence.ts
+++ b/src/packets/startup/target-presence.ts
@@ -75,7 +75,9 @@
 
   private scheduleCheck(): void {
     const { environment, heartbeatInterval } = this.dependencies;
-    this.timer = environment.startTimer(MISSED_HEARTBEATS_LIMIT * heartbeatInterval, () => this.check());
+    this.timer = environment.startTimer(MISSED_HEARTBEATS_LIMIT * heartbeatInterval, () =>
+      this.check(),
+    );
   }
 
   /**
--- a/src/packets/store-readers.ts
+++ b/src/packets/store-readers.ts
@@ -205,6 +205,8 @@
     this.answeredAt.set(reader, at);
     const ordered = [...this.answeredAt].sort(([, one], [, other]) => one - other);
     this.answeredAt.clear();
-    ordered.slice(-MAXIMUM_TRACKED_READERS).forEach(([key, value]) => this.answeredAt.set(key, value));
+    ordered
+      .slice(-MAXIMUM_TRACKED_READERS)
+      .forEach(([key, value]) => this.answeredAt.set(key, value));
   }
 }
--- a/src/packets/store-reading.ts
+++ b/src/packets/store-reading.ts
@@ -150,7 +150,13 @@
   }
 
   private discoverPeers(): void {
-    const { hasView, isFetching, registry, applyListing: takeListing, environment } = this.dependencies;
+    const {
+      hasView,
+      isFetching,
+      registry,
+      applyListing: takeListing,
+      environment,
+    } = this.dependencies;
     if (this.isStopped || this.isReading || hasView()) {
       return;
     }
@@ -294,7 +300,12 @@
   }
 
   private createRegistryFollower(): CollectionWatcher<AgentRecord> {
-    const { environment, registry, applyListing: takeListing, applyChanges: takeChanges } = this.dependencies;
+    const {
+      environment,
+      registry,
+      applyListing: takeListing,
+      applyChanges: takeChanges,
+    } = this.dependencies;
     const observer = {
       listed: (listing: Listing<AgentRecord>): void => {
         takeListing(listing);
--- a/src/packets/target-admission.ts
+++ b/src/packets/target-admission.ts
@@ -67,7 +67,10 @@
 
   /** Milliseconds that the target takes for an answer of late, by what is under way as well. */
   computeAnswerTime(now: number): number {
-    return this.serviceTime.computeExpectedTime(this.dependencies.tracker.getLongestServiceTime(now), now);
+    return this.serviceTime.computeExpectedTime(
+      this.dependencies.tracker.getLongestServiceTime(now),
+      now,
+    );
   }
 
   /** Answers of late that this time rests on, fading. */
--- a/src/packets/target-health.ts
+++ b/src/packets/target-health.ts
@@ -100,7 +100,8 @@
     this.decayOutcomes(now);
     this.successes += succeeded ? 1 : 0;
     this.failures += succeeded ? 0 : 1;
-    this.recentFailureShare += RECENT_OUTCOME_WEIGHT * ((succeeded ? 0 : 1) - this.recentFailureShare);
+    this.recentFailureShare +=
+      RECENT_OUTCOME_WEIGHT * ((succeeded ? 0 : 1) - this.recentFailureShare);
   }
 
   /** A request has had no answer for longer than any takes. */
@@ -166,15 +167,22 @@
 
   /** Share of failures among the latest few outcomes, less what a single one brings. */
   private get repeatedFailures(): number {
-    return Math.max(0, this.recentFailureShare - RECENT_OUTCOME_WEIGHT) / (1 - RECENT_OUTCOME_WEIGHT);
+    return (
+      Math.max(0, this.recentFailureShare - RECENT_OUTCOME_WEIGHT) / (1 - RECENT_OUTCOME_WEIGHT)
+    );
   }
 
   private isUnavailable(now: number): boolean {
-    return this.returnedOpenings >= RETURNS_BEFORE_UNAVAILABLE && now - this.returnedAt <= UNAVAILABLE_DURATION_MS;
+    return (
+      this.returnedOpenings >= RETURNS_BEFORE_UNAVAILABLE &&
+      now - this.returnedAt <= UNAVAILABLE_DURATION_MS
+    );
   }
 
   private isSilent(now: number): boolean {
-    return this.computeSilence(now) > OPENING_TIMEOUT_MS && now - this.probedAt <= SILENCE_WINDOW_MS;
+    return (
+      this.computeSilence(now) > OPENING_TIMEOUT_MS && now - this.probedAt <= SILENCE_WINDOW_MS
+    );
   }
 
   private computeSilence(now: number): number {
--- a/src/packets/target-lifecycle.ts
+++ b/src/packets/target-lifecycle.ts
@@ -215,7 +215,11 @@
     return before === TargetState.gone ? 'none' : 'state';
   }
 
-  private updateCurrent(current: TargetHeartbeat, heartbeat: TargetHeartbeat, now: number): LifecycleChange {
+  private updateCurrent(
+    current: TargetHeartbeat,
+    heartbeat: TargetHeartbeat,
+    now: number,
+  ): LifecycleChange {
     if (heartbeat.sequence <= current.sequence) {
       return 'none';
     }
@@ -254,7 +258,10 @@
     if (this.current === undefined) {
       return heartbeat.service === this.configuredService || this.hasLeft;
     }
-    if (this.replacedIncarnations.has(createIncarnationKey(heartbeat)) || hasStartedBefore(heartbeat, this.current)) {
+    if (
+      this.replacedIncarnations.has(createIncarnationKey(heartbeat)) ||
+      hasStartedBefore(heartbeat, this.current)
+    ) {
       return false;
     }
     if (heartbeat.incarnation === this.current.incarnation) {
--- a/src/packets/target-liveness.ts
+++ b/src/packets/target-liveness.ts
@@ -37,7 +37,12 @@
 
   /** To be called at regular intervals. */
   probeIfSilent(isSilent: boolean, now: number): void {
-    if (!isSilent || this.isConfirmedDead || this.isProbing || now - this.probedAt < PROBE_INTERVAL_MS) {
+    if (
+      !isSilent ||
+      this.isConfirmedDead ||
+      this.isProbing ||
+      now - this.probedAt < PROBE_INTERVAL_MS
+    ) {
       return;
     }
     this.isProbing = true;
--- a/src/packets/traffic-relay.ts
+++ b/src/packets/traffic-relay.ts
@@ -124,7 +124,8 @@
 
   private listAvailable(now: number): [Endpoint, KnownBalancer][] {
     return [...this.balancers].filter(
-      ([, one]) => routesItself(one) && one.status.isReady && now - one.heardAt <= STATUS_TIMEOUT_MS,
+      ([, one]) =>
+        routesItself(one) && one.status.isReady && now - one.heardAt <= STATUS_TIMEOUT_MS,
     );
   }
 
--- a/src/packets/zone-reachability.ts
+++ b/src/packets/zone-reachability.ts
@@ -64,7 +64,9 @@
     }
     const silentSince = Math.max(contact.heardAt, listeningSince);
     const limit = Math.max(MINIMUM_SILENCE_MS, computeReportInterval(agents) * SILENCE_SHARE);
-    return now - silentSince > limit && this.hasHeardOther(zone, silentSince + limit * OTHER_ZONE_SHARE);
+    return (
+      now - silentSince > limit && this.hasHeardOther(zone, silentSince + limit * OTHER_ZONE_SHARE)
+    );
   }
 
   private hasHeardOther(zone: string, since: number): boolean {
--- a/src/runtime/udp-socket.ts
+++ b/src/runtime/udp-socket.ts
@@ -1,7 +1,12 @@
 /** A UDP socket that speaks in packed endpoints and never throws on sending. */
 import { createSocket, type Socket } from 'node:dgram';
 import { Ok, type Result } from 'ts-results';
-import { getEndpointAddress, getEndpointPort, formatEndpoint, packEndpoint } from '../core/endpoint';
+import {
+  getEndpointAddress,
+  getEndpointPort,
+  formatEndpoint,
+  packEndpoint,
+} from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -216,7 +216,9 @@
     );
     balancer.process = process;
     balancer.node = node;
-    this.network.bind(address, process, (frame, from) => node.handleFrame(Buffer.from(frame), from));
+    this.network.bind(address, process, (frame, from) =>
+      node.handleFrame(Buffer.from(frame), from),
+    );
     this.network.bind(samePlace(address, PACKET_PORT), process, (bytes) =>
       node.handleClientDatagram(Buffer.from(bytes)),
     );
@@ -259,7 +261,9 @@
     );
     agent.process = process;
     agent.node = node;
-    this.network.bind(address, process, (frame, from) => node.handleFrame(Buffer.from(frame), from));
+    this.network.bind(address, process, (frame, from) =>
+      node.handleFrame(Buffer.from(frame), from),
+    );
     node.start();
   }
 
@@ -354,7 +358,8 @@
     const key = modelPacketFormat.decodeFromClient(packet)!.flow;
     let best: WorldBalancer | undefined;
     for (const one of pool) {
-      const better = !best || computeRendezvousScore(key, one.name) > computeRendezvousScore(key, best.name);
+      const better =
+        !best || computeRendezvousScore(key, one.name) > computeRendezvousScore(key, best.name);
       best = better ? one : best;
     }
     if (best) {
--- a/test/answer-repair.test.ts
+++ b/test/answer-repair.test.ts
@@ -96,7 +96,9 @@
 
   /** Sends an answer of full packets on an open flow; answers their bytes. */
   sendAnswer(count: number, sequence = OPENING_SEQUENCE + 1): Buffer[] {
-    return Array.from({ length: count }, (_, index) => this.send(sequence + index * FULL_PACKET_BYTES, FULL_PAYLOAD));
+    return Array.from({ length: count }, (_, index) =>
+      this.send(sequence + index * FULL_PACKET_BYTES, FULL_PAYLOAD),
+    );
   }
 
   runFor(milliseconds: number): void {
@@ -364,7 +366,14 @@
   }
   const packets = [0, 1].map((index) =>
     packetFormat.decodeFromTarget(
-      encodePacket(ROUTE, [CLIENT_ADDRESS, 1], Flag.ack, computeSequenceAfter(index), 7, FULL_PAYLOAD),
+      encodePacket(
+        ROUTE,
+        [CLIENT_ADDRESS, 1],
+        Flag.ack,
+        computeSequenceAfter(index),
+        7,
+        FULL_PAYLOAD,
+      ),
     )!,
   );
   const flow = new AnswerFlow(packets[0]!, timing, 0);
@@ -686,7 +695,9 @@
 test('an agent repeats what a client misses by the acknowledgements that pass through it', (t) => {
   const scene = new RepairingAgentHarness(true);
   scene.open();
-  const packets = [0, 1, 2, 3].map((index) => scene.send(computeSequenceAfter(index), FULL_PAYLOAD));
+  const packets = [0, 1, 2, 3].map((index) =>
+    scene.send(computeSequenceAfter(index), FULL_PAYLOAD),
+  );
   scene.runFor(ROUND_TRIP_MS);
   scene.deliver(Flag.ack, computeSequenceAfter(1));
   scene.deliver(Flag.ack, computeSequenceAfter(1));
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -98,7 +98,12 @@
   profiles.learn({ version: 5, services: [] });
   profiles.learn(RATES);
   t.is(countPassing(limit, 0, 1_000), 100);
-  const unlimited = new ColdStartLimiter(new TargetLifecycle('map', 770, 0), profiles, undefined, 0);
+  const unlimited = new ColdStartLimiter(
+    new TargetLifecycle('map', 770, 0),
+    profiles,
+    undefined,
+    0,
+  );
   t.is(countPassing(unlimited, 0, 1_000), 100);
 });
 
--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -291,14 +291,20 @@
   const well = { answerTime: 20, answers: 9, failurePercent: 0 };
   t.false(alarm.shouldReport(well, 0));
   t.true(alarm.shouldReport({ ...well, failurePercent: 36 }, 10));
-  t.false(alarm.shouldReport({ ...well, failurePercent: 90 }, 20), 'a quarter of a second has not passed');
+  t.false(
+    alarm.shouldReport({ ...well, failurePercent: 90 }, 20),
+    'a quarter of a second has not passed',
+  );
   t.true(alarm.shouldReport({ ...well, failurePercent: 90 }, 300));
   t.false(alarm.shouldReport({ ...well, failurePercent: 92 }, 900), 'told before');
   t.false(alarm.shouldReport(well, 1_000), 'better can wait');
   t.true(alarm.shouldReport({ ...well, answerTime: 60 }, 2_000));
   const first = new DegradationDetector();
   t.false(first.shouldReport({ answerTime: 50, answers: 0, failurePercent: 0 }, 0));
-  t.false(first.shouldReport({ answerTime: 120, answers: 1, failurePercent: 0 }, 900), 'the first figure');
+  t.false(
+    first.shouldReport({ answerTime: 120, answers: 1, failurePercent: 0 }, 900),
+    'the first figure',
+  );
 });
 
 test('times too short to be told apart raise no alarm', (t) => {
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -249,8 +249,16 @@
 
 test('good entries of a listing and of changes hold beside others, which are counted', async (t) => {
   const api = await createApi(t, (path, response) => {
-    const events = [...INVALID_OBJECTS.map((object) => ({ object })), ...INVALID_OBJECTS, { object: VALID_AGENT }];
-    const listing = { items: [...INVALID_OBJECTS, VALID_AGENT, ...INVALID_OBJECTS], more: false, at: 9 };
+    const events = [
+      ...INVALID_OBJECTS.map((object) => ({ object })),
+      ...INVALID_OBJECTS,
+      { object: VALID_AGENT },
+    ];
+    const listing = {
+      items: [...INVALID_OBJECTS, VALID_AGENT, ...INVALID_OBJECTS],
+      more: false,
+      at: 9,
+    };
     response.end(JSON.stringify(path.includes('watch') ? { events, at: 9 } : listing));
   });
   const registry = new AgentObjects(api);
--- a/test/late-heartbeats.test.ts
+++ b/test/late-heartbeats.test.ts
@@ -65,7 +65,10 @@
   disturb(disturbance: Disturbance): void {
     switch (disturbance.kind) {
       case 'late':
-        this.agent.applyHeartbeat(createHeartbeat('old', this.oldService, disturbance.sequence), this.now);
+        this.agent.applyHeartbeat(
+          createHeartbeat('old', this.oldService, disturbance.sequence),
+          this.now,
+        );
         break;
       case 'leave':
         this.agent.applyLeave({ incarnation: 'old' });
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -469,7 +469,11 @@
   silent.now += 20_000;
   silent.agents.forEach((agent, index) => {
     if (index % 2 === 1) {
-      silent.directory.recordReport(agent, createReport({ sequence: 2, zone: 'south' }), silent.now);
+      silent.directory.recordReport(
+        agent,
+        createReport({ sequence: 2, zone: 'south' }),
+        silent.now,
+      );
     }
   });
   for (const harness of [draining, evacuated, silent]) {
--- a/test/opening-admission.test.ts
+++ b/test/opening-admission.test.ts
@@ -13,7 +13,13 @@
 const CLIENT = 0x6440_0007_9c41;
 
 function createRequest(expectedTime: number, fields: Partial<OpeningRequest> = {}): OpeningRequest {
-  return { destination: STREAM, expectedTime, deadline: DEADLINE_MS, isLessUrgent: true, ...fields };
+  return {
+    destination: STREAM,
+    expectedTime,
+    deadline: DEADLINE_MS,
+    isLessUrgent: true,
+    ...fields,
+  };
 }
 
 test('what comes late is let in, what comes after its caller has given up is refused', (t) => {
@@ -37,9 +43,9 @@
 
 test('a share of the openings is let in all the same', (t) => {
   const admission = new OpeningAdmission(KEPT_PERCENT);
-  const admitted = Array.from({ length: 200 }, () =>
-    admission.admit(createRequest(5_000)),
-  ).filter((isAdmitted) => isAdmitted);
+  const admitted = Array.from({ length: 200 }, () => admission.admit(createRequest(5_000))).filter(
+    (isAdmitted) => isAdmitted,
+  );
   t.is(admitted.length, 20);
 });
 
--- a/test/outliers.test.ts
+++ b/test/outliers.test.ts
@@ -40,7 +40,10 @@
   return fields.map((one, id) => ({ id, ...usual, ...one }));
 }
 
-function findOutlierIds(fields: readonly Partial<ComparedTarget<number>>[], share = SHARE_PERCENT): number[] {
+function findOutlierIds(
+  fields: readonly Partial<ComparedTarget<number>>[],
+  share = SHARE_PERCENT,
+): number[] {
   return [...findOutliers(createTargets(fields), share).keys()].sort();
 }
 
--- a/test/packet-decisions.test.ts
+++ b/test/packet-decisions.test.ts
@@ -1,7 +1,11 @@
 /** Small decisions of the packet interface, each alone. */
 import test from 'ava';
 import { findRefusalReason, type TargetCondition } from '../src/packets/delivery-rules';
-import { PendingSearches, computeSearchTimeout, type WaitingPacket } from '../src/packets/pending-searches';
+import {
+  PendingSearches,
+  computeSearchTimeout,
+  type WaitingPacket,
+} from '../src/packets/pending-searches';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import { FlowSearches, selectNextAgents, recordOffer } from '../src/packets/flow-search';
 import { PACKET_MESSAGE_FIELDS } from '../src/packets/packet-message-schema';
@@ -63,7 +67,10 @@
     const dead = { ...READY, isDown, isDead: true };
     t.is(findRefusalReason(true, ['map'], dead), RefusalReason.targetDown);
     t.is(findRefusalReason(true, ['map'], { ...dead, isProbeDue: true }), undefined);
-    t.is(findRefusalReason(false, ['map'], { ...dead, isProbeDue: true }), RefusalReason.targetDown);
+    t.is(
+      findRefusalReason(false, ['map'], { ...dead, isProbeDue: true }),
+      RefusalReason.targetDown,
+    );
   }
 });
 
--- a/test/packet-directory.test.ts
+++ b/test/packet-directory.test.ts
@@ -10,8 +10,16 @@
 test('a target that drains gets no new flow while its restarted agent does not know it', (t) => {
   const directory = new AgentDirectory();
   directory.recordReport(AGENT, createReport({ state: TargetState.draining }), 0);
-  directory.recordReport(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
-  const entry = directory.recordReport(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
+  directory.recordReport(
+    AGENT,
+    createReport({ state: TargetState.agentRestarting, sequence: 2 }),
+    10,
+  );
+  const entry = directory.recordReport(
+    AGENT,
+    createReport({ state: TargetState.unknown, run: 2 }),
+    300,
+  )!;
   t.false(acceptsNewFlows(entry));
   directory.recordReport(AGENT, createReport({ run: 2, sequence: 2 }), 600);
   t.true(acceptsNewFlows(entry));
@@ -20,8 +28,16 @@
 test('a target that was ready may get new flows while its restarted agent does not know it', (t) => {
   const directory = new AgentDirectory();
   directory.recordReport(AGENT, createReport(), 0);
-  directory.recordReport(AGENT, createReport({ state: TargetState.agentRestarting, sequence: 2 }), 10);
-  const entry = directory.recordReport(AGENT, createReport({ state: TargetState.unknown, run: 2 }), 300)!;
+  directory.recordReport(
+    AGENT,
+    createReport({ state: TargetState.agentRestarting, sequence: 2 }),
+    10,
+  );
+  const entry = directory.recordReport(
+    AGENT,
+    createReport({ state: TargetState.unknown, run: 2 }),
+    300,
+  )!;
   t.true(acceptsNewFlows(entry));
 });
 
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -85,7 +85,12 @@
     const { searchId, agents, payload } = asSearch(harness.sent[round]!);
     agents.forEach((agent) => visited.add(agent));
     lengths.push(agents.length);
-    harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+    harness.router.handleNoneHolds({
+      type: PacketMessageType.noneHolds,
+      searchId,
+      agents,
+      payload,
+    });
   }
   t.deepEqual(lengths, [10, 64, 26]);
   t.is(visited.size, 100);
@@ -118,9 +123,19 @@
 function answerSearch(harness: RouterHarness, search: SearchMessage): void {
   const { searchId, agents, payload } = search;
   if (search.phase === SearchPhase.queryOnly) {
-    harness.router.handleNoneKnows({ type: PacketMessageType.noneKnows, searchId, agents, payload });
+    harness.router.handleNoneKnows({
+      type: PacketMessageType.noneKnows,
+      searchId,
+      agents,
+      payload,
+    });
   } else {
-    harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
+    harness.router.handleNoneHolds({
+      type: PacketMessageType.noneHolds,
+      searchId,
+      agents,
+      payload,
+    });
   }
 }
 
@@ -274,7 +289,12 @@
     t.is(version, 1);
     const { searchId, payload } = message as Extract<PacketMessage, { searchId: number }>;
     const reason = RefusalReason.returnedByTarget;
-    harness.router.handleRefusal(to, { type: PacketMessageType.notHeld, searchId, reason, payload });
+    harness.router.handleRefusal(to, {
+      type: PacketMessageType.notHeld,
+      searchId,
+      reason,
+      payload,
+    });
   }
   t.deepEqual(
     harness.sent.map(({ message }) => message.type),
@@ -291,7 +311,12 @@
   const payload = harness.createData(OTHER_CLIENT);
   const reason = RefusalReason.returnedByTarget;
   for (const agent of harness.agents) {
-    harness.router.handleRefusal(agent, { type: PacketMessageType.notHeld, searchId, reason, payload });
+    harness.router.handleRefusal(agent, {
+      type: PacketMessageType.notHeld,
+      searchId,
+      reason,
+      payload,
+    });
   }
   t.deepEqual(harness.resets, [OTHER_CLIENT]);
   harness.runFor(50);
@@ -361,7 +386,12 @@
   t.is(sent!.message.type, PacketMessageType.deliver);
   const { payload, searchId } = sent!.message as DeliverMessage;
   const reason = RefusalReason.returnedByTarget;
-  harness.router.handleRefusal(agent!, { type: PacketMessageType.notHeld, searchId, reason, payload });
+  harness.router.handleRefusal(agent!, {
+    type: PacketMessageType.notHeld,
+    searchId,
+    reason,
+    payload,
+  });
   harness.sent.length = 0;
   harness.router.handleAgentReturned(agent!);
   t.deepEqual(harness.sent, []);
--- a/test/packet-store-copy.test.ts
+++ b/test/packet-store-copy.test.ts
@@ -67,7 +67,10 @@
 }
 
 /** Whether the later route is served in time. */
-async function isServedInTime({ client, balancer }: ClusterHarness, begin: number): Promise<boolean> {
+async function isServedInTime(
+  { client, balancer }: ClusterHarness,
+  begin: number,
+): Promise<boolean> {
   while (Date.now() - begin < APPLY_TIME_MS) {
     await pause(RETRY_INTERVAL_MS);
     client.received.length = 0;
--- a/test/persistent-flows.test.ts
+++ b/test/persistent-flows.test.ts
@@ -5,7 +5,10 @@
 import { selectAgent } from '../src/packets/agent-selection';
 import { computeWaterLevel } from '../src/packets/choice/water-filling';
 import { estimateQueueLength } from '../src/packets/choice/persistent-flows';
-import { createFlowRequestCount, RouteRequestStatistics } from '../src/packets/choice/route-request-statistics';
+import {
+  createFlowRequestCount,
+  RouteRequestStatistics,
+} from '../src/packets/choice/route-request-statistics';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import type { ReportMessage } from '../src/packets/packet-messages';
 import { SeededRandom } from '../src/simulation/seeded-random';
--- a/test/reader-messages.test.ts
+++ b/test/reader-messages.test.ts
@@ -49,7 +49,10 @@
 
 /** Sends a message with some fields of its document replaced; a field set to undefined is left out. */
 class FieldReplacingCodec extends PacketFrameCodec {
-  encodeWithFields(message: PeerStatusMessage | SubscribeMessage, fields: Record<string, unknown>): Buffer {
+  encodeWithFields(
+    message: PeerStatusMessage | SubscribeMessage,
+    fields: Record<string, unknown>,
+  ): Buffer {
     const document = deserialize(this.encode(message).subarray(BODY_OFFSET));
     const body = serialize({ ...document, ...fields }, { ignoreUndefined: true });
     const frame = Buffer.concat([Buffer.alloc(BODY_OFFSET), Buffer.from(body)]);
@@ -61,7 +64,9 @@
 test('a status or subscription of an earlier version tells nothing of readers and listings', (t) => {
   const codec = new FieldReplacingCodec([KEY]);
   const left = { g: undefined, h: undefined, d: undefined, x: undefined, e: undefined };
-  const status = codec.decode(codec.encodeWithFields(PEER_STATUS, left)).unwrap() as PeerStatusMessage;
+  const status = codec
+    .decode(codec.encodeWithFields(PEER_STATUS, left))
+    .unwrap() as PeerStatusMessage;
   t.deepEqual(
     [status.registryRevision, status.storeEra, status.readers, status.delta, status.routingVersion],
     [0, 0, [], undefined, 3],
--- a/test/request-order.test.ts
+++ b/test/request-order.test.ts
@@ -146,7 +146,11 @@
 });
 
 /** The rule for requests of one kind: the oldest that is in time, else the newest. */
-function takeInSinglePriorityOrder(waiting: WaitingRequest[], now: number, patience: number): WaitingRequest {
+function takeInSinglePriorityOrder(
+  waiting: WaitingRequest[],
+  now: number,
+  patience: number,
+): WaitingRequest {
   const inTime = waiting.filter(({ since }) => now - since <= patience);
   const oldest = inTime.reduce<WaitingRequest | undefined>(
     (best, one) => (best === undefined || one.since < best.since ? one : best),
--- a/test/store-copy.test.ts
+++ b/test/store-copy.test.ts
@@ -58,7 +58,11 @@
  * @param isPastOldRevision whether the store's revision is past the old one by then
  * @param outageMs milliseconds for which the store answers nobody; 0: calls that wait are only cut
  */
-function restoreWithChanges(world: PacketWorld, isPastOldRevision: boolean, outageMs: number): void {
+function restoreWithChanges(
+  world: PacketWorld,
+  isPastOldRevision: boolean,
+  outageMs: number,
+): void {
   const { store } = world;
   const copy = store.copy();
   store.advance(20);
--- a/test/support/answers.ts
+++ b/test/support/answers.ts
@@ -4,6 +4,8 @@
 import type { ResultCallback } from '../../src/packets/collection-port';
 
 /** The answer to one call. */
-export function awaitAnswer<T>(call: (answer: ResultCallback<T>) => void): Promise<Result<T, HallholdError>> {
+export function awaitAnswer<T>(
+  call: (answer: ResultCallback<T>) => void,
+): Promise<Result<T, HallholdError>> {
   return new Promise((resolve) => call(resolve));
 }
--- a/test/support/router-harness.ts
+++ b/test/support/router-harness.ts
@@ -76,7 +76,11 @@
     const link = new PacketLink(this.codec, transport, environment);
     this.agents = frameVersions.map((frameVersion, index) => {
       const address = FIRST_AGENT + index * NEXT_MACHINE;
-      this.directory.recordReport(address, createReport({ frameVersion, ...reports[index] }), this.now);
+      this.directory.recordReport(
+        address,
+        createReport({ frameVersion, ...reports[index] }),
+        this.now,
+      );
       link.recordVersion(address, frameVersion);
       return address;
     });
--- a/test/target-incarnations.test.ts
+++ b/test/target-incarnations.test.ts
@@ -43,7 +43,10 @@
 test('a late heartbeat of the earlier life changes nothing', (t) => {
   const agent = startDraining();
   agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 1 }), 12_000);
-  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 12_100), 'none');
+  t.is(
+    agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 12_100),
+    'none',
+  );
   t.is(agent.state, TargetState.ready);
   t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 2 }), 13_000), 'none');
   t.is(agent.born, LATER);
@@ -52,11 +55,17 @@
 test('so it is after the agent was restarted, in either order', (t) => {
   const restarted = new TargetLifecycle('map', INTERVAL, 0);
   restarted.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_000);
-  t.is(restarted.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_100), 'incarnation');
+  t.is(
+    restarted.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_100),
+    'incarnation',
+  );
   t.is(restarted.state, TargetState.ready);
   const other = new TargetLifecycle('map', INTERVAL, 0);
   other.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_000);
-  t.is(other.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_100), 'none');
+  t.is(
+    other.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_100),
+    'none',
+  );
   t.is(other.state, TargetState.ready);
 });
 
@@ -67,7 +76,11 @@
   t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 7 }), 12_000), 'none');
   t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 1 }), 12_100), 'incarnation');
   t.is(agent.state, TargetState.ready);
-  t.is(agent.applyLeave({ incarnation: 'i-1', born: EARLIER }), 'none', 'said late, of the earlier one');
+  t.is(
+    agent.applyLeave({ incarnation: 'i-1', born: EARLIER }),
+    'none',
+    'said late, of the earlier one',
+  );
   t.is(agent.state, TargetState.ready);
   t.is(
     agent.applyLeave({ incarnation: 'i-1' }),
@@ -78,7 +91,10 @@
 
 test('a later life may belong to another service', (t) => {
   const agent = startDraining();
-  t.is(agent.applyHeartbeat(createHeartbeat({ born: LATER, service: 'tiles' }), 12_000), 'incarnation');
+  t.is(
+    agent.applyHeartbeat(createHeartbeat({ born: LATER, service: 'tiles' }), 12_000),
+    'incarnation',
+  );
   t.is(agent.service, 'tiles');
   t.false(agent.isServiceDisputed);
 });
@@ -87,7 +103,10 @@
   const agent = new TargetLifecycle('map', INTERVAL, 0);
   agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 8 }), 10_000);
   t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 1 }), 11_500), 'none');
-  t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 2 }), 12_500), 'incarnation');
+  t.is(
+    agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 2 }), 12_500),
+    'incarnation',
+  );
   t.is(agent.born, EARLIER);
 });
 
@@ -131,7 +150,12 @@
 }
 
 /** The target beside an agent crashes and starts again under its name. */
-function restartTarget(world: PacketWorld, agent: WorldAgent, away: number, service?: string): void {
+function restartTarget(
+  world: PacketWorld,
+  agent: WorldAgent,
+  away: number,
+  service?: string,
+): void {
   const { id } = agent.target.life;
   agent.target.alive = false;
   world.runFor(away);
