--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -173,7 +173,7 @@
     { openFlows: 40, busyRequests: 2, slots: 4 },
     { openFlows: 4, busyRequests: 2, slots: 4 },
   ]);
-  const late = { ageOf: () => 500 };
+  const late = { getReportAge: () => 500 };
   const lasting = createSelectionContext({ ...late, openingRate: 0.001 });
   t.is(selectAgent([many!, few!], lasting)?.entry, few);
   // A flow for each request: what was open half a second ago is closed.
