--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -345,7 +345,7 @@
     orderForPlacement('f', [], 'north', () => 5),
     [],
   );
-  t.deepEqual(orderForSearch('f', []), { agents: [], likely: 0 });
+  t.deepEqual(orderForSearch('f', []), { agents: [], likelyCount: 0 });
 });
 
 test('in a fleet of one zone both orders are as ever', (t) => {
@@ -356,7 +356,10 @@
       orderForPlacement(`f${flow}`, agents, 'north', () => 5),
       before,
     );
-    t.deepEqual(orderForSearch(`f${flow}`, agents), { agents: before, likely: CANDIDATE_COUNT });
+    t.deepEqual(orderForSearch(`f${flow}`, agents), {
+      agents: before,
+      likelyCount: CANDIDATE_COUNT,
+    });
   }
 });
 
