--- a/src/packets/choice/choice-settings.ts
+++ b/src/packets/choice/choice-settings.ts
@@ -1,22 +1,22 @@
-/** What operators set of the choice of agents. */
+/** Operator settings of agent selection. */
 
-/** Settings of the choice. */
+/** Settings of agent selection. */
 export interface ChoiceSettings {
-  /** Whether the expected time of an answer decides; else the least load does, as before. */
+  /** Whether the expected answer time decides; otherwise the lowest load does. */
   readonly expectedWait: boolean;
-  /** Targets of a service, in percent, that may be set aside at most; 0 for none. */
+  /** Percentage of a service's targets that may be ejected at most; 0 for none. */
   readonly setAsideShare: number;
-  /** Whether flows that stay for several requests are spread by the flows that targets have. */
+  /** Whether persistent flows are spread by the open flows of targets. */
   readonly keptFlows: boolean;
-  /** Whether openings are refused that could be answered only after their callers have given up. */
+  /** Whether new flows are refused that could only be answered after their caller's deadline. */
   readonly admission: boolean;
-  /** Openings in a hundred of such a route that are let in all the same. */
+  /** Percentage of such a route's new flows that is admitted nevertheless. */
   readonly keptShare: number;
 }
 
 /**
- * Used where nothing is set. A share of 30 leaves seven targets in ten with ten tenths of the load:
- * a service that is busy for up to two thirds of its time bears that.
+ * Defaults. A share of 30 leaves seven targets in ten with the whole load, which a service with up
+ * to two thirds utilization can bear.
  */
 export const DEFAULT_CHOICE: ChoiceSettings = {
   expectedWait: true,
--- a/src/packets/choice/degradation-detector.ts
+++ b/src/packets/choice/degradation-detector.ts
@@ -1,45 +1,45 @@
 /**
- * When an agent tells all balancers at once that its target has become worse: the next report may be
- * half a second away, in which all of them would go on as before.
+ * Decides when an agent reports to all balancers ahead of schedule because its target has degraded:
+ * until the next regular report, up to half a second later, all would go on as before.
  */
 import { SLOW_MARGIN_MS } from './outliers';
 
-/** Points of a hundred by which failures must have risen: two in a row bring less. */
+/** Percentage points by which failures must rise; two failures in a row add less. */
 const FAILURE_RISE_PERCENT = 25;
-/** Times by which answers must take longer; see `CHANGE_FACTOR` of service-time. */
+/** Factor by which the answer time must rise; see `CHANGE_FACTOR` of service-time-estimator. */
 const SLOWDOWN_FACTOR = 2;
-/** Milliseconds between two such reports at least: as often as agents look who is due for one. */
+/** Minimum spacing of such reports; agents check as often which reports are due. */
 const MINIMUM_REPORT_INTERVAL_MS = 250;
 
-/** What an agent watches of its target. */
+/** Metrics of a target that are watched for degradation. */
 export interface TargetMetrics {
   readonly answerTime: number;
-  /** Answers of late that this time rests on. */
+  /** Recent answers that the time is based on. */
   readonly answers: number;
   /** 0 to 100. */
   readonly failurePercent: number;
 }
 
-/** The alarm of one agent. */
+/** Degradation detector of one agent. */
 export class DegradationDetector {
-  private failurePercent = 0;
-  private answerTime: number | undefined;
+  private baselineFailurePercent = 0;
+  private baselineAnswerTime: number | undefined;
   private reportedAt = -Infinity;
 
   /**
-   * Whether figures are so much worse than those told that a report is due; it counts as sent.
-   * @param interval milliseconds between usual reports: of many agents, each may tell less often
+   * Whether metrics are so much worse than reported that a report is due; they count as sent then.
+   * @param interval milliseconds between regular reports, longer with many agents
    */
   shouldReport(
     { answers, answerTime, failurePercent }: TargetMetrics,
     now: number,
     interval = () => MINIMUM_REPORT_INTERVAL_MS,
   ): boolean {
-    this.failurePercent = Math.min(this.failurePercent, failurePercent);
+    this.baselineFailurePercent = Math.min(this.baselineFailurePercent, failurePercent);
     if (answers > 0) {
-      this.answerTime = Math.min(this.answerTime ?? answerTime, answerTime);
+      this.baselineAnswerTime = Math.min(this.baselineAnswerTime ?? answerTime, answerTime);
     }
-    const hasFailureRise = failurePercent >= this.failurePercent + FAILURE_RISE_PERCENT;
+    const hasFailureRise = failurePercent >= this.baselineFailurePercent + FAILURE_RISE_PERCENT;
     if (!hasFailureRise && !this.hasSlowed(answerTime)) {
       return false;
     }
@@ -47,14 +47,14 @@
       return false;
     }
     this.reportedAt = now;
-    this.failurePercent = failurePercent;
-    this.answerTime = this.answerTime === undefined ? undefined : answerTime;
+    this.baselineFailurePercent = failurePercent;
+    this.baselineAnswerTime = this.baselineAnswerTime === undefined ? undefined : answerTime;
     return true;
   }
 
-  /** Whether an answer takes so much longer that targets could be told apart by it. */
+  /** Whether the answer time has risen by enough to tell targets apart by it. */
   private hasSlowed(answerTime: number): boolean {
-    const baseline = this.answerTime;
+    const baseline = this.baselineAnswerTime;
     return (
       baseline !== undefined &&
       answerTime >= baseline * SLOWDOWN_FACTOR &&
--- a/src/packets/choice/expected-wait.ts
+++ b/src/packets/choice/expected-wait.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the agent for a new flow: of the best class that has any among the candidates, the one
- * whose target will have answered first (docs/design/choice.md).
+ * Selects the agent for a new flow: of the best placement class among the candidates, the one with
+ * the shortest expected answer time (docs/design/choice.md).
  */
 import type { AgentEntry } from '../agent-directory';
 import { CANDIDATE_COUNT } from '../flow-candidates';
@@ -23,62 +23,62 @@
 } from './service-statistics';
 
 /**
- * Answers of a target, besides those that wait, in whose time what a report says of its queue falls
- * to about a third: a queue that was seen is gone once it has been worked off.
+ * Answers, besides those to queued requests, in whose time the weight of a reported queue decays to
+ * about a third: by then the queue has been worked off.
  */
 const REPORT_DECAY_ANSWERS = 1;
-/** Answers in whose time the weight of an opening that no report shows yet falls to a third. */
+/** Answers in whose time the weight of a flow that no report includes yet decays to a third. */
 const OPENING_DECAY_ANSWERS = 2;
-/** Part of an answer's time by which equal targets are told apart at random. */
+/** Fraction of the answer time within which ties are broken at random. */
 const TIE_SHARE = 0.1;
 /**
- * Times the service's median that an answer of a cold target takes at least, whatever its first ones
- * took: twice keeps it for the moments in which the others have a request each waiting.
+ * Minimum answer time of a cold target as a multiple of the service's median, whatever its first
+ * ones were: at twice the median it gets flows while the others have a request each waiting.
  */
 const COLD_FACTOR = 2;
-/** Part of an answer's time added while no heartbeat has confirmed that the target is ready. */
+/** Fraction of the answer time added while no heartbeat has shown that the target is ready. */
 const UNKNOWN_STATE_SHARE = 0.2;
 /**
- * Milliseconds that a failed request costs its client: it repeats after a timer of at least 200 ms
- * (the least retransmission timeout in common use, below the second of RFC 6298).
+ * Minimum cost of a failed request to its client, which retransmits after at least 200 ms (the
+ * lowest retransmission timeout in common use, below the second of RFC 6298).
  */
 const MINIMUM_FAILURE_COST_MS = 200;
 /**
- * Answers that a failed request costs at least, where answers take long: the repeat waits its turn as
- * the first try did, so a target that always fails is worth no short queue elsewhere.
+ * Minimum cost of a failed request in answer times, where these are long: the retry queues like the
+ * first attempt, so a target that always fails is no better than a short queue elsewhere.
  */
 const FAILURE_COST_ANSWERS = 4;
-/** Answers of waiting at every able target for which a doubtful one is the better choice. */
+/** Wait at every healthy target, in answer times, beyond which a doubtful one is preferred. */
 const DOUBTFUL_WAIT_ANSWERS = 5;
 const PERCENT = 100;
 
-/** One agent with what is expected of its target. */
+/** An agent with the expected times of its target. */
 interface Candidate {
   readonly entry: AgentEntry;
   readonly placementClass: PlacementClassValue;
-  /** Milliseconds of an answer there, for each of its slots: by so much a request delays others. */
+  /** Milliseconds by which a request there delays others: answer time divided by slots. */
   readonly timePerRequest: number;
-  /** Milliseconds until the answer to a request there, as of its report. */
+  /** Milliseconds to the answer to a request there, as of its report. */
   readonly reportedTime: number;
-  /** Milliseconds that its failures cost the client of a request in the mean. */
+  /** Mean cost of its failures to the client of a request, in milliseconds. */
   readonly expectedFailureCost: number;
-  /** Milliseconds for which requests keep it busy that this balancer sent and no report shows yet. */
+  /** Milliseconds of work from requests of this balancer that no report includes yet. */
   readonly unreportedTime: number;
 }
 
-/** A candidate with what a flow of this balancer would have there. */
+/** A candidate with the expected times of a flow from this balancer. */
 interface ScoredCandidate extends Candidate {
-  /** Milliseconds until its first answer. */
+  /** Milliseconds to its first answer. */
   readonly time: number;
-  /** Milliseconds for which its later requests wait, all together. */
+  /** Total wait of its later requests in milliseconds. */
   readonly laterWait: number;
 }
 
 /**
- * The target that answers first among the first agents that take new flows: as many as it takes to
- * have an able one among them, and twice as many where those are worse than the service is in the
- * mean. Undefined when none takes any.
- * @param ordered agents in the order that belongs to the flow
+ * Selects the shortest expected answer time among the first agents that accept new flows: as many
+ * as it takes to include a healthy one, and twice as many where those are worse than the service's
+ * mean. Undefined when none accepts any.
+ * @param ordered agents in the candidate order of the flow
  */
 export function selectLeastWait(
   ordered: readonly AgentEntry[],
@@ -104,7 +104,7 @@
   return bestOfMore && createChoice(bestOfMore, false);
 }
 
-/** How many agents to consider: ten, or so many more that one of them is able. */
+/** Number of agents to consider: ten, doubled until a healthy one is among them. */
 function chooseCandidateCount(accepting: readonly AgentEntry[], context: SelectionContext): number {
   for (let count = CANDIDATE_COUNT; count < accepting.length; count *= 2) {
     const added = accepting.slice(count === CANDIDATE_COUNT ? 0 : count / 2, count);
@@ -120,12 +120,12 @@
   context: SelectionContext,
 ): AgentEntry | undefined {
   return entries.find((entry) => {
-    const standing = context.getOutlierStatus(entry);
-    return standing.kind === 'setAside' && standing.isTrialDue && context.isHeard(entry);
+    const status = context.getOutlierStatus(entry);
+    return status.kind === 'setAside' && status.isTrialDue && context.isHeard(entry);
   });
 }
 
-/** Whether more candidates would most likely bring nothing better. */
+/** Whether more candidates are unlikely to include a better one. */
 function isGoodEnough(
   { placementClass, time }: ScoredCandidate,
   statistics: ServiceStatistics,
@@ -142,17 +142,17 @@
   context: SelectionContext,
 ): ScoredCandidate[] {
   const candidates = entries.map((entry) => createCandidate(entry, statistics, context));
-  const { requestsPerFlow, competingShare: rivalShare } = context;
-  const competitors = (statistics.balancers - 1) * rivalShare;
+  const { requestsPerFlow, competingShare } = context;
+  const competitors = (statistics.balancers - 1) * competingShare;
   const laterWaits = estimateLaterWaits(entries, statistics, {
     requestsPerFlow,
-    competitors: competitors,
+    competitors,
   });
   return Object.values(PlacementClass).flatMap((wanted) => {
     const ofClass = candidates.filter(({ placementClass }) => placementClass === wanted);
-    const level = estimateFilledTime(ofClass, competitors);
+    const filledTime = estimateFilledTime(ofClass, competitors);
     return ofClass.map((candidate) =>
-      scoreCandidate(candidate, level, laterWaits.get(candidate.entry) ?? 0, context),
+      scoreCandidate(candidate, filledTime, laterWaits.get(candidate.entry) ?? 0, context),
     );
   });
 }
@@ -165,51 +165,51 @@
   const { report } = entry;
   const coldTime = (report?.coldLeft ?? 0) > 0 ? statistics.answerTime * COLD_FACTOR : 0;
   const answerTime = Math.max(coldTime, estimateAnswerTime(entry, statistics));
-  const delay = answerTime / getSlots(entry);
-  const wait = delay * estimateRequestsAhead(entry, answerTime, statistics, context);
+  const timePerRequest = answerTime / getSlots(entry);
+  const wait = timePerRequest * estimateRequestsAhead(entry, answerTime, statistics, context);
   const unknownStateCost =
     report?.state === TargetState.ready ? 0 : answerTime * UNKNOWN_STATE_SHARE;
-  const failure = Math.max(MINIMUM_FAILURE_COST_MS, FAILURE_COST_ANSWERS * statistics.answerTime);
-  const failureCost = (failure * (report?.failurePercent ?? 0)) / PERCENT;
+  const failureCost = Math.max(
+    MINIMUM_FAILURE_COST_MS,
+    FAILURE_COST_ANSWERS * statistics.answerTime,
+  );
+  const expectedFailureCost = (failureCost * (report?.failurePercent ?? 0)) / PERCENT;
   return {
     entry,
     placementClass: getPlacementClass(entry, context),
-    timePerRequest: delay,
+    timePerRequest,
     reportedTime: answerTime + wait + unknownStateCost,
-    expectedFailureCost: failureCost,
-    unreportedTime: delay * estimateUnreportedRequests(entry, answerTime, context.now),
+    expectedFailureCost,
+    unreportedTime: timePerRequest * estimateUnreportedRequests(entry, answerTime, context.now),
   };
 }
 
 /**
- * Requests to be expected at a target as of its report, without those that other balancers have
- * sent since. The older the report, the nearer to what its open flows bring in the mean; where a
- * flow lasts for one request, those have ended as well and the service's mean is left.
+ * Requests expected at a target as of its report, without those sent since by other balancers. As
+ * the report ages, the mean load of its open flows takes its place; where a flow lasts for one
+ * request, those have ended as well and the service's mean remains.
  */
 function estimateRequestsAhead(
   entry: AgentEntry,
   answerTime: number,
-  {
-    typicalBusyRequests: usualBusy,
-    meanOpenFlows: meanFlows,
-    meanFlowLifetime: flowTime,
-  }: ServiceStatistics,
+  { typicalBusyRequests, meanOpenFlows, meanFlowLifetime }: ServiceStatistics,
   context: SelectionContext,
 ): number {
   const { report } = entry;
   if (!report) {
-    return usualBusy;
+    return typicalBusyRequests;
   }
   const age = context.getReportAge(entry);
-  const queue = Math.max(report.busyRequests, usualBusy) / getSlots(entry);
-  const seen = Math.exp(-age / (answerTime * (REPORT_DECAY_ANSWERS + queue)));
-  const busyPerFlow = meanFlows > 0 ? usualBusy / meanFlows : 0;
-  const extraFlows = (report.openFlows - meanFlows) * Math.exp(-age / Math.max(1, flowTime));
-  const lasting = Math.max(0, usualBusy + extraFlows * busyPerFlow);
-  return report.busyRequests * seen + lasting * (1 - seen);
+  const queue = Math.max(report.busyRequests, typicalBusyRequests) / getSlots(entry);
+  const reportWeight = Math.exp(-age / (answerTime * (REPORT_DECAY_ANSWERS + queue)));
+  const busyPerFlow = meanOpenFlows > 0 ? typicalBusyRequests / meanOpenFlows : 0;
+  const extraFlows =
+    (report.openFlows - meanOpenFlows) * Math.exp(-age / Math.max(1, meanFlowLifetime));
+  const expectedBusy = Math.max(0, typicalBusyRequests + extraFlows * busyPerFlow);
+  return report.busyRequests * reportWeight + expectedBusy * (1 - reportWeight);
 }
 
-/** Requests of this balancer that no report shows yet and that are not answered by now. */
+/** Requests of this balancer that no report includes yet and that are still unanswered. */
 function estimateUnreportedRequests(entry: AgentEntry, answerTime: number, now: number): number {
   let sum = 0;
   for (const at of entry.recentOpenings) {
@@ -219,16 +219,16 @@
 }
 
 /**
- * Milliseconds until an answer up to which other balancers have filled the best targets since the
- * reports that all of them have seen. They choose as this one does, so its own openings of late tell
- * how many theirs are, and they go first to where a report shows room: a target that is reported
- * idle is so only for the first of them.
+ * Answer time in milliseconds up to which other balancers have filled the best targets since the
+ * reports that all of them have. They select as this one does, so its own recent flows tell how
+ * many they have placed. These go first to targets reported as idle, which are so only for the
+ * first of them.
  * @param competitors other balancers that place among the same agents
  */
 function estimateFilledTime(candidates: readonly Candidate[], competitors: number): number {
   let requests = 0;
-  for (const { timePerRequest: delay, unreportedTime: ownTime } of candidates) {
-    requests += (ownTime / delay) * competitors;
+  for (const { timePerRequest, unreportedTime } of candidates) {
+    requests += (unreportedTime / timePerRequest) * competitors;
   }
   const bins = candidates.map((one) => ({
     level: getComparedTime(one),
@@ -237,9 +237,9 @@
   return computeWaterLevel(bins, requests);
 }
 
-/** Milliseconds by which every balancer compares a candidate, each with its own costs besides. */
-function getComparedTime({ reportedTime, expectedFailureCost: failureCost }: Candidate): number {
-  return reportedTime + failureCost;
+/** Milliseconds by which all balancers compare a candidate, apart from their own costs. */
+function getComparedTime({ reportedTime, expectedFailureCost }: Candidate): number {
+  return reportedTime + expectedFailureCost;
 }
 
 function scoreCandidate(
@@ -248,36 +248,31 @@
   laterWait: number,
   context: SelectionContext,
 ): ScoredCandidate {
-  const {
-    entry,
-    reportedTime,
-    expectedFailureCost: failureCost,
-    unreportedTime: ownTime,
-  } = candidate;
-  const answeredAfter = Math.max(reportedTime, filledTime) + ownTime;
-  const time = answeredAfter + failureCost + context.getTransferCost(entry);
+  const { entry, reportedTime, expectedFailureCost, unreportedTime } = candidate;
+  const answeredAfter = Math.max(reportedTime, filledTime) + unreportedTime;
+  const time = answeredAfter + expectedFailureCost + context.getTransferCost(entry);
   return { ...candidate, time, laterWait };
 }
 
-/** The best of the best class; a doubtful one where every able one makes flows wait too long. */
+/** The best of the best class; a doubtful one where the wait at every healthy one is too long. */
 function chooseBest(
   candidates: readonly ScoredCandidate[],
   statistics: ServiceStatistics,
   context: SelectionContext,
 ): ScoredCandidate | undefined {
   const tieWindow = statistics.answerTime * TIE_SHARE;
-  const able = chooseOfClass(candidates, PlacementClass.healthy, tieWindow, context);
+  const healthy = chooseOfClass(candidates, PlacementClass.healthy, tieWindow, context);
   const doubtful = chooseOfClass(candidates, PlacementClass.doubtful, tieWindow, context);
   const waitLimit = statistics.answerTime * DOUBTFUL_WAIT_ANSWERS;
-  if (able && doubtful && able.time > doubtful.time + waitLimit) {
+  if (healthy && doubtful && healthy.time > doubtful.time + waitLimit) {
     return doubtful;
   }
   return (
-    able ?? doubtful ?? chooseOfClass(candidates, PlacementClass.lastResort, tieWindow, context)
+    healthy ?? doubtful ?? chooseOfClass(candidates, PlacementClass.lastResort, tieWindow, context)
   );
 }
 
-/** @param tieWindow milliseconds by which balancers that know the same tell equal offers apart */
+/** @param tieWindow milliseconds of random spread among equal candidates */
 function chooseOfClass(
   candidates: readonly ScoredCandidate[],
   wanted: PlacementClassValue,
--- a/src/packets/choice/least-load.ts
+++ b/src/packets/choice/least-load.ts
@@ -1,6 +1,6 @@
 /**
- * The rule with the setting `expectedWait` at 0: the agent whose target will be least loaded, where
- * all that speaks against a target adds to its load.
+ * Selects the agent whose target will be least loaded (setting `expectedWait` at 0). Every
+ * disadvantage of a target adds to its load.
  */
 import type { AgentEntry } from '../agent-directory';
 import { CANDIDATE_COUNT } from '../flow-candidates';
@@ -14,29 +14,29 @@
 import { DEFAULT_ANSWER_TIME_MS, DEFAULT_SLOTS } from './service-statistics';
 
 /**
- * Answers of a target in whose time what a report says of its queue falls to about a third of its
- * weight. Balancers that hear of an idle target all choose it: with 19 of them, one of 12 ms an
- * answer got 15 openings in 100 ms and a queue of 180 ms, at a goal of 211. Of 9,842 requests at
- * 1,230 a second before 41 such targets 386 were late without this, 321 with 40 ms, 372 with 120.
+ * Answers of a target in whose time the weight of its reported queue decays to about a third.
+ * Balancers that see an idle target all choose it: with 19 of them, one with 12 ms answer time got
+ * 15 new flows in 100 ms and a queue of 180 ms, at a goal of 211 ms. Of 9,842 requests at 1,230/s
+ * to 41 such targets 386 were late without decay, 321 with 40 ms, 372 with 120 ms.
  */
 const REPORT_DECAY_ANSWERS = 3;
-/** Added while the target is slow after its start. */
+/** Load added while the target is slow after its start. */
 const COLD_PENALTY = 0.5;
-/** Added while no heartbeat has confirmed that the target is ready. */
+/** Load added while no heartbeat has confirmed that the target is ready. */
 const UNKNOWN_STATE_PENALTY = 0.2;
-/** Added while the agent is not heard. */
-const SILENT_PENALTY = 5;
+/** Load added while the agent is unresponsive. */
+const UNRESPONSIVE_PENALTY = 5;
 
-/** Added while other balancers may not know the agent yet, and could not find its flows. */
-const SETTLING_PENALTY = 5;
+/** Load added while other balancers may not know the agent yet and could not find its flows. */
+const NEW_AGENT_PENALTY = 5;
 
-/** Added for a target all of whose requests fail; part of it for a part of them. */
+/** Load added for a target whose requests all fail; a proportion of it for fewer failures. */
 const FAILURE_PENALTY = 4;
 
-/** Loads closer than this count as equal; balancers then choose differently. */
+/** Loads closer than this count as equal; ties are broken at random. */
 const TIE_MARGIN = 0.1;
 
-/** Mean number of busy requests for each open flow of a service. */
+/** Mean number of busy requests per open flow of a service. */
 function computeBusyPerFlow(entries: readonly AgentEntry[]): number {
   let busy = 0;
   let flows = 0;
@@ -47,7 +47,7 @@
   return flows > 0 ? busy / flows : 0;
 }
 
-/** Milliseconds for which a report says something of the target's queue. */
+/** Milliseconds in which the weight of a reported queue decays to about a third. */
 function computeDecayTime({ answerTime }: ReportMessage): number {
   return REPORT_DECAY_ANSWERS * (answerTime || DEFAULT_ANSWER_TIME_MS);
 }
@@ -59,25 +59,25 @@
   return reports.length > 0 ? busy / reports.length : 0;
 }
 
-/** What the choice depends on of all agents of a service. */
+/** Load figures over all agents of a service. */
 interface ServiceLoad {
-  /** Mean number of busy requests for each open flow. */
+  /** Mean number of busy requests per open flow. */
   readonly busyPerFlow: number;
-  /** Mean number of busy requests at an agent. */
+  /** Mean number of busy requests per agent. */
   readonly meanBusy: number;
-  /** Part of the other balancers that choose among the same agents as this one. */
+  /** Fraction of the other balancers that choose among the same agents as this one. */
   readonly competingShare: number;
 }
 
 /**
- * Busy slots to be expected at an agent's target, for each of its slots.
+ * Expected number of busy slots per slot of an agent's target.
  *
- * Balancers see the same reports and choose alike, so each opening of this balancer that
- * no report shows yet stands for one of every balancer with the same candidates.
+ * Balancers see the same reports and choose alike, so each new flow of this balancer that no report
+ * includes yet stands for one of every balancer with the same candidates.
  */
 function estimateUtilization(
   entry: AgentEntry,
-  { busyPerFlow: perFlow, competingShare: competingShare, meanBusy }: ServiceLoad,
+  { busyPerFlow, competingShare, meanBusy }: ServiceLoad,
   context: SelectionContext,
 ): number {
   const balancers = Math.max(1, (entry.report?.balancerCount ?? 1) * competingShare);
@@ -88,11 +88,11 @@
   const { busyRequests, openFlows, slots } = entry.report;
   const reportWeight = Math.exp(-context.getReportAge(entry) / computeDecayTime(entry.report));
   const queued = meanBusy + (busyRequests - meanBusy) * reportWeight;
-  const busy = queued + openFlows * perFlow + openings;
+  const busy = queued + openFlows * busyPerFlow + openings;
   return busy / (slots || DEFAULT_SLOTS);
 }
 
-/** Load of an agent's target for each of its slots, with what speaks against it; lower is better. */
+/** Load per slot of an agent's target, penalties included; lower is better. */
 function computeLoad(entry: AgentEntry, service: ServiceLoad, context: SelectionContext): number {
   const isCold = entry.report !== undefined && entry.report.coldLeft > 0;
   const isReady = entry.report?.state === TargetState.ready;
@@ -101,12 +101,12 @@
   load += isCold ? COLD_PENALTY : 0;
   load += isReady ? 0 : UNKNOWN_STATE_PENALTY;
   load += (FAILURE_PENALTY * (entry.report?.failurePercent ?? 0)) / 100;
-  load += context.isHeard(entry) ? 0 : SILENT_PENALTY;
-  load += context.isSettling(entry) ? SETTLING_PENALTY : 0;
+  load += context.isHeard(entry) ? 0 : UNRESPONSIVE_PENALTY;
+  load += context.isSettling(entry) ? NEW_AGENT_PENALTY : 0;
   return load;
 }
 
-/** The cost of another zone, in answers of the target. */
+/** Network cost of an agent, in answer times of its target. */
 function computeTransferLoad(entry: AgentEntry, context: SelectionContext): number {
   return context.getTransferCost(entry) / (entry.report?.answerTime || DEFAULT_ANSWER_TIME_MS);
 }
@@ -117,9 +117,9 @@
 }
 
 /**
- * The least loaded of the first agents that take new flows; of twice as many as long as
- * even that one has no slot free. Undefined when none takes any.
- * @param ordered agents in the order that belongs to the flow
+ * Selects the least loaded of the first agents that accept new flows, and doubles their number
+ * while even that one has no free slot. Undefined when none accepts any.
+ * @param ordered agents in the candidate order of the flow
  */
 export function selectLeastLoaded(
   ordered: readonly AgentEntry[],
--- a/src/packets/choice/load-spike-detector.ts
+++ b/src/packets/choice/load-spike-detector.ts
@@ -1,24 +1,24 @@
 /**
- * When an agent tells all balancers at once that its target has become crowded: until its next report
- * each of them would go on placing flows by what it said before, all at the same target.
+ * Decides when an agent reports to all balancers ahead of schedule because load piles up at its
+ * target: until its next report each of them would go on choosing this target by the last one.
  */
 
-/** Requests and flows more than were told, at least: a few more change no choice. */
+/** Minimum rise, in requests plus flows; a smaller one changes no selection. */
 const MINIMUM_RISE = 8;
-/** Part of what was told by which it must have risen. */
+/** Minimum rise relative to the reported load. */
 const RISE_SHARE = 0.25;
-/** Milliseconds between two such reports at least. */
+/** Minimum spacing of such reports. */
 const MINIMUM_REPORT_INTERVAL_MS = 100;
 
-/** The alarm of one agent. */
+/** Load spike detector of one agent. */
 export class LoadSpikeDetector {
   private reportedLoad = 0;
   private reportedAt = -Infinity;
 
   /**
-   * Whether a target has so much more than was told that a report is due; it counts as sent.
-   * @param load its open flows and the requests that are there
-   * @param interval milliseconds in which every balancer has had a usual report
+   * Whether the load is so far above the reported one that a report is due; it counts as sent then.
+   * @param load open flows of the target plus its requests, waiting ones included
+   * @param interval milliseconds in which every balancer has had a regular report
    */
   shouldReport(load: number, now: number, interval: number): boolean {
     const age = now - this.reportedAt;
--- a/src/packets/choice/opening-rates.ts
+++ b/src/packets/choice/opening-rates.ts
@@ -1,6 +1,6 @@
-/** How many new flows of each service this balancer places, in the mean of late. */
+/** Recent mean rate of new flows that this balancer places, by service. */
 
-/** Milliseconds in which the weight of an opening falls to about a third. */
+/** Time in which the weight of a new flow decays to about a third. */
 const DECAY_TIME_MS = 5_000;
 
 interface DecayingCount {
@@ -8,24 +8,24 @@
   readonly at: number;
 }
 
-/** Times that memory after which nothing is left of an opening, or of thousands. */
+/** Decay times after which even thousands of new flows count for nothing. */
 const EXPIRY_DECAY_TIMES = 20;
 
-/** The rates of one balancer: of the services that it has placed flows with of late. */
+/** Rates of the services with which one balancer has recently placed flows. */
 export class OpeningRates {
   private readonly counts = new Map<string, DecayingCount>();
 
-  /** A flow of a service is placed. */
+  /** Records a flow placed with a service. */
   recordOpening(service: string, now: number): void {
     this.counts.set(service, { count: this.getDecayedCount(service, now) + 1, at: now });
   }
 
-  /** New flows in a millisecond; a mean of the first seconds comes out low. */
+  /** New flows per millisecond; too low during the first seconds. */
   getRate(service: string, now: number): number {
     return this.getDecayedCount(service, now) / DECAY_TIME_MS;
   }
 
-  /** Forgets services without openings of late: those of an earlier routing table among them. */
+  /** Drops services without recent flows, such as those of an earlier routing table. */
   expire(now: number): void {
     for (const [service, { at }] of this.counts) {
       if (now - at > DECAY_TIME_MS * EXPIRY_DECAY_TIMES) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Services with openings of late. */
+  /** Number of services with recent flows. */
   get size(): number {
     return this.counts.size;
   }
--- a/src/packets/choice/outlier-ejection.ts
+++ b/src/packets/choice/outlier-ejection.ts
@@ -1,8 +1,8 @@
 /**
- * The targets that this balancer sets aside because they are far worse than their service, and their
- * way back: trials by single flows, then a second in which they count as doubtful.
+ * Ejects targets that are far worse than their service ("set aside" in settings and events). They
+ * return through single trial flows, then a second in which they count as doubtful.
  *
- * Each balancer concludes by itself, from the reports that all of them get; nothing is passed on.
+ * Each balancer decides by itself from the reports that all of them get; nothing is exchanged.
  */
 import { formatEndpoint } from '../../core/endpoint';
 import type { Environment } from '../../environment';
@@ -13,43 +13,43 @@
 import { acceptsNewFlows, type OutlierStatus } from './selection';
 
 /**
- * Comparisons of a service for each report of an agent: every 50 ms with the shortest interval, which
- * is a flow or two of a busy balancer; less often in large fleets, where each has more to compare.
+ * Comparisons of a service per report of an agent: every 50 ms at the shortest interval, in which a
+ * busy balancer places a flow or two; fewer in large fleets, where each has more to compare.
  */
 const COMPARISONS_PER_REPORT = 5;
 /**
- * Milliseconds between two trials of a target by all balancers together: what fails for good spoils
- * one flow a second, and three answers show that it is well again.
+ * Interval between trials of a target by all balancers together: a target that keeps failing
+ * spoils one flow per second, and three answers show that it has recovered.
  */
 const TRIAL_INTERVAL_MS = 1_000;
-/** Milliseconds for which a target that is no longer set aside counts as doubtful. */
+/** Time for which a restored target counts as doubtful. */
 const RESTORED_TIME_MS = 1_000;
 /**
- * Milliseconds for which a target stays set aside whose agent has restarted and knows nothing of it:
- * as long as an agent remembers the latest failures.
+ * Time for which a target stays ejected after its agent has restarted without its history: as long
+ * as an agent remembers recent failures.
  */
 const MAXIMUM_EJECTION_WITHOUT_REPORT_MS = 10_000;
 
-/** A target that is not as usual. */
+/** State of a target that is not usual. */
 type OutlierState =
   | Ejected
-  /** Worse, and not yet for as long as all others need to report what may have befallen them too. */
+  /** Worse, but not yet for as long as all others need to report a cause that affects them too. */
   | Suspected
   | { readonly kind: 'restored'; readonly until: number };
 
 interface Suspected {
   readonly kind: 'suspected';
   readonly since: number;
-  /** Until when it counts as doubtful, since it was set aside before; 0 for one that was usual. */
+  /** End of its time as doubtful after an earlier ejection; 0 for one that was usual. */
   readonly doubtfulUntil: number;
 }
 
 interface Ejected {
   readonly kind: 'setAside';
-  /** When, and by which figure, it was last seen to be worse. */
+  /** Time and reason of the latest confirmation. */
   confirmedAt: number;
   reason: OutlierReason;
-  /** The run of its agent that told so. */
+  /** Incarnation of its agent that reported it. */
   run: number;
   targetChanges: number;
   trialAt: number;
@@ -58,23 +58,23 @@
 const USUAL: OutlierStatus = { kind: 'usual' };
 const RESTORED: OutlierStatus = { kind: 'restored' };
 
-/** What the judgement works with. */
+/** Dependencies of {@link OutlierEjection}. */
 export interface OutlierEjectionDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
-  /** Targets of a service, in percent, that may be set aside at most; 0 for none. */
+  /** Percentage of a service's targets that may be ejected at most; 0 for none. */
   readonly share: number;
 }
 
-/** The judgement of one balancer. */
+/** Outlier ejection of one balancer. */
 export class OutlierEjection {
   private readonly states = new Map<AgentEntry, OutlierState>();
-  /** When each service was last compared. */
+  /** Time of the last comparison, by service. */
   private readonly comparedAt = new Map<string, number>();
 
   constructor(private readonly dependencies: OutlierEjectionDependencies) {}
 
-  /** Targets that are set aside now. */
+  /** Number of ejected targets. */
   get ejectedCount(): number {
     let ejected = 0;
     for (const { kind } of this.states.values()) {
@@ -83,7 +83,7 @@
     return ejected;
   }
 
-  /** Compares the targets of a service, unless it was done a moment ago. */
+  /** Compares the targets of a service unless this was done a moment ago. */
   compareTargets(service: string, now: number): void {
     const { directory, share } = this.dependencies;
     const interval = computeReportInterval(directory.size) / COMPARISONS_PER_REPORT;
@@ -104,7 +104,7 @@
     }
   }
 
-  /** @param mayTry whether a flow is at hand that may be used for a trial */
+  /** @param mayTry whether the flow may be used for a trial */
   getStatus(entry: AgentEntry, mayTry: boolean, now: number): OutlierStatus {
     const state = this.states.get(entry);
     switch (state?.kind) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A flow goes to a target that is set aside: the next trial is due a while later. */
+  /** Records a trial flow and schedules the next trial. */
   recordTrial(entry: AgentEntry, now: number): void {
     const state = this.states.get(entry);
     if (state?.kind === 'setAside') {
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Forgets agents that have left, and what is over. */
+  /** Drops expired states and those of agents that have left. */
   expire(now: number): void {
     const { directory } = this.dependencies;
     this.comparedAt.forEach((at, service) => {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** What is suspected of a silent agent has to be seen anew; `review` ends what is set aside. */
+  /** A suspicion of an unresponsive agent expires; an ejection only ends in `compareTargets`. */
   private isExpired(entry: AgentEntry, state: OutlierState, now: number): boolean {
     switch (state.kind) {
       case 'setAside':
@@ -155,7 +155,7 @@
     }
   }
 
-  /** Another target has taken the place of one that was set aside: it begins as usual. */
+  /** Drops the ejection of a target that another one has replaced. */
   private forgetReplaced(entry: AgentEntry): void {
     const state = this.states.get(entry);
     const { report } = entry;
@@ -172,7 +172,7 @@
     const state = this.states.get(entry);
     const isSetAside = state?.kind === 'setAside';
     const { failurePercent = 0, answerTime = 0, answers = 0, coldLeft = 0 } = entry.report ?? {};
-    const reported = {
+    const reportedMetrics = {
       id: entry,
       failurePercent,
       answerTime,
@@ -181,11 +181,11 @@
       isSetAside,
     };
     return isSetAside && this.hasLostHistory(entry, state, now)
-      ? { ...reported, ...createEjectionMetrics(state.reason) }
-      : reported;
+      ? { ...reportedMetrics, ...createEjectionMetrics(state.reason) }
+      : reportedMetrics;
   }
 
-  /** Whether the agent of a target that was set aside has restarted and has nothing to tell of it. */
+  /** Whether the agent of an ejected target has restarted and lacks answers of it. */
   private hasLostHistory({ report }: AgentEntry, state: Ejected, now: number): boolean {
     const hasRestarted = report !== undefined && report.run !== state.run;
     const knowsTarget = report !== undefined && report.answers >= MINIMUM_ANSWERS;
@@ -264,12 +264,12 @@
   }
 }
 
-/** Milliseconds between two trials of a target by one of the balancers that its agent reports to. */
+/** Milliseconds between trials by one of the balancers that the agent reports to. */
 function computeTrialInterval({ report }: AgentEntry): number {
   return TRIAL_INTERVAL_MS * Math.max(1, report?.balancerCount ?? 1);
 }
 
-/** The figures by which a target was set aside, in place of those that its agent has forgotten. */
+/** The metrics for which a target was ejected, in place of those that its agent has lost. */
 function createEjectionMetrics({
   kind,
   figure,
--- a/src/packets/choice/outliers.ts
+++ b/src/packets/choice/outliers.ts
@@ -1,45 +1,45 @@
 /**
- * Which targets of a service are far worse than the others. A service that is slow or fails as a
- * whole has no such target: each is compared with the median, so load and bad input set nobody aside.
+ * Detects targets that are far worse than the others of their service. Each is compared with the
+ * median, so a service that is slow or fails as a whole, by load or bad input, has no outliers.
  */
 import { computeMedian } from './service-statistics';
 
 /**
- * Points of a hundred by which a target's failures must exceed its service's median: more than a
- * stray failure or two bring with those successes that an agent assumes.
+ * Percentage points by which a target's failures must exceed the median of its service: more than a
+ * stray failure or two add to the successes that an agent assumes.
  */
 const FAILURE_MARGIN_PERCENT = 30;
-/** Part of that margin to which they must have come down again. */
+/** Fraction of that margin below which an ejected target is restored. */
 const RESTORE_MARGIN_SHARE = 0.5;
 /**
- * Times the median that an answer must take: then two requests may wait at any other target and be
- * answered sooner than one at this target while it is idle.
+ * Factor of the median answer time from which a target is slow: any other target then answers
+ * sooner with two requests queued than this one does while idle.
  */
 const SLOW_FACTOR = 3;
-/** Times the median to which it must have come down again. */
+/** Factor of the median below which an ejected target is restored. */
 const RESTORE_SLOW_FACTOR = 2;
-/** Milliseconds by which it must exceed the median besides: less is lost among the ways of packets. */
+/** Minimum excess over the median as well: less is lost in the variation of network latency. */
 export const SLOW_MARGIN_MS = 10;
-/** Answers of late that a time must rest on. */
+/** Recent answers that an answer time must be based on. */
 export const MINIMUM_ANSWERS = 3;
 const PERCENT = 100;
 
-/** What is compared of one target. */
+/** Metrics compared for one target. */
 export interface ComparedTarget<Id> {
   readonly id: Id;
   /** 0 to 100. */
   readonly failurePercent: number;
   /** Milliseconds. */
   readonly answerTime: number;
-  /** Answers of late that this time rests on. */
+  /** Recent answers that the time is based on. */
   readonly answers: number;
-  /** Slow for a while after its start, which is no fault. */
+  /** Whether it is slow after its start, which is no fault. */
   readonly isCold: boolean;
-  /** Set aside so far. */
+  /** Whether it is ejected at present. */
   readonly isSetAside: boolean;
 }
 
-/** Why a target is set aside: its figure and that of its service. */
+/** Why a target is ejected: its value and the median of its service. */
 export interface OutlierReason {
   /** `failing`: percent; `slow`: milliseconds. */
   readonly kind: 'failing' | 'slow';
@@ -50,21 +50,21 @@
 interface Outlier<Id> {
   readonly id: Id;
   readonly reason: OutlierReason;
-  /** How far beyond the service, in margins of its kind; the worst are set aside first. */
+  /** Excess over the median, in margins of its kind; the worst are ejected first. */
   readonly excess: number;
 }
 
 /** Medians of a service. */
 interface Medians {
   readonly failurePercent: number;
-  /** Undefined while too few targets have told their time to compare any. */
+  /** Undefined while too few targets are timed to compare any. */
   readonly answerTime: number | undefined;
 }
 
 /**
- * The targets of one service that are to be set aside, at most a share of all.
- * @param targets those that take new flows and are heard
- * @param share percent of them
+ * Finds the targets of one service to eject, at most a share of all.
+ * @param targets responsive targets that accept new flows
+ * @param share percentage of them
  */
 export function findOutliers<Id>(
   targets: readonly ComparedTarget<Id>[],
--- a/src/packets/choice/persistent-flows.ts
+++ b/src/packets/choice/persistent-flows.ts
@@ -1,67 +1,66 @@
 /**
- * How long the later requests of a flow wait at a target. A flow that is kept for several requests
- * cannot be moved, and between them it leaves no trace in a target's queue: by their queues all targets
- * look idle while many such flows open. So it goes by the flows that a target has, as a share of
- * what the target can do.
+ * Estimates how long the later requests of a persistent flow wait at a target. Such a flow cannot
+ * be moved, and between requests it does not show in the target's queue: while many of them open,
+ * all targets look idle. So targets are compared by open flows relative to their capacity.
  */
 import type { AgentEntry } from '../agent-directory';
 import { computeWaterLevel } from './water-filling';
 import { getSlots, estimateLongTermAnswerTime, type ServiceStatistics } from './service-statistics';
 
 /**
- * Part of its time for which a service is taken to be busy at least. Flows that open before any request
- * are spread by it; and below it nobody waits, so that a target keeps its part of new flows whatever
- * clients have left open there.
+ * Minimum utilization assumed of a service. Flows that open before any request are spread by it.
+ * Below it nothing waits, so a target keeps its share of new flows whatever clients have left open
+ * there.
  */
 const MINIMUM_UTILIZATION = 0.1;
-/** Flows of a target, in the mean, below which their number says little of its use. */
+/** Mean flows per target below which their number says little about utilization. */
 const PRIOR_FLOWS = 10;
-/** Use beyond which the wait is taken to rise evenly: a target that is overloaded has no steady one. */
+/** Utilization beyond which the wait rises linearly: an overloaded target has no steady state. */
 const MAXIMUM_STEADY_UTILIZATION = 0.9;
 
-/** What decides between targets for a flow that stays. */
+/** Parameters of the placement of a persistent flow. */
 export interface PersistentFlowContext {
-  /** Requests that the flow is expected to carry; 1 for one that ends with its first. */
+  /** Expected number of requests of the flow; 1 for one that ends with its first. */
   readonly requestsPerFlow: number;
-  /** Other balancers that place flows among the same targets. */
+  /** Number of other balancers that place flows among the same targets. */
   readonly competitors: number;
 }
 
-/** One target with the flows that it has for what it can do. */
+/** One target with its flows relative to its capacity. */
 interface PersistentLoad {
   readonly entry: AgentEntry;
-  /** Requests that it answers in a millisecond. */
+  /** Requests served per millisecond. */
   readonly capacity: number;
-  /** Flows that its report shows, for each unit of its capacity. */
+  /** Reported flows per unit of capacity. */
   readonly level: number;
-  /** Flows that this balancer has opened there since, for each unit of its capacity. */
-  readonly own: number;
+  /** Flows opened there by this balancer since the report, per unit of capacity. */
+  readonly ownLevel: number;
 }
 
-/** Milliseconds for which the later requests of a flow wait, all together, by agent. */
+/** Total wait of the later requests of a flow in milliseconds, by agent. */
 export type LaterWaits = ReadonlyMap<AgentEntry, number>;
 
 const NO_WAITS: LaterWaits = new Map();
 
 /**
- * What the later requests of a flow wait at each candidate; nothing where it has one request. The wait is that
- * at a target of mean capacity: by its own, quick targets would be filled until they are no quicker.
+ * Estimates the wait of a flow's later requests at each candidate; empty where it has one request.
+ * Computed for mean capacity: by their own, fast targets would be filled until they are no faster.
  */
 export function estimateLaterWaits(
   candidates: readonly AgentEntry[],
   statistics: ServiceStatistics,
-  { requestsPerFlow, competitors: competitors }: PersistentFlowContext,
+  { requestsPerFlow, competitors }: PersistentFlowContext,
 ): LaterWaits {
   if (requestsPerFlow <= 1) {
     return NO_WAITS;
   }
   const loads = candidates.map((entry) => computeLoad(entry, statistics));
-  const opened = loads.reduce((sum, { capacity, own }) => sum + capacity * own, 0);
+  const opened = loads.reduce((sum, { capacity, ownLevel }) => sum + capacity * ownLevel, 0);
   const waterLevel = computeWaterLevel(
     loads.map(({ level, capacity }) => ({ level, width: capacity })),
     opened * competitors,
   );
-  const levels = loads.map(({ level, own }) => Math.max(level, waterLevel) + own);
+  const levels = loads.map(({ level, ownLevel }) => Math.max(level, waterLevel) + ownLevel);
   const mean = computeMeanLevel(loads, levels);
   const total = loads.reduce((sum, { capacity }) => sum + capacity, 0);
   const priorLevel = (PRIOR_FLOWS * loads.length) / total;
@@ -78,7 +77,7 @@
   );
 }
 
-/** Requests that wait in the mean before one at a target that is busy for a part of its time. */
+/** Mean number of requests ahead of a new one at a target of some utilization (M/M/1 queue). */
 export function estimateQueueLength(utilization: number): number {
   const steady = Math.min(utilization, MAXIMUM_STEADY_UTILIZATION);
   const slope = 1 / (1 - MAXIMUM_STEADY_UTILIZATION) ** 2;
@@ -89,13 +88,13 @@
   const { report, recentFlows } = entry;
   const slots = getSlots(entry);
   const capacity = slots / estimateLongTermAnswerTime(entry, statistics);
-  // Flows whose first request waits for a slot are not yet known to be open.
+  // Flows whose first request waits for a slot are not yet counted as open.
   const waiting = Math.max(0, (report?.busyRequests ?? 0) - slots);
   const flows = (report?.openFlows ?? 0) + waiting;
-  return { entry, capacity, level: flows / capacity, own: recentFlows.length / capacity };
+  return { entry, capacity, level: flows / capacity, ownLevel: recentFlows.length / capacity };
 }
 
-/** The level at which all candidates would be equally loaded, one more flow included. */
+/** The level at which all candidates are equally loaded, one more flow at each included. */
 function computeMeanLevel(loads: readonly PersistentLoad[], levels: readonly number[]): number {
   let flows = 0;
   let capacity = 0;
--- a/src/packets/choice/route-request-statistics.ts
+++ b/src/packets/choice/route-request-statistics.ts
@@ -1,54 +1,54 @@
 /**
- * How many requests a flow of each route carries, as this balancer sees them pass.
+ * Estimates the requests per flow of each route from the packets that pass this balancer.
  *
- * Flows that are open tell only what they have had so far, so flows are counted when they end, and
- * requests after the first as they come: a route whose flows stay open is known by the second request
- * of its first flows, long before any of them ends.
+ * An open flow shows only the requests it has had so far, so flows are counted when they end, and
+ * requests after the first as they arrive. A route of persistent flows is thus recognized by the
+ * second request of its first flows, long before any of them ends.
  */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket } from '../flow-packet';
 import { computeDistance } from '../repair/sequence-numbers';
 
-/** Milliseconds in which the weight of what was seen falls to about a third. */
+/** Time in which the weight of an observation decays to about a third. */
 const DECAY_TIME_MS = 30_000;
-/** Requests of a flow assumed of a route that has not been seen. */
+/** Prior estimate of requests per flow, for a route without observations. */
 const ASSUMED_REQUESTS = 2;
-/** Ended flows in whose place that assumption stands. */
+/** Weight of the prior estimate, in ended flows. */
 const ASSUMED_FLOWS = 5;
-/** Below it a route's flows carry one request each, but for chance. */
+/** Below it a route counts as having one request per flow; the rest is noise. */
 const SINGLE_REQUEST_LIMIT = 1.2;
-/** Beyond it a flow is kept for good, as far as its placement goes. */
+/** Upper bound: for its placement, a flow with more requests counts as permanent. */
 const MAXIMUM_REQUESTS = 20;
-/** Memories after which nothing is left of what was seen. */
+/** Decay times after which a route without packets is forgotten. */
 const EXPIRY_DECAY_TIMES = 10;
 
-/** The requests of one flow. */
+/** Request count of one flow. */
 export interface FlowRequestCount {
   requests: number;
-  /** Sequence number of the latest one, to tell repeats; undefined before the first. */
+  /** Sequence number of the latest one, to detect retransmissions; undefined before the first. */
   lastSequence: number | undefined;
   hasEnded: boolean;
 }
 
-/** Begins the count of a flow. */
+/** Creates the count of a new flow. */
 export function createFlowRequestCount(): FlowRequestCount {
   return { requests: 0, lastSequence: undefined, hasEnded: false };
 }
 
 interface DecayingCounts {
   readonly endedFlows: number;
-  /** Requests after the first of their flows. */
+  /** Requests other than the first of their flow. */
   readonly laterRequests: number;
   readonly at: number;
 }
 
 const NO_COUNTS: DecayingCounts = { endedFlows: 0, laterRequests: 0, at: 0 };
 
-/** The routes of one balancer, by their destinations. */
+/** Request statistics of one balancer, by the route's destination. */
 export class RouteRequestStatistics {
   private readonly counts = new Map<Endpoint, DecayingCounts>();
 
-  /** A client's packet of an open flow passes. */
+  /** Records a client's packet of an open flow. */
   recordPacket(packet: FlowPacket, flow: FlowRequestCount, now: number): void {
     if (completesRequest(packet, flow)) {
       flow.requests++;
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Requests that a flow of a route carries in the mean; 1 where flows are opened for each. */
+  /** Mean number of requests per flow of a route; 1 where each request opens a flow. */
   estimateRequestsPerFlow(destination: Endpoint, now: number): number {
     const { endedFlows, laterRequests } = this.getDecayedCounts(destination, now);
     const later = ASSUMED_FLOWS * (ASSUMED_REQUESTS - 1) + laterRequests;
@@ -69,7 +69,7 @@
     return requests < SINGLE_REQUEST_LIMIT ? 1 : Math.min(requests, MAXIMUM_REQUESTS);
   }
 
-  /** Forgets routes without packets of late. */
+  /** Drops routes without recent packets. */
   expire(now: number): void {
     for (const [destination, { at }] of this.counts) {
       if (now - at > DECAY_TIME_MS * EXPIRY_DECAY_TIMES) {
--- a/src/packets/choice/selection.ts
+++ b/src/packets/choice/selection.ts
@@ -1,75 +1,72 @@
-/** What the choice of an agent for a new flow depends on, and what comes of it. */
+/** Inputs and result of the selection of an agent for a new flow. */
 import type { AgentEntry } from '../agent-directory';
 import { TargetState } from '../packet-messages';
 
-/**
- * How far a target may be relied upon, best first; a worse class is no matter of milliseconds, so
- * it is compared before any time.
- */
+/** How reliable a target is, best first; classes are compared before any answer time. */
 export const PlacementClass = {
   /**
-   * Heard, and as good as its service. Also one of which its agent has had no heartbeat yet: after
-   * all agents have restarted, the first that has one would else draw every flow.
+   * Its agent reports and it is no outlier. Includes an agent without a heartbeat of its target:
+   * after a restart of all agents, the first that has one would otherwise attract every flow.
    */
   healthy: 0,
-  /** Nothing speaks against it, and too little is known: its agent is new, or it was just restored. */
+  /** Too little is known: its agent is new, or its ejection has just ended. */
   doubtful: 1,
-  /** Its agent is silent, or it is set aside ({@link OutlierStatus}). */
+  /** Its agent is unresponsive, or it is ejected ({@link OutlierStatus}). */
   lastResort: 2,
 } as const;
 export type PlacementClassValue = (typeof PlacementClass)[keyof typeof PlacementClass];
 
-/** How a target stands in comparison with its service. */
+/** Status of a target in outlier ejection. */
 export type OutlierStatus =
   | { readonly kind: 'usual' }
-  /** It fails or is slow where its service does not; a trial may be due. */
+  /** Ejected: it fails or is slow where its service does not; a trial may be due. */
   | { readonly kind: 'setAside'; readonly isTrialDue: boolean }
-  /** It was set aside until a moment ago. */
+  /** Its ejection ended a moment ago. */
   | { readonly kind: 'restored' };
 
-/** What the choice depends on besides the agents. */
+/** Inputs of the selection besides the agents. */
 export interface SelectionContext {
-  /** Milliseconds, by the clock of `AgentEntry.recentOpenings`. */
+  /** Milliseconds, on the clock of `AgentEntry.recentOpenings`. */
   readonly now: number;
-  /** Whether the expected time of an answer decides; else the least load does. */
+  /** Whether the expected answer time decides; otherwise the lowest load does. */
   readonly usesExpectedWait: boolean;
-  /** New flows that this balancer places with the service in a millisecond, in the mean of late. */
+  /** Recent mean of new flows per millisecond that this balancer places with the service. */
   readonly openingRate: number;
-  /** Requests that the flow is expected to carry; 1 for one that ends with its first. */
+  /** Expected number of requests of the flow; 1 for one that ends with its first. */
   readonly requestsPerFlow: number;
-  /** Part of the other balancers that place among the same agents, 0 to 1. */
+  /** Fraction of the other balancers that place flows among the same agents, 0 to 1. */
   readonly competingShare: number;
   isHeard(entry: AgentEntry): boolean;
   /** Milliseconds since an agent's latest report. */
   getReportAge(entry: AgentEntry): number;
   /** Whether the agent is so new that other balancers may not know it. */
   isSettling(entry: AgentEntry): boolean;
-  /** Milliseconds that a flow to an agent costs on the way; at home too where an agent is in doubt. */
+  /** Network cost of a flow in milliseconds; not 0 at home either where the agent is in doubt. */
   getTransferCost(entry: AgentEntry): number;
   getOutlierStatus(entry: AgentEntry): OutlierStatus;
   /** Uniform in [0, 1). */
   random(): number;
 }
 
-/** The agent that a new flow goes to. */
+/** The agent selected for a new flow. */
 export interface Choice {
   readonly entry: AgentEntry;
   readonly placementClass: PlacementClassValue;
-  /** Whether the flow goes to a target that is set aside, to see how it does. */
+  /** Whether the flow is a trial of an ejected target. */
   readonly isTrial: boolean;
-  /** Milliseconds until its answer, the way there and back included; 0 where load decides. */
+  /** Expected milliseconds to its answer, round trip included; 0 where load decides. */
   readonly expectedTime: number;
-  /** The same by its report alone, without what has been sent there since; 0 where load decides. */
+  /** The same by the report alone, without flows sent since; 0 where load decides. */
   readonly reportedTime: number;
 }
 
-/** Whether an agent may be offered a new flow. */
+/** Whether an agent accepts new flows. */
 export function acceptsNewFlows(entry: AgentEntry): boolean {
   const state = entry.report?.state ?? TargetState.unknown;
   return state === TargetState.ready || state === TargetState.unknown;
 }
 
-/** How far the target of an agent that takes new flows may be relied upon. */
+/** The placement class of an agent that accepts new flows. */
 export function getPlacementClass(
   entry: AgentEntry,
   context: SelectionContext,
--- a/src/packets/choice/service-statistics.ts
+++ b/src/packets/choice/service-statistics.ts
@@ -1,62 +1,62 @@
-/** What the reports of all agents of a service say together, by which each of them is judged. */
+/** Statistics of a service over the reports of all its agents, to compare each target with. */
 import type { AgentEntry } from '../agent-directory';
 
-/** Milliseconds of an answer assumed where no target has told it. */
+/** Answer time assumed while no target has reported one. */
 export const DEFAULT_ANSWER_TIME_MS = 50;
-/** Slots assumed for a target that has not said how many it has. */
+/** Slots assumed for a target that has not reported their number. */
 export const DEFAULT_SLOTS = 4;
 /**
- * Answers of a target for which the service's own figure counts beside them: one answer that takes
- * long moves the estimate half of the way.
+ * Weight of the service's median in a short-term estimate, in answers of the target: a single slow
+ * answer moves the estimate half of the way.
  */
 const SHORT_TERM_PRIOR_ANSWERS = 1;
 /**
- * The same where a difference counts for long: the mean of so many answers, whose times spread as
- * widely as they are long, is off by a third of it.
+ * The same in a long-term estimate: the mean of so many answer times, whose standard deviation
+ * equals their mean, is off by a third.
  */
 const LONG_TERM_PRIOR_ANSWERS = 10;
 /**
- * Times the median within which targets count as equally fast. All balancers hear the same figures,
- * so each would send its flows to whichever target has lately had some easy requests.
+ * Targets within this factor of the median count as equally fast: all balancers see the same
+ * reports, and would all prefer a target that has recently had some easy requests.
  */
 const EQUAL_SPEED_FACTOR = 1.5;
 /**
- * Times the median, and the slots, beyond which a target's queue is its own: in a service that is busy for
- * three quarters of its time one queue in a hundred is as long by chance.
+ * Factor of the median plus the slots beyond which a long queue is particular to its target: in a
+ * service at 75% utilization one queue in a hundred is as long by chance.
  */
 const LONG_QUEUE_FACTOR = 3;
-/** A target that has not been timed is taken to be as slow as the quicker of the slowest quarter. */
+/** Quantile of the answer times that is assumed for a target without one. */
 const UNTIMED_QUANTILE = 0.75;
 
-/** The state of one service as this balancer knows it. */
+/** Statistics of one service as known to this balancer. */
 export interface ServiceStatistics {
-  /** Median time of an answer, in milliseconds. */
+  /** Median answer time in milliseconds. */
   readonly answerTime: number;
   /**
-   * Number of requests to be expected at an agent of which nothing recent is known, waiting ones included:
-   * the mean, in which a few targets with long queues count for no more than they tell of the others.
+   * Requests expected at an agent without a recent report, waiting ones included: the mean, with
+   * long queues capped since they say little about other targets.
    */
   readonly typicalBusyRequests: number;
-  /** Milliseconds that a request waits in the mean. */
+  /** Mean queueing time in milliseconds. */
   readonly meanWait: number;
   /**
-   * Milliseconds of an answer assumed at a target that has not been timed: those of the slower quarter
-   * of the others, or the median while most have not been timed either.
+   * Answer time in milliseconds assumed for a target without one: the upper quartile of the others,
+   * or the median while most have none.
    */
   readonly untimedAnswerTime: number;
-  /** Part of its slots that the service has in use, 0 to 1. */
+  /** Fraction of the service's slots in use, 0 to 1. */
   readonly utilization: number;
-  /** Mean number of open flows at an agent. */
+  /** Mean number of open flows per agent. */
   readonly meanOpenFlows: number;
-  /** Milliseconds for which a flow stays open in the mean; infinite while no openings are known. */
+  /** Mean lifetime of a flow in milliseconds; infinite while no new flows are known. */
   readonly meanFlowLifetime: number;
   /** Balancers that agents report to, this one included. */
   readonly balancers: number;
 }
 
 /**
- * The outlook by the reports of some agents that take new flows.
- * @param openingRate new flows that this balancer places with them in a millisecond
+ * Computes the statistics from the reports of agents that accept new flows.
+ * @param openingRate new flows per millisecond that this balancer places with them
  */
 export function computeServiceStatistics(
   entries: readonly AgentEntry[],
@@ -95,23 +95,23 @@
     utilization: slots > 0 ? slotsInUse / slots : 0,
     typicalBusyRequests: computeTypicalBusyRequests(busyCounts, slots / Math.max(1, agents)),
     meanOpenFlows: flows / Math.max(1, agents),
-    // Little's law: as many are open as begin in the time for which one stays open.
+    // Little's law: open flows equal the rate of new flows times their lifetime.
     meanFlowLifetime: openingRate > 0 ? flows / (openingRate * balancers) : Infinity,
     balancers,
   };
 }
 
 /**
- * Milliseconds of an answer at one target: the fewer answers it has given of late, the more the
- * service's median counts. So a slow target that gets no flows is tried again after a while.
+ * Estimates the answer time of a target in milliseconds. The fewer recent answers it has, the more
+ * the service's median counts, so a slow target without flows is tried again after a while.
  */
 export function estimateAnswerTime(entry: AgentEntry, statistics: ServiceStatistics): number {
   return blendWithServiceMedian(entry, statistics, SHORT_TERM_PRIOR_ANSWERS);
 }
 
 /**
- * The same as far as it is sure: what a target does for hours to come is not to be judged by its first
- * few answers, which differ by far more than targets do.
+ * Estimates the answer time in milliseconds for decisions that last for hours: the first few
+ * answers vary by far more than targets do, so they weigh less.
  */
 export function estimateLongTermAnswerTime(
   entry: AgentEntry,
@@ -123,7 +123,7 @@
     : statistics.untimedAnswerTime;
 }
 
-/** @param priorAnswers answers by which the service's own figure counts beside the target's */
+/** @param priorAnswers weight of the service's median, in answers of the target */
 function blendWithServiceMedian(
   entry: AgentEntry,
   statistics: ServiceStatistics,
@@ -139,7 +139,7 @@
     : expected;
 }
 
-/** Requests that a target works on at a time. */
+/** Number of requests that a target serves concurrently. */
 export function getSlots(entry: AgentEntry): number {
   return entry.report?.slots || DEFAULT_SLOTS;
 }
@@ -150,12 +150,12 @@
   return sum / Math.max(1, counts.length);
 }
 
-/** The lower median, so that half of a service is never judged by its worse half. */
+/** The lower median, so that a service is never judged by its worse half. */
 export function computeMedian(values: readonly number[]): number | undefined {
   return computeQuantile(values, 0.5);
 }
 
-/** The lower of the values that a part of them, 0 to 1, does not exceed; undefined without any. */
+/** The lower quantile of some values, by a fraction of 0 to 1; undefined without any. */
 function computeQuantile(values: readonly number[], fraction: number): number | undefined {
   const sorted = Float64Array.from(values).sort();
   return sorted[Math.floor((sorted.length - 1) * fraction)];
--- a/src/packets/choice/service-time-tracker.ts
+++ b/src/packets/choice/service-time-tracker.ts
@@ -1,19 +1,19 @@
 /**
- * How long a target works on each request, without the time for which the request waits inside the
- * target: one begins at once while a slot is free, and else when an earlier one ends.
+ * Measures the service time of each request, without the time it is queued inside the target:
+ * service begins at once while a slot is free, and otherwise when an earlier request ends.
  */
 
-/** Requests of one target, by what identifies them. */
+/** Requests of one target, by an identifying key. */
 export class ServiceTimeTracker<Key> {
-  /** When the target began with each request that has a slot, longest ago first. */
+  /** Start of service of each request that has a slot, oldest first. */
   private readonly startedAt = new Map<Key, number>();
-  /** Requests that wait for a slot, in their order. */
+  /** Requests queued for a slot, in order. */
   private readonly waiting = new Set<Key>();
 
-  /** @param slots requests that the target works on at a time; 0 while unknown */
-  constructor(private readonly slots: () => number) {}
+  /** @param getSlots number of requests served concurrently; 0 while unknown */
+  constructor(private readonly getSlots: () => number) {}
 
-  /** The target has got a request. */
+  /** Records a request that was delivered to the target. */
   startRequest(key: Key, now: number): void {
     if (this.hasFreeSlot) {
       this.startedAt.set(key, now);
@@ -22,7 +22,7 @@
     }
   }
 
-  /** A request has ended: the one that has waited longest begins. */
+  /** Records the end of a request; the one queued longest takes its slot. */
   endRequest(key: Key, now: number): void {
     this.startedAt.delete(key);
     this.waiting.delete(key);
@@ -35,13 +35,13 @@
     }
   }
 
-  /** Milliseconds of work on a request; undefined for one that waits, or is not there. */
+  /** Milliseconds of service so far; undefined for a queued or unknown request. */
   getServiceTime(key: Key, now: number): number | undefined {
     const startedAt = this.startedAt.get(key);
     return startedAt === undefined ? undefined : now - startedAt;
   }
 
-  /** Milliseconds of work on the request that has a slot for longest; 0 for none. */
+  /** Milliseconds for which the oldest request in service has had its slot; 0 for none. */
   getLongestServiceTime(now: number): number {
     for (const startedAt of this.startedAt.values()) {
       return now - startedAt;
@@ -55,7 +55,7 @@
   }
 
   private get hasFreeSlot(): boolean {
-    const slots = this.slots();
+    const slots = this.getSlots();
     return slots === 0 || this.startedAt.size < slots;
   }
 }
--- a/src/packets/choice/water-filling.ts
+++ b/src/packets/choice/water-filling.ts
@@ -1,15 +1,15 @@
-/** Where load goes that others place by the same figures: to the lowest levels first. */
+/** Water-filling: distributes load over bins, lowest level first. */
 
-/** One place that load goes to. */
+/** A bin that takes load. */
 export interface FillableBin {
   readonly level: number;
-  /** Load that raises its level by one. */
+  /** Load that raises the level by one. */
   readonly width: number;
 }
 
 /**
- * The level up to which places are filled once some load has been poured over the lowest of them; 0
- * without places or load.
+ * Computes the level to which the lowest bins are filled once the load is distributed; 0 without
+ * bins or load.
  */
 export function computeWaterLevel(bins: readonly FillableBin[], load: number): number {
   const sortedBins = [...bins].sort((one, other) => one.level - other.level);
