--- a/src/packets/admission/opening-admission.ts
+++ b/src/packets/admission/opening-admission.ts
@@ -1,60 +1,60 @@
 /**
- * Whether a new flow is let in while its service has more to do than it can.
+ * Admission control for new flows of an overloaded service.
  *
- * The load that it answers: callers ask, for seconds on end, for more than all targets can do, so that
- * even at the best one a request would wait until its caller has given up. Only an opening can be
- * refused in truth: nothing of it has run. What merely comes late is let in, and the most urgent
- * route of a service always is, since its requests go first at the targets.
+ * It handles sustained demand beyond the capacity of all targets, where even at the best one a
+ * request would wait past its caller's deadline. Only a new flow can be refused safely: nothing of
+ * it has run. Requests that are merely late are admitted, and so is always the most urgent route of
+ * a service, whose requests go first at the targets.
  */
 import type { Endpoint } from '../../environment';
 
 /**
- * Part of a deadline to which the wait has to fall before a route is let in again: without it the
- * reports of the first empty line would let all callers back in at once.
+ * Fraction of the deadline to which the wait must fall before a route is admitted again: otherwise
+ * the first reports of an empty queue would admit all callers at once.
  */
 const READMISSION_DEADLINE_SHARE = 0.8;
 const CREDITS_PER_OPENING = 100;
 
-/** One opening, with what is known when it comes. */
+/** A new flow with what is known on its arrival. */
 export interface OpeningRequest {
   readonly destination: Endpoint;
-  /** Milliseconds until its first answer at the best target, as reports show. */
+  /** Milliseconds to its first answer at the best target, as of the reports. */
   readonly expectedTime: number;
   /** Milliseconds after which its caller gives up; 0 when unknown. */
   readonly deadline: number;
-  /** A route of the same service is more urgent. */
+  /** Whether another route of the same service is more urgent. */
   readonly isLessUrgent: boolean;
 }
 
-/** A route whose openings are refused now. */
+/** A route whose new flows are refused at present. */
 interface RejectedRoute {
-  /** Hundredths of an opening that the route has coming of its kept share. */
+  /** Credit of the route's guaranteed share, in hundredths of a flow. */
   credit: number;
 }
 
-/** The admission of one balancer; each concludes by itself from the reports that all hear. */
+/** Admission control of one balancer; each decides by itself from the reports that all get. */
 export class OpeningAdmission {
-  private readonly closed = new Map<Endpoint, RejectedRoute>();
+  private readonly rejectedRoutes = new Map<Endpoint, RejectedRoute>();
 
-  /** @param keptShare openings in a hundred that are let in all the same, so that no route starves */
+  /** @param keptShare percentage of new flows admitted in any case, so that no route starves */
   constructor(private readonly keptShare: number) {}
 
-  /** Routes whose openings are refused now. */
+  /** Number of routes whose new flows are refused at present. */
   get rejectedRouteCount(): number {
-    return this.closed.size;
+    return this.rejectedRoutes.size;
   }
 
-  /** Whether an opening is let in; counts as decided. */
+  /** Whether a new flow is admitted; updates the state of its route. */
   admit(request: OpeningRequest): boolean {
     const { destination } = request;
-    const route = this.closed.get(destination);
+    const route = this.rejectedRoutes.get(destination);
     if (!missesDeadline(request, route !== undefined)) {
-      this.closed.delete(destination);
+      this.rejectedRoutes.delete(destination);
       return true;
     }
     const rejected = route ?? { credit: 0 };
     rejected.credit += this.keptShare;
-    this.closed.set(destination, rejected);
+    this.rejectedRoutes.set(destination, rejected);
     if (rejected.credit < CREDITS_PER_OPENING) {
       return false;
     }
@@ -62,13 +62,13 @@
     return true;
   }
 
-  /** Another routing table is in force: routes that it lacks are forgotten with the others. */
+  /** Clears all state, since another routing table is active. */
   reset(): void {
-    this.closed.clear();
+    this.rejectedRoutes.clear();
   }
 }
 
-/** Whether a request would be answered only after its caller has given up. */
+/** Whether a request would be answered only after its caller's deadline. */
 function missesDeadline(request: OpeningRequest, isRejected: boolean): boolean {
   const { deadline, expectedTime, isLessUrgent } = request;
   const limit = isRejected ? deadline * READMISSION_DEADLINE_SHARE : deadline;
--- a/src/packets/queue/priority-shares.ts
+++ b/src/packets/queue/priority-shares.ts
@@ -1,23 +1,23 @@
 /**
- * Which priority's turn it is where requests of several wait: the most urgent one's, but for a share
- * of the turns that each lower priority keeps, so that none waits for ever behind a more urgent one
+ * Schedules priorities that have waiting requests: the most urgent one first, except for a
+ * guaranteed share of the turns for each lower one, so that none starves behind a more urgent one
  * that always has work.
  */
 
-/** Credit of a whole turn: shares are in hundredths, and whole numbers add up exactly. */
+/** Credit that one turn costs: shares are in percent, and integers add up exactly. */
 const CREDITS_PER_TURN = 100;
 
-/** The shares of the priorities of one queue. */
+/** Scheduler of the priorities of one queue. */
 export class PriorityShares {
-  /** Hundredths of a turn that each lower priority has coming, while it waits. */
+  /** Credit of each lower priority while it waits, in hundredths of a turn. */
   private readonly credits = new Map<number, number>();
 
-  /** @param sharePercent turns in a hundred that each lower priority keeps */
+  /** @param sharePercent percentage of turns guaranteed to each lower priority */
   constructor(private readonly sharePercent: number) {}
 
   /**
-   * The priority whose turn it is.
-   * @param waiting priorities of which requests wait, the most urgent first; at least one
+   * Selects the priority to serve next.
+   * @param waiting priorities with waiting requests, the most urgent first; at least one
    */
   selectPriority(waiting: readonly number[]): number {
     const [first, ...lower] = waiting;
@@ -37,7 +37,7 @@
     return this.credits.get(priority) ?? 0;
   }
 
-  /** A priority that does not wait behind another saves nothing up. */
+  /** Resets the credit of priorities that do not wait behind another one. */
   private resetIdleCredits(lower: readonly number[]): void {
     for (const priority of this.credits.keys()) {
       if (!lower.includes(priority)) {
--- a/src/packets/queue/request-order.ts
+++ b/src/packets/queue/request-order.ts
@@ -1,19 +1,19 @@
-/** The order in which requests of one priority leave a queue. */
+/** Scheduling order of the requests of one priority. */
 
-/** What the order goes by. */
+/** Scheduling parameters of a request. */
 export interface QueuedRequest {
-  /** Time at which its first copy came. */
+  /** Arrival time of its first transmission. */
   readonly since: number;
   /** Milliseconds after which its caller gives up; 0 when unknown. */
   readonly deadline: number;
-  /** Milliseconds of waiting after which it is most likely answered late. */
+  /** Milliseconds of waiting after which its answer is most likely late. */
   readonly patience: number;
 }
 
 /**
- * The request whose turn it is: of those that can still be answered in time the one that is late
- * first; only when there is none, the newest of the others, which is least late (in the manner of
- * adaptive LIFO; B. Maurer, "Fail at Scale", ACM Queue 13/8, 2015).
+ * Selects the next request: of those that can still be answered in time the one due first, and
+ * without any the newest of the others, which is least late (similar to adaptive LIFO; B. Maurer,
+ * "Fail at Scale", ACM Queue 13/8, 2015).
  */
 export function selectNext<T extends QueuedRequest>(
   requests: Iterable<T>,
@@ -31,7 +31,7 @@
   return firstDue ?? newest;
 }
 
-/** Whether the caller has given up on a request: work on it would serve nobody. */
+/** Whether the caller's deadline has passed, so that serving the request is wasted work. */
 export function isPastDeadline({ since, deadline }: QueuedRequest, now: number): boolean {
   return deadline > 0 && now - since > deadline;
 }
--- a/src/packets/queue/request-queue.ts
+++ b/src/packets/queue/request-queue.ts
@@ -1,10 +1,10 @@
 /**
- * Requests that wait at the agent while its target works on as many as it can.
+ * Queues requests at the agent while its target is at its concurrency limit.
  *
- * A target serves what it has in order. When more comes than it can do, its own queue makes
- * every request late, the urgent ones and those that come last included. Here the more urgent
- * priority goes first, and within one the order follows what can still be answered in time. What is
- * late already comes when nothing else waits, unless its client has left or its caller has given up.
+ * A target serves its requests in order, so under overload its own queue delays all of them, the
+ * urgent and the latest ones included. Here the more urgent priority goes first, and within one the
+ * order follows what can still be answered in time. Late requests are served when nothing else
+ * waits, unless their client has left or their caller's deadline has passed.
  */
 import type { Endpoint } from '../../environment';
 import type { FlowKey, FlowPacket } from '../flow-packet';
@@ -12,38 +12,38 @@
 import { PriorityShares } from './priority-shares';
 import { selectNext, isPastDeadline, type QueuedRequest } from './request-order';
 
-/** Requests that wait at once; the oldest is handed over out of turn beyond that. */
+/** Maximum number of waiting requests; beyond it the oldest is delivered out of order. */
 const MAXIMUM_WAITING = 2_000;
-/** Milliseconds after the last copy of a packet at which its client has left: it repeats sooner. */
+/** Silence after which a client counts as gone: it would have retransmitted by then. */
 const CLIENT_TIMEOUT_MS = 2_500;
 
-/** A request that waits. */
+/** A waiting request. */
 export interface WaitingRequest {
   readonly packet: FlowPacket;
   readonly balancer: Endpoint;
   /** The search that the packet belongs to; 0 for none. */
   readonly searchId: number;
   readonly terms: RouteTerms;
-  /** Time at which its first copy came. */
+  /** Arrival time of its first transmission. */
   readonly since: number;
-  /** Time at which its latest copy came. */
+  /** Arrival time of its latest transmission. */
   readonly seenAt: number;
 }
 
-/** A waiting request as the order of turns sees it. */
+/** A waiting request with its scheduling parameters. */
 interface SchedulableRequest extends QueuedRequest {
   readonly request: WaitingRequest;
 }
 
-/** Milliseconds of waiting after which a request of some terms is taken to be late. */
+/** Returns the milliseconds of waiting after which a request of some terms counts as late. */
 export type WaitLimitReader = (terms: RouteTerms) => number;
 
-/** Waiting requests of one target, in the order in which they came. */
+/** Waiting requests of one target, in order of arrival. */
 export class RequestQueue {
   private readonly waiting = new Map<FlowKey, WaitingRequest>();
   private readonly shares: PriorityShares;
 
-  /** @param lowerShare turns in a hundred that each lower priority keeps */
+  /** @param lowerShare percentage of turns guaranteed to each lower priority */
   constructor(lowerShare: number) {
     this.shares = new PriorityShares(lowerShare);
   }
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Adds a request, or a later copy of it, which keeps its place.
-   * @returns the request that must not wait any longer since there are too many, if any
+   * Adds a request, or a retransmission of it, which keeps its position.
+   * @returns the request to deliver now because the queue is full, if any
    */
   add(request: WaitingRequest): WaitingRequest | undefined {
     const { flow } = request.packet;
@@ -64,12 +64,12 @@
     return this.waiting.size > MAXIMUM_WAITING ? this.takeOldest() : undefined;
   }
 
-  /** A request no longer waits: its flow has ended, or it was handed over. */
+  /** Removes a request whose flow has ended or that was delivered. */
   remove(flow: FlowKey): void {
     this.waiting.delete(flow);
   }
 
-  /** Takes the request whose turn it is; one that its caller has given up on has none. */
+  /** Takes the next request to serve; those past their deadline are skipped. */
   take(now: number, getWaitLimit: WaitLimitReader): WaitingRequest | undefined {
     const requestsByPriority = this.groupByPriority(now, getWaitLimit);
     if (requestsByPriority.size === 0) {
@@ -82,7 +82,7 @@
     return request;
   }
 
-  /** Takes all, in the order in which they came. */
+  /** Takes all requests, in order of arrival. */
   takeAll(): WaitingRequest[] {
     const all = [...this.waiting.values()];
     this.waiting.clear();
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Drops requests whose clients have left or whose callers have given up.
-   * @returns those dropped
+   * Drops requests whose clients have left or whose callers' deadlines have passed.
+   * @returns the dropped requests
    */
   expire(now: number): WaitingRequest[] {
     const dropped: WaitingRequest[] = [];
--- a/src/packets/terms/packed-terms.ts
+++ b/src/packets/terms/packed-terms.ts
@@ -1,6 +1,6 @@
 /**
- * The terms of a table's routes as balancers hand them to each other: each set of terms once, and for
- * each route the place of its set, counted from 1, or 0 for none. Most routes of a large table have the same ones.
+ * Encodes route terms for other balancers: each distinct set once, and for each route the 1-based
+ * index of its set, or 0 for none. Most routes of a large table share one set.
  */
 import { FieldError, integer, listOf, positive, tuple } from '../../wire/field-codecs';
 import type { Route } from '../routing-table';
@@ -8,10 +8,10 @@
 
 const NO_TERMS = 0;
 
-/** The terms of the route at a position of the table; undefined for none. */
+/** The terms of the route at a position in the table; undefined for none. */
 export type TermsLookup = (position: number) => RouteTerms | undefined;
 
-/** Packs the terms of routes in their order. */
+/** Encodes the terms of routes in their order. */
 export function packTerms(routes: readonly Route[]): unknown[] {
   const sets: RouteTerms[] = [];
   const indexes = routes.map(({ terms }) => (terms ? internTerms(sets, terms) : NO_TERMS));
@@ -23,7 +23,7 @@
   return [packedSets, indexes];
 }
 
-/** Checks packed terms; programs of an earlier version send none. Throws a `FieldError` for others. */
+/** Decodes packed terms; earlier versions send none. Throws a `FieldError` for invalid ones. */
 export function unpackTerms(value: unknown): TermsLookup {
   if (value === undefined) {
     return () => undefined;
@@ -34,7 +34,7 @@
   return (position) => sets[(indexes[position] ?? NO_TERMS) - 1];
 }
 
-/** The place of a set of terms among those noted, to which it is added when it is new. */
+/** Returns the 1-based index of a set of terms, and adds the set if it is new. */
 function internTerms(sets: RouteTerms[], terms: RouteTerms): number {
   const known = sets.findIndex((one) => hasSameTerms(one, terms));
   return known >= 0 ? known + 1 : sets.push(terms);
@@ -47,8 +47,9 @@
     latencyGoal: positive(latencyGoal),
     deadline: positive(deadline),
   };
-  if (checkTerms(terms) !== undefined) {
-    throw new FieldError('terms that cannot hold');
+  const problem = checkTerms(terms);
+  if (problem !== undefined) {
+    throw new FieldError(`invalid route terms: ${problem}`);
   }
   return terms;
 }
--- a/src/packets/terms/route-terms-cache.ts
+++ b/src/packets/terms/route-terms-cache.ts
@@ -1,20 +1,20 @@
-/** The terms of routes as one agent has been told them by balancers. */
+/** Route terms that balancers have announced to one agent. */
 import type { Endpoint } from '../../environment';
 import type { RouteTerms, AnnouncedTerms } from './route-terms';
 
-/** Routes noted; the one told longest ago is forgotten beyond that. */
+/** Maximum number of routes; beyond it the one announced longest ago is dropped. */
 const MAXIMUM_ROUTES = 4_096;
 
-/** The view of one agent. */
+/** Route terms known to one agent. */
 export class RouteTermsCache {
   private readonly terms = new Map<Endpoint, AnnouncedTerms>();
 
-  /** Routes whose terms are known. */
+  /** Number of routes with known terms. */
   get size(): number {
     return this.terms.size;
   }
 
-  /** Takes what a balancer tells; what it had from an earlier table changes nothing. */
+  /** Applies terms announced by a balancer; those of an earlier table are ignored. */
   learn(terms: AnnouncedTerms): void {
     const { destination, version } = terms;
     const known = this.terms.get(destination);
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The terms of a route; undefined while nobody has told them. */
+  /** The terms of a route; undefined until announced. */
   getTerms(destination: Endpoint): RouteTerms | undefined {
     return this.terms.get(destination);
   }
--- a/src/packets/terms/route-terms.ts
+++ b/src/packets/terms/route-terms.ts
@@ -1,39 +1,39 @@
-/** What callers of a route expect, by which it is decided who goes first where requests wait. */
+/** What callers of a route expect, which decides the order of waiting requests. */
 import type { Endpoint } from '../../environment';
 import type { Route } from '../routing-table';
 
-/** What callers of one route expect of its answers. */
+/** Expectations of the callers of one route. */
 export interface RouteTerms {
   /** 0 is the most urgent; {@link LOWEST_PRIORITY} at most. */
   readonly priority: number;
-  /** Milliseconds from a request to its answer that are aimed at; 0 when unknown. */
+  /** Latency goal in milliseconds from a request to its answer; 0 when unknown. */
   readonly latencyGoal: number;
   /** Milliseconds after which callers give up; 0 when unknown. */
   readonly deadline: number;
 }
 
 export const LOWEST_PRIORITY = 9;
-/** A day: beyond it a deadline is a mistake. */
+/** One day; a longer deadline is a mistake. */
 export const MAXIMUM_DEADLINE_MS = 24 * 60 * 60 * 1_000;
 
-/** Of a route that says nothing: it goes after those that say they are urgent. */
+/** Terms of a route without any: it ranks after those that state a priority. */
 export const UNKNOWN_TERMS: RouteTerms = {
   priority: LOWEST_PRIORITY,
   latencyGoal: 0,
   deadline: 0,
 };
 
-/** The terms of one route, as agents are told them. */
+/** The terms of one route as announced to agents. */
 export interface AnnouncedTerms extends RouteTerms {
   readonly destination: Endpoint;
-  /** Version of the routing table that says so. */
+  /** Version of the routing table that they come from. */
   readonly version: number;
 }
 
-/** Why terms cannot hold; undefined for terms that can. */
+/** Why terms are invalid. */
 export type TermsProblem = 'priority' | 'latencyGoal' | 'deadline' | 'goalBeyondDeadline';
 
-/** Checks terms that an operator has written. */
+/** Checks terms written by an operator; undefined for valid ones. */
 export function checkTerms({
   priority,
   latencyGoal,
@@ -51,12 +51,12 @@
   return deadline > 0 && latencyGoal > deadline ? 'goalBeyondDeadline' : undefined;
 }
 
-/** The terms of a route; {@link UNKNOWN_TERMS} where it has none. */
+/** Returns the terms of a route; {@link UNKNOWN_TERMS} where it has none. */
 export function getTerms(route: Route): RouteTerms {
   return route.terms ?? UNKNOWN_TERMS;
 }
 
-/** Whether two routes are served alike. */
+/** Whether the terms of two routes are equal. */
 export function hasSameTerms(one: RouteTerms, other: RouteTerms): boolean {
   return (
     one.priority === other.priority &&
@@ -66,8 +66,8 @@
 }
 
 /**
- * The routes that share a service with a route of other terms: only there does it matter whose
- * request goes first.
+ * Finds the routes that share a service with a route of other terms: only there does the order of
+ * requests matter.
  */
 export function findCompetingRoutes(routes: readonly Route[]): ReadonlyMap<Endpoint, Route> {
   const firstTerms = new Map<string, RouteTerms>();
@@ -88,7 +88,7 @@
   return new Map(routes.filter(isContested).map((route) => [route.destination, route]));
 }
 
-/** The destinations of routes that share a service with a more urgent one. */
+/** Finds the destinations of routes that share a service with a more urgent one. */
 export function findLessUrgentRoutes(routes: readonly Route[]): ReadonlySet<Endpoint> {
   const mostUrgent = new Map<string, number>();
   for (const route of routes) {
