--- a/src/packets/startup/opening-age.ts
+++ b/src/packets/startup/opening-age.ts
@@ -1,11 +1,11 @@
-/** How long a client has been waiting by its opening packet: it numbers the copies. */
+/** Age of a client's connection attempt, by the number of its opening packet's transmission. */
 
-/** Milliseconds from a client's first opening packet to each of its copies. */
+/** Delay of each transmission of an opening packet after the first. */
 const TRANSMISSION_DELAYS_MS = [0, 200, 600] as const;
-/** Milliseconds from a client's first opening packet until it gives the attempt up. */
+/** Time after its first opening packet at which a client gives up the attempt. */
 export const OPENING_LIFETIME_MS = 1_400;
 
-/** Milliseconds since the first opening packet of a flow when the given copy of it was sent. */
+/** Milliseconds from a flow's first opening packet to the given transmission of it. */
 export function getOpeningAge(copy: number): number {
   return TRANSMISSION_DELAYS_MS[copy] ?? TRANSMISSION_DELAYS_MS.at(-1)!;
 }
--- a/src/packets/startup/startup-backlog.ts
+++ b/src/packets/startup/startup-backlog.ts
@@ -1,38 +1,38 @@
 /**
- * Clients' packets that come before a balancer that has just started can route them. Of a flow only
- * the newest packet waits, since its sender repeats the others.
+ * Buffers clients' packets until a balancer that has just started can route them. Only the newest
+ * packet of a flow is buffered, since its sender retransmits the others.
  *
- * Opening packets come out in the order of what can still be answered within its latency goal, and
- * only as many as there are agents to share them: the first agents that are heard would else get all
- * that has come in the dark, one behind the other.
+ * Opening packets (SYN) are released in the order of what can still be answered within its latency
+ * goal, and only in proportion to the agents reachable so far: otherwise the first of these would
+ * get the whole backlog.
  */
 import type { FlowKey, FlowPacket } from '../flow-packet';
 import { getOpeningAge, OPENING_LIFETIME_MS } from './opening-age';
 
-/** Flows that wait at most; the oldest is dropped beyond that. */
+/** Maximum number of flows; beyond it the oldest is dropped. */
 const MAXIMUM_FLOWS = 1_024;
-/** Milliseconds after which a packet of an open flow is dropped: its sender has repeated it. */
+/** Time after which a packet of an open flow is dropped: its sender has retransmitted it. */
 const MAXIMUM_WAIT_MS = 600;
 
-/** A packet that waits. */
+/** A buffered packet. */
 interface WaitingPacket {
   readonly packet: FlowPacket;
   readonly since: number;
-  /** When its flow's first opening packet was sent, as far as this one tells. */
+  /** Estimated time of its flow's first opening packet. */
   readonly openedAt: number;
 }
 
 /** Opening packets that the same agents can take. */
 export interface OpeningGroup {
-  /** Names the group. */
+  /** Identifies the group. */
   readonly name: string;
-  /** Part of the agents that can be reached, from 0 to 1; at 1 no opening packet has to wait. */
+  /** Fraction of the agents that are reachable, 0 to 1; at 1 no opening packet waits. */
   readonly share: number;
-  /** Milliseconds in which requests of the group are to be answered; 0 while unknown. */
+  /** Latency goal of the group's requests in milliseconds; 0 while unknown. */
   readonly latencyGoal: number;
 }
 
-/** Tells the group of an opening packet; undefined for one that no agent takes. */
+/** Returns the group of an opening packet; undefined for one that no agent takes. */
 export type GroupFinder = (packet: FlowPacket) => OpeningGroup | undefined;
 
 interface GroupedPacket {
@@ -40,10 +40,10 @@
   readonly group: OpeningGroup | undefined;
 }
 
-/** The backlog of one balancer. */
+/** Backlog of one balancer. */
 export class StartupBacklog {
   private readonly waiting = new Map<FlowKey, WaitingPacket>();
-  /** Opening packets taken out so far, by group. */
+  /** Opening packets released so far, by group. */
   private readonly released = new Map<string, number>();
   private droppedPackets = 0;
 
@@ -51,12 +51,12 @@
     return this.waiting.size;
   }
 
-  /** Packets that have waited too long, or that were too many. */
+  /** Number of packets that have waited too long or exceeded the limit. */
   get dropped(): number {
     return this.droppedPackets;
   }
 
-  /** Keeps a packet in place of an earlier one of its flow. */
+  /** Adds a packet in place of an earlier one of its flow. */
   add(packet: FlowPacket, now: number): void {
     const age = packet.opens ? getOpeningAge(packet.openingCopy) : 0;
     this.waiting.delete(packet.flow);
@@ -69,26 +69,26 @@
   }
 
   /**
-   * Takes out the opening packets that the agents reached so far can share: of all that have come
-   * for a group, the part that these agents are of it.
+   * Takes the opening packets that the reachable agents can share: of all received for a group, the
+   * fraction of its agents that are reachable.
    */
-  takeOpenings(now: number, groupOf: GroupFinder): FlowPacket[] {
+  takeOpenings(now: number, findGroup: GroupFinder): FlowPacket[] {
     this.dropStale(now);
-    const ordered = this.orderOpenings(now, groupOf);
+    const ordered = this.orderOpenings(now, findGroup);
     const allowances = this.countAllowances(ordered);
     const taken = ordered.filter(({ group }) => consumeAllowance(group, allowances));
     taken.forEach(({ group }) => this.recordReleased(group));
     return this.removePackets(taken.map(({ waiting }) => waiting));
   }
 
-  /** Takes out all that waits: opening packets first, then those of open flows as they came. */
-  takeAll(now: number, groupOf: GroupFinder): FlowPacket[] {
+  /** Takes all packets: opening packets first, then those of open flows in order of arrival. */
+  takeAll(now: number, findGroup: GroupFinder): FlowPacket[] {
     this.dropStale(now);
-    return this.removePackets(this.orderAll(now, groupOf));
+    return this.removePackets(this.orderAll(now, findGroup));
   }
 
-  private orderAll(now: number, groupOf: GroupFinder): WaitingPacket[] {
-    const openings = this.orderOpenings(now, groupOf).map(({ waiting }) => waiting);
+  private orderAll(now: number, findGroup: GroupFinder): WaitingPacket[] {
+    const openings = this.orderOpenings(now, findGroup).map(({ waiting }) => waiting);
     const others = [...this.waiting.values()].filter(({ packet }) => !packet.opens);
     return [...openings, ...others];
   }
@@ -107,13 +107,13 @@
     }
   }
 
-  private orderOpenings(now: number, groupOf: GroupFinder): GroupedPacket[] {
+  private orderOpenings(now: number, findGroup: GroupFinder): GroupedPacket[] {
     const openings = [...this.waiting.values()].filter(({ packet }) => packet.opens);
-    const grouped = openings.map((waiting) => ({ waiting, group: groupOf(waiting.packet) }));
+    const grouped = openings.map((waiting) => ({ waiting, group: findGroup(waiting.packet) }));
     return grouped.sort((one, other) => compareByGoal(one, other, now));
   }
 
-  /** How many opening packets of each group may go now. */
+  /** Number of opening packets of each group that may be released now. */
   private countAllowances(ordered: readonly GroupedPacket[]): Map<string, number> {
     const waiting = new Map<string, number>();
     const allowances = new Map<string, number>();
@@ -135,11 +135,11 @@
   }
 }
 
-function isStale({ packet, since, openedAt: begunAt }: WaitingPacket, now: number): boolean {
-  return packet.opens ? now - begunAt > OPENING_LIFETIME_MS : now - since > MAXIMUM_WAIT_MS;
+function isStale({ packet, since, openedAt }: WaitingPacket, now: number): boolean {
+  return packet.opens ? now - openedAt > OPENING_LIFETIME_MS : now - since > MAXIMUM_WAIT_MS;
 }
 
-/** Whether a packet may go by the allowance of its group, of which it then takes one. */
+/** Whether the allowance of a packet's group permits its release; consumes one of it. */
 function consumeAllowance(
   group: OpeningGroup | undefined,
   allowances: Map<string, number>,
@@ -152,7 +152,7 @@
   return remaining > 0;
 }
 
-/** Those that can be answered in time come first; of these and of the others the one due first. */
+/** Packets that can still be answered in time first; within both groups the one due first. */
 function compareByGoal(one: GroupedPacket, other: GroupedPacket, now: number): number {
   const isOneLate = getDueTime(one) < now;
   const isOtherLate = getDueTime(other) < now;
--- a/src/packets/startup/startup-gate.ts
+++ b/src/packets/startup/startup-gate.ts
@@ -1,6 +1,6 @@
 /**
- * What a balancer that has just started does with clients' packets: they wait until it can serve,
- * then opening packets go out as its agents are heard, and after a moment everything else.
+ * Handles clients' packets while a balancer starts: they are buffered until it can serve, then
+ * opening packets are released as agents report, and after a moment everything else.
  */
 import type { Endpoint, Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
@@ -12,46 +12,46 @@
 import { StartupBacklog, type GroupFinder, type OpeningGroup } from './startup-backlog';
 
 /**
- * Milliseconds from the first moment at which this balancer can serve to the end of its start. Every
- * agent known is asked for a report each {@link FAST_RETRY_INTERVAL_MS} and answers at once: one that has
- * missed two of these questions is down, or starts so late that nothing should wait for it.
+ * Time from the first moment at which this balancer can serve to the end of its startup. Every
+ * known agent is asked for a report each {@link FAST_RETRY_INTERVAL_MS} and replies at once: one
+ * that has missed two requests is down, or starts too late to wait for.
  */
 const AGENT_REPORT_WAIT_MS = 1.5 * FAST_RETRY_INTERVAL_MS;
 /**
- * Milliseconds after the start for which packets of flows that were handed on go the same way: most
- * flows carry one request and are over by then, and those that go on are searched for once.
+ * Time after startup for which packets of relayed flows take the same path: most flows carry one
+ * request and are over by then, and the others are searched for once.
  */
 const RELAYED_FLOW_TIME_MS = 2_000;
 /**
- * Milliseconds after its start from which on a balancer routes with what it has, ready or not,
- * and believes that there are no agents.
+ * Time after its start from which a balancer routes with what it has, ready or not, and accepts
+ * that there are no agents.
  */
 export const MAXIMUM_BACKLOG_TIME_MS = 3_000;
 
-/** What the gate works with. */
+/** Dependencies of {@link StartupGate}. */
 export interface StartupGateDependencies {
   readonly environment: Environment;
   readonly format: PacketFormat;
   readonly directory: AgentDirectory;
-  /** Whether opening packets go out as agents are heard; all at once otherwise. */
+  /** Whether opening packets are released as agents report; all at once otherwise. */
   readonly isPaced: boolean;
   /** Whether any flow can be routed or relayed now. */
   canServe(): boolean;
-  /** Whether packets are relayed to other balancers, so that no agent need be heard. */
+  /** Whether packets are relayed to other balancers, so that no agent needs to report. */
   isRelaying(): boolean;
   getTable(): RoutingTable | undefined;
   findRoute(packet: FlowPacket): Route | undefined;
-  /** Knows who takes packets meanwhile; undefined where nobody does. */
+  /** Selects the balancers that take packets meanwhile; undefined where none does. */
   readonly relay: StartupRelay | undefined;
-  /** Balancers known, this one included. */
+  /** Number of known balancers, this one included. */
   getClusterSize(): number;
-  /** Hands a packet on to where another balancer takes clients' packets. */
+  /** Forwards a packet to the address where another balancer takes clients' packets. */
   forward(to: Endpoint, bytes: Buffer): void;
-  /** Routes a packet, or relays it as a weak balancer does at all times. */
+  /** Routes a packet, or relays it as a balancer with little CPU always does. */
   route(bytes: Buffer): void;
 }
 
-/** The gate of one balancer, for one life of it. */
+/** Startup gate of one balancer process. */
 export class StartupGate {
   private readonly backlog = new StartupBacklog();
   private readonly startedAt: number;
@@ -65,24 +65,24 @@
     this.startedAt = dependencies.environment.now();
   }
 
-  /** Packets that have waited here. */
+  /** Number of packets buffered. */
   get kept(): number {
     return this.bufferedPackets;
   }
 
-  /** Packets that were handed on to other balancers. */
+  /** Number of packets forwarded to other balancers. */
   get relayedOn(): number {
     return this.relayedPackets;
   }
 
-  /** Packets that have waited here in vain. */
+  /** Number of buffered packets that were dropped. */
   get dropped(): number {
     return this.backlog.dropped;
   }
 
   /**
-   * Keeps a client's datagram until it is its turn; false when it is to be routed at once, as packets
-   * of open flows are from the moment on at which any flow can be served.
+   * Forwards or buffers a client's datagram; false when it is to be routed at once, as packets of
+   * open flows are once any flow can be served.
    */
   handlePacket(bytes: Buffer): boolean {
     const { environment, format, relay } = this.dependencies;
@@ -94,10 +94,10 @@
       return false;
     }
     const now = environment.now();
-    return this.relayed(packet, now) || this.bufferPacket(packet, now);
+    return this.relayPacket(packet, now) || this.bufferPacket(packet, now);
   }
 
-  /** Keeps a packet that nobody else takes; false when it is to be routed here at once. */
+  /** Buffers a packet that no other balancer takes; false when it is to be routed here at once. */
   private bufferPacket(packet: FlowPacket, now: number): boolean {
     const isOfOpenFlow = this.servingSince !== undefined && !packet.opens;
     if (this.hasEnded || isOfOpenFlow) {
@@ -109,7 +109,7 @@
     return true;
   }
 
-  /** Lets through what can go now; to be called whenever more is known. */
+  /** Releases what can be served now; to be called whenever more is known. */
   processBacklog(): void {
     if (this.hasEnded) {
       return;
@@ -135,32 +135,32 @@
     openings.forEach(({ bytes }) => route(bytes));
   }
 
-  /** Ends the timer. */
+  /** Cancels the timer. */
   stop(): void {
     this.timer?.cancel();
   }
 
-  /** Hands a packet on if another balancer takes its flow meanwhile. */
-  private relayed({ flow, bytes }: FlowPacket, now: number): boolean {
-    const { getClusterSize: clusterSize, forward: handOn, relay } = this.dependencies;
+  /** Forwards a packet if another balancer takes its flow meanwhile. */
+  private relayPacket({ flow, bytes }: FlowPacket, now: number): boolean {
+    const { forward, getClusterSize, relay } = this.dependencies;
     const to = this.hasEnded
       ? relay?.findDestination(flow, now)
-      : relay?.chooseDestination(flow, clusterSize(), now);
+      : relay?.chooseDestination(flow, getClusterSize(), now);
     if (to === undefined) {
       return false;
     }
     this.relayedPackets++;
-    handOn(to, bytes);
+    forward(to, bytes);
     return true;
   }
 
   private relayWaiting(now: number): void {
-    const { getClusterSize: clusterSize, relay } = this.dependencies;
-    if (!relay?.canRelay(clusterSize(), now)) {
+    const { getClusterSize, relay } = this.dependencies;
+    if (!relay?.canRelay(getClusterSize(), now)) {
       return;
     }
     const waiting = this.backlog.takeAll(now, this.createGroupFinder(now));
-    waiting.forEach((packet) => this.relayed(packet, now));
+    waiting.forEach((packet) => this.relayPacket(packet, now));
   }
 
   private end(now: number): void {
@@ -195,7 +195,7 @@
     );
   }
 
-  /** Finds groups by what is known at this moment. */
+  /** Creates a group finder for the state at this moment. */
   private createGroupFinder(now: number): GroupFinder {
     const groups = new Map<readonly string[], OpeningGroup>();
     return (packet) => {
@@ -211,8 +211,8 @@
   }
 
   private createGroup(services: readonly string[], now: number): OpeningGroup {
-    const { directory, getTable: table } = this.dependencies;
-    const goals = (table()?.profiles ?? [])
+    const { directory, getTable } = this.dependencies;
+    const goals = (getTable()?.profiles ?? [])
       .filter(({ service, latencyGoal }) => services.includes(service) && latencyGoal > 0)
       .map(({ latencyGoal }) => latencyGoal);
     return {
@@ -223,7 +223,7 @@
   }
 }
 
-/** Part of some agents that are heard; 1 when there are none. */
+/** Fraction of some agents that report; 1 when there are none. */
 function computeHeardShare(
   agents: readonly AgentEntry[],
   directory: AgentDirectory,
--- a/src/packets/startup/startup-relay.ts
+++ b/src/packets/startup/startup-relay.ts
@@ -1,9 +1,9 @@
 /**
- * Where a balancer that starts hands clients' packets on to, until it can serve by itself.
+ * Selects the balancers to which a starting one forwards clients' packets until it can serve.
  *
- * After all power is lost, balancers with more processor time are up first. Their code is warm when
- * the others begin to read, to hear agents and to place flows, which costs a slow one a quarter of a
- * second of its share. Packets go on as they came; of each flow all go to the same balancer.
+ * After a total power loss, balancers with more processor time are up first. Their code is warm
+ * while the others begin to read, to receive reports and to place flows, which costs a slow one a
+ * quarter of a second of its share. Packets are forwarded unchanged, all of a flow to one balancer.
  */
 import { computeRendezvousScore } from '../../core/hashing';
 import type { Endpoint } from '../../environment';
@@ -11,24 +11,24 @@
 import type { BalancerStatus } from '../traffic-relay';
 
 /**
- * Times the own processor time that another balancer must have: what is handed on goes to ever
- * stronger ones, so it cannot go round, and among equals all start at the same pace.
+ * Minimum ratio of another balancer's processor time to the own: packets only go to ever stronger
+ * ones, so they cannot loop, and equal ones all start at the same pace.
  */
 const MINIMUM_CAPACITY_RATIO = 2;
 /**
- * Times its own processor time whose share of the cluster's traffic a balancer takes for a moment:
- * balancers are planned for a fourth of their processors at most (docs/CAPACITY.md tells the load).
+ * Multiple of its processor time whose share of the cluster's traffic a balancer takes for a
+ * moment: balancers are planned for a quarter of their processors at most (docs/CAPACITY.md).
  */
 const BURST_CAPACITY_FACTOR = 4;
-/** Milliseconds after which what another balancer has said of itself is too old; twice its interval. */
+/** Time after which another balancer's status is outdated; twice its interval. */
 const STATUS_LIFETIME_MS = 1_100;
 /**
- * Milliseconds of silence after which flows no longer go on to a balancer: in a large cluster one
- * tells of itself every few seconds only, and no flow is to wait longer for one that has died.
+ * Silence after which flows are no longer forwarded to a balancer: in a large cluster a status
+ * comes only every few seconds, and no flow may wait longer for one that has died.
  */
 const MAXIMUM_SILENCE_MS = 2_000;
 const MAXIMUM_BALANCERS = 64;
-/** Flows whose balancer is remembered; the oldest is forgotten beyond that. */
+/** Maximum number of recorded flows; beyond it the oldest is forgotten. */
 const MAXIMUM_FLOWS = 4_096;
 
 interface KnownBalancer {
@@ -36,13 +36,13 @@
   readonly heardAt: number;
 }
 
-/** A balancer by the address that it speaks from. */
+/** A balancer by its sender address. */
 type Candidate = readonly [Endpoint, KnownBalancer];
 
-/** The relay of one start. */
+/** Relay of one startup. */
 export class StartupRelay {
   private readonly balancers = new Map<Endpoint, KnownBalancer>();
-  /** The balancers, by the address that they speak from, that flows were handed on to. */
+  /** Sender address of the balancer to which each flow is forwarded. */
   private readonly flows = new Map<FlowKey, Endpoint>();
 
   /**
@@ -54,7 +54,7 @@
     private readonly capacity: number,
   ) {}
 
-  /** Takes what another balancer says of itself. */
+  /** Records another balancer's status. */
   learn(balancer: Endpoint, status: BalancerStatus, now: number): void {
     if (status.capacity < MINIMUM_CAPACITY_RATIO * this.capacity) {
       return;
@@ -67,19 +67,19 @@
     }
   }
 
-  /** Whether flows are noted that were handed on. */
+  /** Whether any forwarded flows are recorded. */
   get hasRelayedFlows(): boolean {
     return this.flows.size > 0;
   }
 
-  /** Whether packets of any flow can be handed on now. */
+  /** Whether packets of any flow can be forwarded now. */
   canRelay(clusterSize: number, now: number): boolean {
     return this.findAvailable(clusterSize, now).length > 0;
   }
 
   /**
-   * Chooses where packets of a flow go; undefined when nobody can take them.
-   * @param clusterSize balancers known, this one included
+   * Chooses the address that packets of a flow go to; undefined when no balancer can take them.
+   * @param clusterSize known balancers, this one included
    */
   chooseDestination(flow: FlowKey, clusterSize: number, now: number): Endpoint | undefined {
     const existing = this.findDestination(flow, now);
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Where the packets of a flow have gone so far; undefined for a flow that was not handed on, or
-   * to a balancer that has fallen silent.
+   * The address that packets of a flow have been forwarded to; undefined for any other flow, or if
+   * that balancer is unresponsive.
    */
   findDestination(flow: FlowKey, now: number): Endpoint | undefined {
     const balancer = this.flows.get(flow);
@@ -106,7 +106,7 @@
     return isAlive ? known.status.packetAddress : undefined;
   }
 
-  /** Forgets everything: flows that go on are searched for. */
+  /** Forgets everything; flows that continue are searched for. */
   clear(): void {
     this.balancers.clear();
     this.flows.clear();
@@ -118,7 +118,7 @@
     return chooseByFlow(flow, sameZone.length > 0 ? sameZone : available);
   }
 
-  /** The balancers that take packets, if together they have processor time enough for it. */
+  /** The balancers that take packets, if together they have enough processor time for it. */
   private findAvailable(clusterSize: number, now: number): Candidate[] {
     const available = [...this.balancers].filter(
       ([, { status, heardAt }]) => status.isReady && now - heardAt <= STATUS_LIFETIME_MS,
--- a/src/packets/startup/target-presence.ts
+++ b/src/packets/startup/target-presence.ts
@@ -1,43 +1,43 @@
 /**
- * Whether there is a target beside an agent that has started and heard nothing of any.
+ * Detects that an agent has no target when it has started and received nothing from one.
  *
- * The machine of a target that has left may come back with an agent and no target. Its entry in the
- * registry would keep balancers from telling clients that their flows are dead. Silence proves nothing,
- * since heartbeats may come late; that nobody listens at the target's address does: there is no process
- * that could hold a flow. From then on until the target is heard the agent hands nothing to it, so
- * no flow can open there unseen.
+ * A machine may come back with its agent and without its target. The agent's entry in the registry
+ * would keep balancers from resetting flows that no target holds. Silence proves nothing, since
+ * heartbeats may be late; a target address without a listener does: no process could hold a flow.
+ * From then on the agent delivers nothing to the target until it receives something from it, so no
+ * flow can open there undetected.
  */
 import type { Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
 
-/** Heartbeats that may be missed before the target's address is looked at. */
+/** Missed heartbeats before the target's address is probed. */
 const MISSED_HEARTBEATS_LIMIT = 2;
-/** Milliseconds between two looks that packets ask for: a client repeats its packet after 200. */
+/** Minimum interval of probes triggered by packets: a client retransmits after 200 ms. */
 const MINIMUM_PROBE_INTERVAL_MS = 100;
 
-/** Looks whether anybody listens at the target's address. */
+/** Probes the target's address for a listener. */
 export interface TargetProbePort {
-  /** Answers true only if the machine says that nobody does; false for anything else. */
-  checkVacant(answer: (isVacant: boolean) => void): void;
+  /** Calls back with true only if the host reports that nobody listens; false otherwise. */
+  checkVacant(callback: (isVacant: boolean) => void): void;
 }
 
-/** What the presence is judged with. */
+/** Dependencies of {@link TargetPresence}. */
 export interface TargetPresenceDependencies {
   readonly environment: Environment;
   readonly probe: TargetProbePort;
-  /** Milliseconds between two heartbeats of a target. */
+  /** Heartbeat interval of a target in milliseconds. */
   readonly heartbeatInterval: number;
-  /** Whether the target has said or sent anything in this run of the agent. */
+  /** Whether anything was received from the target in this incarnation of the agent. */
   isTargetHeard(): boolean;
-  /** There is no target. */
+  /** Called when there is no target. */
   onMissing(): void;
 }
 
-/** The presence of one target, in one run of its agent. */
+/** Presence of one target, in one incarnation of its agent. */
 export class TargetPresence {
   private timer: TimerHandle | undefined;
   private isVacant = false;
-  /** A look that a packet asked for has found nobody. */
+  /** Whether a probe triggered by a packet found no listener. */
   private isProbedAbsent = false;
   private lastProbeAt = -Infinity;
   private isStopped = false;
@@ -45,20 +45,20 @@
 
   constructor(private readonly dependencies: TargetPresenceDependencies) {}
 
-  /** Whether there is no target, and has been none since that was found out. */
+  /** Whether no target was found and nothing has been received from one since. */
   get isMissing(): boolean {
     return this.isVacant && !this.dependencies.isTargetHeard();
   }
 
   /**
-   * Whether there is no target to hand a packet to, as {@link isMissing} or by a look that a packet
-   * asked for. The agent hands nothing over then, so no flow can open unseen before it hears its target.
+   * Whether there is no target to deliver a packet to: {@link isMissing}, or a probe triggered by a
+   * packet found no listener. No flow can open undetected before the target is heard from.
    */
   get isAbsent(): boolean {
     return (this.isVacant || this.isProbedAbsent) && !this.dependencies.isTargetHeard();
   }
 
-  /** Looks taken at the target's address. */
+  /** Number of probes of the target's address. */
   get looks(): number {
     return this.sentProbes;
   }
@@ -67,7 +67,7 @@
     this.scheduleCheck();
   }
 
-  /** Ends the timer; a look under way changes nothing any more. */
+  /** Cancels the timer; the result of a probe in flight is ignored. */
   stop(): void {
     this.isStopped = true;
     this.timer?.cancel();
@@ -81,8 +81,8 @@
   }
 
   /**
-   * A packet is to go to a target that has not been heard: looks whether there is one, so that a search
-   * does not end at a machine without a target. The entry stays, since the target may be starting.
+   * Probes for a packet to a target that nothing was received from, so that a search does not end
+   * at a machine without a target. The entry stays, since the target may be starting.
    */
   probeForPacket(): void {
     const { environment, isTargetHeard, probe } = this.dependencies;
@@ -98,9 +98,9 @@
   }
 
   /**
-   * Looks at once, since the agent is about to stop: an entry of an agent that has never found out
-   * keeps balancers from telling that flows are dead.
-   * @param done called when it is known, or will not be
+   * Probes at once, since the agent is about to stop: the entry of an agent that never detected its
+   * target's absence keeps balancers from resetting flows that no target holds.
+   * @param done called when the result is known, or will not be
    */
   probeBeforeStop(done: () => void): void {
     if (this.isVacant || this.dependencies.isTargetHeard()) {
@@ -121,11 +121,11 @@
   }
 
   /**
-   * @param onPresent called when somebody listens, or the look proves nothing
-   * @param onAbsent called when nobody does
+   * @param onPresent called when somebody listens, or the probe is inconclusive
+   * @param onAbsent called when nobody listens
    */
   private sendProbe(onPresent: () => void, onAbsent: () => void): void {
-    const { environment, isTargetHeard, onMissing: missed, probe } = this.dependencies;
+    const { environment, isTargetHeard, onMissing, probe } = this.dependencies;
     this.sentProbes++;
     probe.checkVacant((isVacant) => {
       if (this.isStopped) {
@@ -141,7 +141,7 @@
       }
       this.isVacant = true;
       environment.report(Events.targetMissing, { looks: this.sentProbes });
-      missed();
+      onMissing();
       onAbsent();
     });
   }
