--- a/test/opening-admission.test.ts
+++ b/test/opening-admission.test.ts
@@ -1,4 +1,4 @@
-/** Openings when callers ask for more than all targets of a service can do. */
+/** Admission of new flows when demand exceeds the capacity of all targets of a service. */
 import test from 'ava';
 import { packEndpoint } from '../src/core/endpoint';
 import { OpeningAdmission, type OpeningRequest } from '../src/packets/admission/opening-admission';
@@ -22,26 +22,26 @@
   };
 }
 
-test('what comes late is let in, what comes after its caller has given up is refused', (t) => {
+test("a late answer is admitted, one after the caller's deadline is refused", (t) => {
   const admission = new OpeningAdmission(KEPT_PERCENT);
   t.true(admission.admit(createRequest(DEADLINE_MS)));
   t.false(admission.admit(createRequest(DEADLINE_MS + 1)));
   t.is(admission.rejectedRouteCount, 1);
 });
 
-test('the most urgent route of a service, and one without a deadline, is always let in', (t) => {
+test('the most urgent route of a service, and one without a deadline, is always admitted', (t) => {
   const admission = new OpeningAdmission(KEPT_PERCENT);
   t.true(admission.admit(createRequest(9_000, { isLessUrgent: false })));
   t.true(admission.admit(createRequest(9_000, { deadline: 0 })));
 });
 
-test('a route is let in again once the wait has fallen well below its deadline', (t) => {
+test('a route is admitted again once the wait has fallen well below its deadline', (t) => {
   const admission = new OpeningAdmission(0);
   const decide = (time: number): boolean => admission.admit(createRequest(time));
   t.deepEqual([2_100, 1_900, 1_650, 1_600, 1_900].map(decide), [false, false, false, true, true]);
 });
 
-test('a share of the openings is let in all the same', (t) => {
+test('a share of the new flows is admitted nevertheless', (t) => {
   const admission = new OpeningAdmission(KEPT_PERCENT);
   const admitted = Array.from({ length: 200 }, () => admission.admit(createRequest(5_000))).filter(
     (isAdmitted) => isAdmitted,
@@ -58,7 +58,7 @@
   };
 }
 
-test('a route is less urgent by the routes of its own service', (t) => {
+test('a route is less urgent only in comparison with routes of its own service', (t) => {
   const check = createRoute(1, 'live', 1);
   const stream = createRoute(2, 'live', 2);
   const download = createRoute(3, 'archive', 2);
@@ -66,7 +66,7 @@
   t.deepEqual([...less], [stream.destination]);
 });
 
-/** Routes one opening where every target has so many requests of 50 ms before its five slots. */
+/** Routes one new flow where every target has some requests of 50 ms before its five slots. */
 function openWithBusyTargets(busyRequests: number, priority: number): RouterHarness {
   const harness = new RouterHarness([6, 6, 6, 6, 6, 6]);
   harness.agents.forEach((agent) =>
@@ -82,17 +82,21 @@
   return harness;
 }
 
-test('a refused opening is reset at once and reaches no agent', (t) => {
+test('a refused flow is reset at once and reaches no agent', (t) => {
   const harness = openWithBusyTargets(400, 2);
   t.is(harness.router.counters.openingsRefused, 1);
   t.is(harness.router.counters.resetsSent, 1);
   t.is(harness.router.counters.flowsPlaced, 0);
   t.is(harness.sent.length, 0);
-  t.is(openWithBusyTargets(100, 2).router.counters.openingsRefused, 0, 'late, and served');
-  t.is(openWithBusyTargets(400, 1).router.counters.openingsRefused, 0, 'as urgent as any');
+  t.is(openWithBusyTargets(100, 2).router.counters.openingsRefused, 0, 'late, but served');
+  t.is(
+    openWithBusyTargets(400, 1).router.counters.openingsRefused,
+    0,
+    'no other route is more urgent',
+  );
 });
 
-test('a trial at one bad target closes no route', (t) => {
+test('a trial of one bad target causes no refusals', (t) => {
   const harness = openWithBusyTargets(100, 2);
   const [bad] = harness.agents;
   const failing = { sequence: 3, busyRequests: 900, failurePercent: 90 };
--- a/test/outliers.test.ts
+++ b/test/outliers.test.ts
@@ -1,4 +1,4 @@
-/** Targets that are set aside since they are far worse than their service, and their way back. */
+/** Ejection of targets that are far worse than their service, and their return. */
 import test from 'ava';
 import { readRoutingTable } from '../platform/routing-document';
 import type { Environment } from '../src/environment';
@@ -49,7 +49,7 @@
 
 const USUAL = [{}, {}, {}, {}, {}, {}, {}, {}];
 
-test('what fails or is slow among others is found; what is merely worse is not', (t) => {
+test('targets that fail or are slow are outliers; those that are merely worse are not', (t) => {
   t.deepEqual(findOutlierIds([FAILING, SLOW, ...USUAL]), [0, 1]);
   t.deepEqual(findOutlierIds([{ failurePercent: 25 }, { answerTime: 45 }, ...USUAL]), []);
   const found = findOutliers(createTargets([FAILING, SLOW, ...USUAL]), SHARE_PERCENT);
@@ -64,21 +64,21 @@
   t.deepEqual(findOutlierIds(most), [], 'most of them fail');
 });
 
-test('few requests are no evidence, and a cold target is slow by right', (t) => {
+test('targets with few answers and cold targets are no outliers', (t) => {
   t.deepEqual(findOutlierIds([{ ...SLOW, answers: 2 }, { ...SLOW, isCold: true }, ...USUAL]), []);
   const quiet = Array.from({ length: 8 }, () => ({ answers: 0 }));
-  t.deepEqual(findOutlierIds([SLOW, ...quiet]), [], 'hardly any other has told its time');
+  t.deepEqual(findOutlierIds([SLOW, ...quiet]), [], 'hardly any other target is timed');
   t.deepEqual(findOutlierIds([{ answerTime: 6 }, ...USUAL.map(() => ({ answerTime: 1 }))]), []);
 });
 
-test('at most a share is set aside, the worst of them', (t) => {
+test('at most a share is ejected, the worst first', (t) => {
   const failing = [40, 90, 60, 80, 70].map((failurePercent) => ({ failurePercent }));
   t.deepEqual(findOutlierIds([...failing, {}, {}, {}, {}, {}, {}]), [1, 3, 4]);
   t.deepEqual(findOutlierIds([FAILING, {}, {}]), [], 'a third is more than the share');
   t.deepEqual(findOutlierIds([FAILING, ...USUAL], 0), []);
 });
 
-test('what is set aside must come well down again', (t) => {
+test('an ejected target must improve well beyond the ejection margin', (t) => {
   const improved = { failurePercent: 20, isSetAside: true };
   t.deepEqual(findOutlierIds([improved, ...USUAL]), [0]);
   t.deepEqual(findOutlierIds([{ ...improved, failurePercent: 10 }, ...USUAL]), []);
@@ -86,7 +86,7 @@
   t.deepEqual(findOutlierIds([{ answerTime: 35, isSetAside: true }, ...USUAL]), []);
 });
 
-/** A balancer that hears ten agents; each test says what the first of them reports. */
+/** A balancer with ten agents; each test sets the reports of the first one. */
 class EjectionHarness {
   readonly directory = new AgentDirectory();
   readonly events: { readonly kind: EventKind; readonly fields: EventFields }[] = [];
@@ -106,7 +106,7 @@
     this.ejection = new OutlierEjection({ environment, directory: this.directory, share });
   }
 
-  /** Lets all agents report, every 50 ms. */
+  /** Makes all agents report, every 50 ms. */
   run(
     milliseconds: number,
     first: Partial<ReportMessage>,
@@ -165,162 +165,166 @@
   }
 }
 
-test('a target is set aside once it stays worse, gets trials, and comes back by degrees', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(100, FAILING);
-  t.is(watch.status, 'usual', 'the others may not have reported yet');
-  watch.run(300, FAILING);
-  t.is(watch.status, 'setAside');
-  t.is(watch.ejection.ejectedCount, 1);
-  t.deepEqual(watch.kinds, [Events.targetSetAside]);
-  t.like(watch.events[0]!.fields, { service: 'map', reason: 'failing', figure: 86, median: 0 });
-  const trials = watch.placeMany(10 * SECOND_MS, true, FAILING);
+test('a target that stays worse is ejected, gets trials, and is restored in two steps', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(100, FAILING);
+  t.is(harness.status, 'usual', 'the others may not have reported yet');
+  harness.run(300, FAILING);
+  t.is(harness.status, 'setAside');
+  t.is(harness.ejection.ejectedCount, 1);
+  t.deepEqual(harness.kinds, [Events.targetSetAside]);
+  t.like(harness.events[0]!.fields, { service: 'map', reason: 'failing', figure: 86, median: 0 });
+  const trials = harness.placeMany(10 * SECOND_MS, true, FAILING);
   t.true(trials >= 5 && trials <= 20, `${trials} trials in ten seconds`);
-  watch.run(2 * STEP_MS, { failurePercent: 5 });
-  t.is(watch.status, 'restored');
-  t.deepEqual(watch.kinds, [Events.targetSetAside, Events.targetRestored]);
-  t.is(watch.place(true, [watch.first]).placementClass, PlacementClass.doubtful);
-  watch.run(SECOND_MS, { failurePercent: 2 });
-  t.is(watch.status, 'usual');
-  t.is(watch.ejection.ejectedCount, 0);
+  harness.run(2 * STEP_MS, { failurePercent: 5 });
+  t.is(harness.status, 'restored');
+  t.deepEqual(harness.kinds, [Events.targetSetAside, Events.targetRestored]);
+  t.is(harness.place(true, [harness.first]).placementClass, PlacementClass.doubtful);
+  harness.run(SECOND_MS, { failurePercent: 2 });
+  t.is(harness.status, 'usual');
+  t.is(harness.ejection.ejectedCount, 0);
 });
 
-test('trials of all balancers together are about one a second', (t) => {
-  const watch = new EjectionHarness(SHARE_PERCENT, 20);
-  watch.run(400, FAILING);
-  const trials = watch.placeMany(40 * SECOND_MS, true, { ...FAILING });
-  t.true(trials >= 1 && trials <= 4, `${trials} trials of one of twenty balancers in 40 s`);
+test('all balancers together make about one trial per second', (t) => {
+  const harness = new EjectionHarness(SHARE_PERCENT, 20);
+  harness.run(400, FAILING);
+  const trials = harness.placeMany(40 * SECOND_MS, true, { ...FAILING });
+  t.true(trials >= 1 && trials <= 4, `${trials} trials by one of twenty balancers in 40 s`);
 });
 
-test('flows whose requests must not run twice are no trials', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, FAILING);
-  t.is(watch.placeMany(10 * SECOND_MS, false, FAILING), 0);
-  t.is(watch.place(false, [watch.first]).entry, watch.first, 'unless no other takes them');
+test('flows whose requests are not repeatable are not used as trials', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, FAILING);
+  t.is(harness.placeMany(10 * SECOND_MS, false, FAILING), 0);
+  t.is(
+    harness.place(false, [harness.first]).entry,
+    harness.first,
+    'unless no other target accepts them',
+  );
 });
 
-test('a slow target is set aside and restored likewise', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, SLOW);
-  t.is(watch.status, 'setAside');
-  t.like(watch.events[0]!.fields, { reason: 'slow', figure: 120, median: 20 });
-  watch.run(2 * STEP_MS, { answerTime: 30 });
-  t.is(watch.status, 'restored');
+test('a slow target is ejected and restored likewise', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, SLOW);
+  t.is(harness.status, 'setAside');
+  t.like(harness.events[0]!.fields, { reason: 'slow', figure: 120, median: 20 });
+  harness.run(2 * STEP_MS, { answerTime: 30 });
+  t.is(harness.status, 'restored');
 });
 
-test('a restored target that is worse again stays doubtful until it is set aside', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, FAILING);
-  watch.run(2 * STEP_MS, {});
-  t.is(watch.status, 'restored');
-  watch.run(2 * STEP_MS, FAILING);
-  t.is(watch.status, 'restored', 'suspected, and not able for that');
-  watch.run(300, FAILING);
-  t.is(watch.status, 'setAside');
+test('a restored target that is worse again stays doubtful until it is ejected', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, FAILING);
+  harness.run(2 * STEP_MS, {});
+  t.is(harness.status, 'restored');
+  harness.run(2 * STEP_MS, FAILING);
+  t.is(harness.status, 'restored', 'suspected, and not healthy meanwhile');
+  harness.run(300, FAILING);
+  t.is(harness.status, 'setAside');
 });
 
-test('a suspicion does not outlast the silence of its agent', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(100, FAILING);
-  watch.now += 5 * SECOND_MS;
-  watch.ejection.expire(watch.now);
-  watch.run(STEP_MS, FAILING);
-  t.is(watch.status, 'usual', 'compared for the first time since');
-  watch.run(400, FAILING);
-  t.is(watch.status, 'setAside');
+test('a suspicion expires while its agent is unresponsive', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(100, FAILING);
+  harness.now += 5 * SECOND_MS;
+  harness.ejection.expire(harness.now);
+  harness.run(STEP_MS, FAILING);
+  t.is(harness.status, 'usual', 'first comparison since then');
+  harness.run(400, FAILING);
+  t.is(harness.status, 'setAside');
 });
 
-test('a large fleet is compared less often, as its reports come less often', (t) => {
-  const watch = new EjectionHarness();
+test('a large fleet is compared less often, as its reports are less frequent', (t) => {
+  const harness = new EjectionHarness();
   let comparisons = 0;
-  const find = watch.directory.findByServices.bind(watch.directory);
-  watch.directory.findByServices = (services) => {
+  const find = harness.directory.findByServices.bind(harness.directory);
+  harness.directory.findByServices = (services) => {
     comparisons++;
     return find(services);
   };
-  watch.run(SECOND_MS, {});
+  harness.run(SECOND_MS, {});
   t.is(comparisons, 20);
   for (let address = 11; address <= 400; address++) {
-    watch.hear(address, {});
+    harness.hear(address, {});
   }
   comparisons = 0;
-  watch.run(SECOND_MS, {});
+  harness.run(SECOND_MS, {});
   t.is(comparisons, 5);
 });
 
-test('trouble that befalls all, one a moment before the others, sets nobody aside', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(200, FAILING);
-  watch.run(2 * SECOND_MS, FAILING, FAILING);
-  t.is(watch.ejection.ejectedCount, 0);
+test('a fault that affects all targets, one a moment earlier, causes no ejection', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(200, FAILING);
+  harness.run(2 * SECOND_MS, FAILING, FAILING);
+  t.is(harness.ejection.ejectedCount, 0);
 });
 
-test('an agent that restarts and knows nothing keeps its target aside until it does', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, SLOW);
+test('a target stays ejected while its restarted agent lacks answers', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, SLOW);
   const blank = { run: 2, answers: 0, answerTime: 50, failurePercent: 0 };
-  watch.run(5 * SECOND_MS, blank);
-  t.is(watch.status, 'setAside');
-  watch.run(2 * STEP_MS, { ...blank, answers: 3, answerTime: 21 });
-  t.is(watch.status, 'restored');
+  harness.run(5 * SECOND_MS, blank);
+  t.is(harness.status, 'setAside');
+  harness.run(2 * STEP_MS, { ...blank, answers: 3, answerTime: 21 });
+  t.is(harness.status, 'restored');
   const silent = new EjectionHarness();
   silent.run(400, FAILING);
   silent.run(11 * SECOND_MS, blank);
-  t.is(silent.status, 'usual', 'nothing is heard against it for long');
+  t.is(silent.status, 'usual', 'not confirmed for too long');
 });
 
-test('another target at the same address begins as usual', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, FAILING);
-  watch.run(STEP_MS, { targetChanges: 1, answers: 0, answerTime: 50 });
-  t.is(watch.status, 'usual');
-  t.like(watch.events[1], { kind: Events.targetRestored, fields: { reason: 'replaced' } });
+test('a replacement target at the same address is not ejected', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, FAILING);
+  harness.run(STEP_MS, { targetChanges: 1, answers: 0, answerTime: 50 });
+  t.is(harness.status, 'usual');
+  t.like(harness.events[1], { kind: Events.targetRestored, fields: { reason: 'replaced' } });
 });
 
-test('an agent that leaves, or serves another service, takes its standing with it', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, FAILING);
-  watch.hear(1, { service: 'tiles' });
-  t.is(watch.status, 'usual');
-  watch.ejection.expire(watch.now);
-  t.is(watch.ejection.ejectedCount, 0);
+test('the ejection ends when an agent leaves or changes its service', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, FAILING);
+  harness.hear(1, { service: 'tiles' });
+  t.is(harness.status, 'usual');
+  harness.ejection.expire(harness.now);
+  t.is(harness.ejection.ejectedCount, 0);
 });
 
-test('agents of a version before are compared by their failures alone', (t) => {
-  const watch = new EjectionHarness();
+test('agents of an earlier version are compared by failures only', (t) => {
+  const harness = new EjectionHarness();
   const old = { answers: 0, targetChanges: 0 };
-  watch.run(SECOND_MS, { ...old, ...SLOW }, old);
-  t.is(watch.ejection.ejectedCount, 0);
-  watch.run(SECOND_MS, { ...old, ...FAILING }, old);
-  t.is(watch.status, 'setAside');
+  harness.run(SECOND_MS, { ...old, ...SLOW }, old);
+  t.is(harness.ejection.ejectedCount, 0);
+  harness.run(SECOND_MS, { ...old, ...FAILING }, old);
+  t.is(harness.status, 'setAside');
 });
 
-test('a share of 0 sets nothing aside', (t) => {
-  const watch = new EjectionHarness(0);
-  watch.run(2 * SECOND_MS, FAILING);
-  t.is(watch.ejection.ejectedCount, 0);
+test('a share of 0 disables ejection', (t) => {
+  const harness = new EjectionHarness(0);
+  harness.run(2 * SECOND_MS, FAILING);
+  t.is(harness.ejection.ejectedCount, 0);
 });
 
-test('a silent zone is neither compared nor forgotten', (t) => {
-  const watch = new EjectionHarness();
-  watch.run(400, FAILING);
-  for (const end = watch.now + 3 * SECOND_MS; watch.now < end; watch.now += STEP_MS) {
+test('targets of an unresponsive zone are neither compared nor forgotten', (t) => {
+  const harness = new EjectionHarness();
+  harness.run(400, FAILING);
+  for (const end = harness.now + 3 * SECOND_MS; harness.now < end; harness.now += STEP_MS) {
     for (let address = 2; address <= 10; address++) {
-      watch.hear(address, {});
+      harness.hear(address, {});
     }
-    watch.ejection.compareTargets('map', watch.now);
+    harness.ejection.compareTargets('map', harness.now);
   }
-  t.is(watch.status, 'setAside');
-  t.not(watch.place(true).entry, watch.first, 'no trial at a silent agent');
+  t.is(harness.status, 'setAside');
+  t.not(harness.place(true).entry, harness.first, 'no trial at an unresponsive agent');
 });
 
-/** Routes an opening every 50 ms for ten seconds, while the first of eight targets fails. */
+/** Routes a new flow every 50 ms for ten seconds, while the first of eight targets fails. */
 function runOpenings(openingCopy: number): RouterHarness {
   const harness = new RouterHarness([4, 4, 4, 4, 4, 4, 4, 4]);
   const services = [{ service: 'map', weight: 1 }];
   const route = { name: 'map', destination: DESTINATION, services, isRepeatable: true };
   harness.router.apply({ version: 2, idleTimeout: 60_000, profiles: [], routes: [route] });
-  // Agents that are heard for the first time are doubtful for a while.
+  // Agents that have just been discovered are doubtful for a while.
   harness.runFor(2 * SECOND_MS);
   for (let round = 0; round < 200; round++) {
     harness.runFor(STEP_MS);
@@ -334,7 +338,7 @@
   return harness;
 }
 
-test('a balancer places, tries and counts by its own judgement', (t) => {
+test('a balancer ejects a failing target, sends trials and counts them', (t) => {
   const { router, sent, agents } = runOpenings(0);
   const { flowsPlaced, flowsPlacedDoubtful, flowsPlacedLastResort, trialFlows } = router.counters;
   t.is(flowsPlaced, 200);
@@ -344,13 +348,13 @@
   t.is(flowsPlacedDoubtful + flowsPlacedLastResort, 0);
 });
 
-test('a copy of an opening is no trial: its client has lost time already', (t) => {
+test('a retransmitted opening packet is not used as a trial: its client has lost time already', (t) => {
   const { router, sent, agents } = runOpenings(1);
   t.is(router.counters.trialFlows, 0);
   t.is(sent.filter(({ to }) => to === agents[0]).length, 0);
 });
 
-test('the type of a route says whether its requests may be repeated', (t) => {
+test('the type of a route determines whether its requests may be repeated', (t) => {
   const routeOf = (type: unknown): unknown => ({
     name: 'r',
     host: '10.0.0.1',
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -1,4 +1,4 @@
-/** Requests that wait at the agent, and packets that wait for a balancer's start. */
+/** Queueing of requests at the agent, and of packets during a balancer's startup. */
 import test from 'ava';
 import { packetFormat } from '../platform/packet-head';
 import type { FlowPacket } from '../src/packets/flow-packet';
@@ -23,7 +23,7 @@
   return { packet, balancer: 1, searchId: 0, terms: UNKNOWN_TERMS, since, seenAt };
 }
 
-test('requests are served in order while waits are short, and the newest first beyond that', (t) => {
+test('requests are served in order while waits are short, and otherwise the newest first', (t) => {
   const queue = new RequestQueue(10);
   ['a', 'b', 'c'].forEach((flow, index) => queue.add(createRequest(flow, index * 10)));
   t.is(queue.take(50, getWaitLimit)!.packet.flow, 'a');
@@ -32,14 +32,14 @@
   t.is(queue.take(150, getWaitLimit), undefined);
 });
 
-test('what can still be answered in time goes before what is late, the oldest of it first', (t) => {
+test('requests that can be answered in time go before late ones, the oldest first', (t) => {
   const queue = new RequestQueue(10);
   ['a', 'b', 'c', 'd'].forEach((flow, index) => queue.add(createRequest(flow, index * 30)));
   const order = Array.from({ length: 4 }, () => queue.take(135, getWaitLimit)!.packet.flow);
   t.deepEqual(order, ['c', 'd', 'b', 'a']);
 });
 
-test('a copy of a waiting request keeps its place and shows that its client is there', (t) => {
+test('a retransmitted request keeps its position and proves that its client is present', (t) => {
   const queue = new RequestQueue(10);
   queue.add(createRequest('a', 0));
   queue.add(createRequest('b', 10));
@@ -50,7 +50,7 @@
   t.is(queue.take(2_600, getWaitLimit)!.since, 0);
 });
 
-test('a queue is bounded: what came first no longer waits', (t) => {
+test('a full queue releases its oldest request', (t) => {
   const queue = new RequestQueue(10);
   for (let flow = 0; flow < 2_000; flow++) {
     t.is(queue.add(createRequest(`f${flow}`, flow)), undefined);
@@ -59,7 +59,7 @@
   t.is(queue.size, 2_000);
 });
 
-test('patience follows the time that a target takes', (t) => {
+test('the wait limit follows the service time of the target', (t) => {
   const time = new ServiceTimeEstimator();
   for (let answers = 0; answers < 200; answers++) {
     time.recordAnswer(20);
@@ -77,7 +77,7 @@
   return packetFormat.decodeFromTarget(encodePacket(ROUTE, CLIENT, flags, sequence, ack, data))!;
 }
 
-test('only the packet that completes a request of a flow of this target may wait', (t) => {
+test('only the packet that completes a request of a flow of this target may be queued', (t) => {
   const tracker = new FlowTracker();
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')));
   tracker.recordDelivery(decodeClient(Flag.syn, 0, 1), 1, 0);
@@ -85,13 +85,16 @@
   t.true(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')));
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 777, 'GET')), 'another target');
   t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101)), 'no data');
-  t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200))), 'goes on');
+  t.false(
+    tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200))),
+    'incomplete',
+  );
   tracker.recordDelivery(decodeClient(Flag.ack, 1, 101, 'GET'), 1, 0);
-  t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')), 'a repeat');
+  t.false(tracker.completesRequest(decodeClient(Flag.ack, 1, 101, 'GET')), 'a retransmission');
   t.is(tracker.workingRequests, 1);
 });
 
-test('an upload that is under way takes no slot; an answer or a reset gives it back', (t) => {
+test('an incomplete upload takes no slot; an answer or a reset frees it', (t) => {
   const tracker = new FlowTracker();
   tracker.recordDelivery(decodeClient(Flag.ack, 1, 101, 'x'.repeat(1_200)), 1, 0);
   t.is(tracker.busyRequests, 1);
@@ -107,7 +110,7 @@
   return { flow, opens: false, sequence } as FlowPacket;
 }
 
-test('the newest packet of each flow waits for a start, within bounds and not for long', (t) => {
+test('the newest packet of each flow is buffered during startup, limited in number and time', (t) => {
   const backlog = new StartupBacklog();
   backlog.add(createData('a', 1), 0);
   backlog.add(createData('b', 1), 100);
@@ -123,7 +126,7 @@
   t.is(backlog.size, 1_024);
 });
 
-test('a packet that comes before a starting balancer knows anything is served, not lost', (t) => {
+test('a packet that arrives before a starting balancer has a view is served, not lost', (t) => {
   const world = new PacketWorld(31);
   startModelDeployment(world, 1);
   const [balancer] = world.balancers;
@@ -143,7 +146,7 @@
   t.is(counters.packetsDropped, 0);
 });
 
-test('a target has its slots and some in reserve; the rest waits and follows its answers', (t) => {
+test('a target gets requests for its slots and a reserve; the rest waits for answers', (t) => {
   const tracker = new FlowTracker();
   const target = new TargetLifecycle('map', 770, 0);
   const handedOver: string[] = [];
--- a/test/persistent-flows.test.ts
+++ b/test/persistent-flows.test.ts
@@ -1,4 +1,4 @@
-/** Flows that stay at their target for many requests, while hundreds of them open in a second or two. */
+/** Placement of persistent flows while hundreds of them open within a second or two. */
 import test from 'ava';
 import { packEndpoint } from '../src/core/endpoint';
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
@@ -23,20 +23,20 @@
   return { destination, ...plain, ...fields } as FlowPacket;
 }
 
-test('a route whose flows go on is known by the second request of its first flows', (t) => {
+test('a route of persistent flows is recognized by the second request of its first flows', (t) => {
   const use = new RouteRequestStatistics();
-  t.is(use.estimateRequestsPerFlow(STREAM, 0), 2, 'nothing seen');
+  t.is(use.estimateRequestsPerFlow(STREAM, 0), 2, 'no observations');
   for (let flow = 0; flow < 20; flow++) {
     const seen = createFlowRequestCount();
     use.recordPacket(createPacket(STREAM, { payloadLength: 10 }), seen, 0);
     use.recordPacket(createPacket(STREAM, { payloadLength: 10 }), seen, 200);
-    t.is(seen.requests, 1, 'a copy is no request');
+    t.is(seen.requests, 1, 'a retransmission is no request');
     use.recordPacket(createPacket(STREAM, { payloadLength: 10, sequence: 11 }), seen, 3_000);
   }
   t.true(use.estimateRequestsPerFlow(STREAM, 3_000) > 5);
 });
 
-test('a route whose flows end with their first request is known by their ends', (t) => {
+test('a route whose flows end with their first request is recognized by their ends', (t) => {
   const use = new RouteRequestStatistics();
   for (let flow = 0; flow < 30; flow++) {
     const seen = createFlowRequestCount();
@@ -48,20 +48,20 @@
   t.is(use.estimateRequestsPerFlow(STREAM, 30), 2);
 });
 
-test('load is poured over the lowest places first', (t) => {
-  const places = [
+test('load fills the lowest bins first', (t) => {
+  const bins = [
     { level: 10, width: 1 },
     { level: 4, width: 2 },
     { level: 5, width: 1 },
   ];
-  t.is(computeWaterLevel(places, 0), 0);
-  t.is(computeWaterLevel(places, 1), 4.5);
-  t.is(computeWaterLevel(places, 2), 5);
-  t.is(computeWaterLevel(places, 5), 6);
+  t.is(computeWaterLevel(bins, 0), 0);
+  t.is(computeWaterLevel(bins, 1), 4.5);
+  t.is(computeWaterLevel(bins, 2), 5);
+  t.is(computeWaterLevel(bins, 5), 6);
   t.is(computeWaterLevel([], 5), 0);
 });
 
-test('the wait rises with use, and evenly where a target is overloaded', (t) => {
+test('the queue length rises with utilization, and linearly where a target is overloaded', (t) => {
   t.is(estimateQueueLength(0.5), 1);
   t.true(Math.abs(estimateQueueLength(0.9) - 9) < 1e-9);
   t.true(Math.abs(estimateQueueLength(1) - 19) < 1e-9);
@@ -72,7 +72,7 @@
 const BALANCERS = 24;
 const REPORT_INTERVAL_MS = 500;
 const FAST_ANSWER_TIME_MS = 15;
-/** One target in four takes more than twice as long as the others. */
+/** Answer time of one target in four. */
 const SLOW_ANSWER_TIME_MS = 34;
 
 function getAnswerTime(target: number): number {
@@ -80,9 +80,9 @@
 }
 
 /**
- * Opens flows one after the other at the balancers in turn, all of which hear the same reports; each
- * target looks idle in them, as it does between the requests of such flows.
- * @returns how busy each target is, in terms of the mean
+ * Opens flows at random balancers that all have the same reports. In these each target looks idle,
+ * as it does between the requests of such flows.
+ * @returns load of each target relative to the mean
  */
 function simulateOpenings(
   flows: number,
@@ -138,15 +138,15 @@
   return uses.map((use) => use / mean);
 }
 
-test('many flows that open at once are spread by what targets can do, before any is busy', (t) => {
+test('many flows that open at once are spread by target capacity before any target is busy', (t) => {
   const spread = Math.max(...simulateOpenings(1_700, 1, 5));
-  t.true(spread <= 1.25, `the busiest target has ${spread.toFixed(2)} times the mean`);
+  t.true(spread <= 1.25, `the most loaded target has ${spread.toFixed(2)} times the mean`);
   const unspread = Math.max(...simulateOpenings(1_700, 1, 1));
   t.true(unspread > spread, `${unspread.toFixed(2)} where each flow has one request`);
 });
 
-test('the first answers of a few targets draw no flows: they say little of what targets can do', (t) => {
-  // At the start six targets have answered once or twice, some of them easy requests.
+test('the first answers of a few targets do not attract flows', (t) => {
+  // At the start six targets have one or two answers, some of them to easy requests.
   const firstTimes = [34, 6, 9, 15, 60, 20];
   const figuresOf = (target: number, now: number): Partial<ReportMessage> => {
     const answerTime = firstTimes[target] ?? 0;
@@ -156,7 +156,7 @@
   [1, 2].forEach((target) => t.true(uses[target]! <= 1.25, `${uses[target]!.toFixed(2)} times`));
 });
 
-test('flows of one request each are placed as before, whatever flows targets have', (t) => {
+test('flows of one request each are placed regardless of open flows', (t) => {
   const directory = new AgentDirectory();
   const reports = [{ openFlows: 90 }, { openFlows: 10 }, { openFlows: 50, busyRequests: 4 }];
   const entries = reports.map((fields, address) =>
@@ -168,7 +168,7 @@
   t.deepEqual(selectAgent(entries, createSelectionContext())!, single);
 });
 
-test('a target that has not been timed gets no more flows than a slow one', (t) => {
+test('a target without an answer time gets no more flows than a slow one', (t) => {
   const directory = new AgentDirectory();
   const timed = Array.from({ length: 7 }, (_, target) => ({ answerTime: getAnswerTime(target) }));
   const reports = [...timed, { answers: 0, answerTime: 0 }];
@@ -180,7 +180,7 @@
   t.not(entry.address, 8);
 });
 
-test('a target of a service that hardly works gets flows, whatever clients have left open there', (t) => {
+test('a target of a nearly idle service gets flows, however many idle ones are open there', (t) => {
   const random = new SeededRandom(9);
   const directory = new AgentDirectory();
   const entries = [377, 315, 325, 214].map((openFlows, address) =>
--- a/test/request-order.test.ts
+++ b/test/request-order.test.ts
@@ -1,4 +1,4 @@
-/** Requests of several priorities before one target that has more to do than it can. */
+/** Scheduling of requests of several priorities at an overloaded target. */
 import test from 'ava';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import { PriorityShares } from '../src/packets/queue/priority-shares';
@@ -19,7 +19,7 @@
   return { packet: { flow } as FlowPacket, balancer: 1, searchId: 0, terms, since, seenAt: since };
 }
 
-test('an urgent request goes before others that came earlier', (t) => {
+test('an urgent request is served before earlier ones', (t) => {
   const queue = new RequestQueue(LOWER_SHARE_PERCENT);
   queue.add(createRequest('stream', STREAM, 0));
   queue.add(createRequest('check', CHECK, 50));
@@ -27,22 +27,22 @@
   t.is(queue.take(60, getWaitLimit)!.packet.flow, 'stream');
 });
 
-test('of one priority the request that is late first goes first, whichever came first', (t) => {
+test('within a priority the request that is due first is served first', (t) => {
   const queue = new RequestQueue(LOWER_SHARE_PERCENT);
-  queue.add(createRequest('patient', { ...STREAM, latencyGoal: 1_000 }, 0));
-  queue.add(createRequest('hasty', STREAM, 40));
-  t.is(queue.take(60, getWaitLimit)!.packet.flow, 'hasty');
+  queue.add(createRequest('long goal', { ...STREAM, latencyGoal: 1_000 }, 0));
+  queue.add(createRequest('short goal', STREAM, 40));
+  t.is(queue.take(60, getWaitLimit)!.packet.flow, 'short goal');
 });
 
-test('a lower priority keeps its share of the turns while a more urgent one always waits', (t) => {
+test('a lower priority gets its share while a more urgent one always waits', (t) => {
   const shares = new PriorityShares(LOWER_SHARE_PERCENT);
   const turns = Array.from({ length: 1_001 }, () => shares.selectPriority([1, 2, 3]));
   t.is(turns.filter((turn) => turn === 2).length, 100);
-  t.is(turns.filter((turn) => turn === 3).length, 100, 'each a turn after the other');
+  t.is(turns.filter((turn) => turn === 3).length, 100, 'the same share');
   t.is(new PriorityShares(0).selectPriority([1, 2]), 1);
 });
 
-test('nothing is saved up for a time in which nobody waited', (t) => {
+test('no credit is kept from a time in which nothing waited', (t) => {
   const shares = new PriorityShares(LOWER_SHARE_PERCENT);
   for (let turn = 0; turn < 9; turn++) {
     shares.selectPriority([1, 2]);
@@ -51,7 +51,7 @@
   t.is(shares.selectPriority([1, 2]), 1);
 });
 
-test('requests whose callers have given up cost no work, and no place', (t) => {
+test('requests past their deadline are neither served nor kept in the queue', (t) => {
   const queue = new RequestQueue(LOWER_SHARE_PERCENT);
   queue.add(createRequest('stream', STREAM, 0));
   queue.add({ ...createRequest('check', CHECK, 0), seenAt: 2_000 });
@@ -63,7 +63,7 @@
   t.is(queue.size, 0);
 });
 
-/** Answers in time of each kind at one target that is offered more than it can do. */
+/** Shares of requests answered in time at an overloaded target, and of wasted service. */
 interface Outcome {
   readonly check: number;
   readonly stream: number;
@@ -79,7 +79,7 @@
 
 const SECONDS = 6;
 
-/** What comes of each kind, at random times at its rate. */
+/** Creates the requests of each kind, at random times at its rate. */
 function createArrivals(kinds: readonly RequestKind[], areTermsKnown: boolean): WaitingRequest[] {
   const random = new SeededRandom(11);
   const arrivals = kinds.flatMap(({ name, terms, rate }) =>
@@ -91,7 +91,7 @@
   return arrivals.sort((one, other) => one.since - other.since);
 }
 
-/** One slot works on what comes for some seconds. */
+/** Serves the arriving requests by one slot. */
 function simulateOverload(kinds: readonly RequestKind[], areTermsKnown: boolean): Outcome {
   const arrivals = createArrivals(kinds, areTermsKnown);
   const queue = new RequestQueue(LOWER_SHARE_PERCENT);
@@ -115,7 +115,7 @@
   return { check: check!, stream: stream!, wasted: 1 - served / answered.length };
 }
 
-test('with work for 130 of 100, checks are answered in time and streams get the rest', (t) => {
+test('at 130% load checks are answered in time and streams get the rest', (t) => {
   const kinds: readonly RequestKind[] = [
     { name: 'check', terms: CHECK, rate: 20 },
     { name: 'stream', terms: STREAM, rate: 45 },
@@ -128,7 +128,7 @@
   t.true(unknown.check < known.check, `${unknown.check}`);
 });
 
-test('where nothing is known of routes, requests leave in the order that they had before', (t) => {
+test('without route terms requests are served in the single-priority order', (t) => {
   const random = new SeededRandom(5);
   const patience = 100;
   for (let round = 0; round < 200; round++) {
@@ -145,7 +145,7 @@
   }
 });
 
-/** The rule for requests of one kind: the oldest that is in time, else the newest. */
+/** Reference order for one priority: the oldest that is in time, else the newest. */
 function takeInSinglePriorityOrder(
   waiting: WaitingRequest[],
   now: number,
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -1,4 +1,4 @@
-/** A start after all power is lost: what waits for a process, and in which order it is served. */
+/** Startup after a total power loss: buffering, relaying and missing targets. */
 import test from 'ava';
 import { execFileSync } from 'node:child_process';
 import { createServer } from 'node:net';
@@ -26,14 +26,14 @@
 import { VirtualClock } from '../src/simulation/virtual-clock';
 import { waitFor } from './support/packet-cluster';
 
-/** Sends from another process while this one stands still, as it does while it loads a program. */
+/** Sends from another process while this one is blocked, as it is while it loads a program. */
 function sendFromOtherProcess(port: number, address: string, text: string): void {
   const send = `const s = require('dgram').createSocket('udp4');
     s.send('${text}', ${port}, '${address}', () => s.close());`;
   execFileSync(process.execPath, ['-e', send]);
 }
 
-test('a datagram that comes before the program binds its socket is received', async (t) => {
+test('a datagram that arrives before the program binds its socket is received', async (t) => {
   const endpoint = '127.41.1.1:21411';
   bindEarly(endpoint);
   sendFromOtherProcess(21_411, '127.41.1.1', 'opening');
@@ -48,7 +48,7 @@
   t.is(socket.endpoint, parseEndpoint(endpoint).unwrap());
 });
 
-test('an address that is taken is left to the program, which says why', async (t) => {
+test('an address in use is left to the program, which reports the error', async (t) => {
   const endpoint = parseEndpoint('127.41.1.1:21412').unwrap();
   const owner = (await UdpSocket.bindEndpoint(endpoint, () => undefined)).unwrap();
   t.teardown(() => owner.close());
@@ -57,7 +57,7 @@
   t.is(second.err ? second.val.resultCode.number : 0, 1402);
 });
 
-test('a socket that was bound early is handed out once', async (t) => {
+test('an early-bound socket is returned only once', async (t) => {
   const endpoint = parseEndpoint('127.41.1.1:21413').unwrap();
   bindEarly('127.41.1.1:21413');
   const first = (await UdpSocket.bindEndpoint(endpoint, () => undefined)).unwrap();
@@ -78,7 +78,7 @@
   return packets.map(({ flow }) => flow);
 }
 
-test('what can still be answered in time goes before what is late, each by its age', (t) => {
+test('packets that can be answered in time are released before late ones, each by age', (t) => {
   const backlog = new StartupBacklog();
   backlog.add(createOpening('late copy', 2), 0);
   backlog.add(createOpening('late'), 10);
@@ -90,7 +90,7 @@
   t.deepEqual(order, ['copy', 'older', 'young', 'late copy', 'late', 'data']);
 });
 
-test('the first agents heard get only their part of what waits', (t) => {
+test('the first reachable agents get only their share of the backlog', (t) => {
   const backlog = new StartupBacklog();
   for (let flow = 0; flow < 20; flow++) {
     backlog.add(createOpening(`f${flow}`), flow);
@@ -102,7 +102,7 @@
   t.is(backlog.takeOpenings(50, () => createGroup(1)).length, 10);
 });
 
-test('services do not share what their agents may get; without a route nothing waits', (t) => {
+test('services have separate allowances; packets without a route are released at once', (t) => {
   const backlog = new StartupBacklog();
   ['a1', 'a2', 'b1', 'b2', 'none'].forEach((flow) => backlog.add(createOpening(flow), 0));
   const groups: Record<string, OpeningGroup> = {
@@ -114,7 +114,7 @@
   t.is(backlog.size, 3);
 });
 
-test('an opening waits as long as its client does', (t) => {
+test('an opening packet is buffered as long as its client waits', (t) => {
   const backlog = new StartupBacklog();
   backlog.add(createOpening('first'), 0);
   backlog.add(createOpening('last copy', 2), 0);
@@ -128,26 +128,26 @@
   return { zone, packetAddress, capacity, isReady: true };
 }
 
-test('a starting balancer hands packets on to stronger ones only, each flow to one of them', (t) => {
+test('a starting balancer forwards packets only to stronger ones, each flow to one of them', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.3);
   relay.learn(1, createStatus(11, 0.3), 0);
-  t.is(relay.chooseDestination('f', 4, 0), undefined, 'an equal one is starting too');
+  t.is(relay.chooseDestination('f', 4, 0), undefined, 'an equal one starts too');
   relay.learn(2, createStatus(12, 1.35, 'south'), 0);
   t.is(relay.chooseDestination('f', 4, 0), 12);
   relay.learn(3, createStatus(13, 1.35), 0);
-  t.is(relay.chooseDestination('f', 4, 0), 12, 'where its opening went');
-  t.is(relay.chooseDestination('g', 4, 0), 13, 'the own zone first');
-  t.is(relay.chooseDestination('h', 4, 5_000), undefined, 'nothing heard for too long');
-  t.is(relay.findDestination('g', 1_500), 13, 'as before, while no new flows go there');
-  t.is(relay.findDestination('g', 5_000), undefined, 'nor flows that went to one that is silent');
+  t.is(relay.chooseDestination('f', 4, 0), 12, 'the destination of its opening packet');
+  t.is(relay.chooseDestination('g', 4, 0), 13, 'the home zone first');
+  t.is(relay.chooseDestination('h', 4, 5_000), undefined, 'no recent status');
+  t.is(relay.findDestination('g', 1_500), 13, 'existing flows only');
+  t.is(relay.findDestination('g', 5_000), undefined, 'the balancer is unresponsive');
   t.is(relay.chooseDestination('g', 4, 5_000), undefined);
   relay.learn(2, createStatus(12, 1.35, 'south'), 5_000);
-  t.is(relay.chooseDestination('g', 4, 5_000), 12, 'another one takes its flows');
+  t.is(relay.chooseDestination('g', 4, 5_000), 12, 'another balancer takes its flows');
   relay.clear();
   t.false(relay.hasRelayedFlows);
 });
 
-test('one strong balancer does not take the traffic of a large cluster', (t) => {
+test('one strong balancer does not get the traffic of a large cluster', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.324);
   relay.learn(2, createStatus(12, 1.35), 0);
   t.false(relay.canRelay(24, 0));
@@ -157,8 +157,8 @@
   t.false(relay.canRelay(24, 10));
 });
 
-/** Balancers of which the first is strong, and agents, as they start again together. */
-function startMixedWorld(): PacketWorld {
+/** Starts balancers, of which the first is strong, and agents together. */
+function startMixedSimulation(): PacketWorld {
   const world = new PacketWorld(61);
   startModelDeployment(world, 1);
   world.addBalancer('south', 0.3);
@@ -167,7 +167,7 @@
 }
 
 test('packets are served by a stronger balancer while a slow one starts', (t) => {
-  const world = startMixedWorld();
+  const world = startMixedSimulation();
   const [strong, slow] = world.balancers;
   world.store.down = true;
   world.startBalancer(slow!);
@@ -187,8 +187,8 @@
   t.is(slow!.node.router.counters.flowsPlaced, 0);
 });
 
-test('a balancer without help finds the others through agents within the time of two calls', (t) => {
-  const world = startMixedWorld();
+test('a balancer with unreachable seeds discovers the others through agents within two calls', (t) => {
+  const world = startMixedSimulation();
   const [, slow] = world.balancers;
   world.seeds = [0x0a09_0909_1b58];
   world.startBalancer(slow!);
@@ -198,9 +198,9 @@
 
 const FLOWS = 12;
 
-test('a flow that moves between balancers before its first data is found without other targets', (t) => {
+test('a flow that changes balancers before its first data is found without other targets', (t) => {
   const world = new PacketWorld(62);
-  // So that no agent can tell how old its target is, and nobody knows all flows of a target.
+  // No agent can tell the age of its target, so none knows all flows of its target.
   world.coldTime = 0;
   startModelDeployment(world, 2);
   world.agents.forEach((agent) => world.startAgent(agent));
@@ -228,26 +228,26 @@
   t.is(returned, 0);
 });
 
-/** A world whose last agent has come back without its target, with an entry in the registry. */
-function startWithoutTarget(earlyStart: boolean): { world: PacketWorld; lone: WorldAgent } {
+/** Creates a world with an agent that has restarted without its target and is still registered. */
+function startWithoutTarget(earlyStart: boolean): { world: PacketWorld; orphan: WorldAgent } {
   const world = new PacketWorld(63);
   world.earlyStart = earlyStart;
   startModelDeployment(world, 2);
   world.runFor(3_000);
-  const lone = world.agents[0]!;
-  lone.process.kill();
-  lone.target.alive = false;
-  // No process starts again before the last datagrams of its earlier run have come.
+  const orphan = world.agents[0]!;
+  orphan.process.kill();
+  orphan.target.alive = false;
+  // Datagrams of the previous incarnation arrive before the restart.
   world.runFor(20);
   world.balancers.forEach((balancer) => world.startBalancer(balancer));
-  world.startAgent(lone);
-  return { world, lone };
+  world.startAgent(orphan);
+  return { world, orphan };
 }
 
-/** Sends data of a flow that no target holds and tells how many resets it brings in 100 ms. */
-function countResetsOfDeadFlow(world: PacketWorld): number {
+/** Sends data of a flow that no target holds and counts the resets within 100 ms. */
+function countResetsOfUnheldFlow(world: PacketWorld): number {
   const { node } = world.balancers[0]!;
-  const dead = {
+  const packet = {
     client: 0x6440_0007_9c41,
     destination: MAP_DESTINATION,
     flags: 0,
@@ -255,26 +255,26 @@
     acknowledgement: 7,
     payload: 'request',
   };
-  node.handleClientDatagram(encodeModelPacket(dead));
+  node.handleClientDatagram(encodeModelPacket(packet));
   world.runFor(100);
   return node.router.counters.resetsSent;
 }
 
-test('an agent without a target leaves the registry, and keeps no reset back', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('an agent without a target is unregistered and does not prevent resets', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(4_000);
-  t.false(world.store.agents.items.has(String(lone.address)));
-  t.is(countResetsOfDeadFlow(world), 1);
+  t.false(world.store.agents.items.has(String(orphan.address)));
+  t.is(countResetsOfUnheldFlow(world), 1);
 });
 
-test('switched off, such an agent keeps its entry, and resets back', (t) => {
-  const { world, lone } = startWithoutTarget(false);
+test('with the early start disabled such an agent stays registered and prevents resets', (t) => {
+  const { world, orphan } = startWithoutTarget(false);
   world.runFor(4_000);
-  t.true(world.store.agents.items.has(String(lone.address)));
-  t.is(countResetsOfDeadFlow(world), 0);
+  t.true(world.store.agents.items.has(String(orphan.address)));
+  t.is(countResetsOfUnheldFlow(world), 0);
 });
 
-test('an agent that restarts beside a silent target that lives keeps its entry', (t) => {
+test('an agent that restarts with a running but unresponsive target stays registered', (t) => {
   const world = new PacketWorld(64);
   startModelDeployment(world, 2);
   world.runFor(3_000);
@@ -286,124 +286,128 @@
   t.true(agent.node.figures.targetLooks > 1);
 });
 
-test('an agent whose target comes at last is listed again and serves', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('an agent whose target starts later is registered again and serves', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(4_000);
-  world.startTarget(lone);
+  world.startTarget(orphan);
   world.runFor(5_000);
-  t.true(world.store.agents.items.has(String(lone.address)));
-  world.balancers.forEach(({ node }) => t.is(node.directory.find(lone.address)?.report?.state, 2));
+  t.true(world.store.agents.items.has(String(orphan.address)));
+  world.balancers.forEach(({ node }) =>
+    t.is(node.directory.find(orphan.address)?.report?.state, 2),
+  );
 });
 
-test('an agent that all have forgotten is found again without the store when its target comes', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('an agent dropped by all balancers is found without the store when its target starts', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(12_000);
-  world.balancers.forEach(({ node }) => t.is(node.directory.find(lone.address), undefined));
+  world.balancers.forEach(({ node }) => t.is(node.directory.find(orphan.address), undefined));
   world.store.down = true;
-  world.startTarget(lone);
+  world.startTarget(orphan);
   world.runFor(1_000);
-  world.balancers.forEach(({ node }) => t.is(node.directory.find(lone.address)?.report?.state, 2));
+  world.balancers.forEach(({ node }) =>
+    t.is(node.directory.find(orphan.address)?.report?.state, 2),
+  );
 });
 
-test('the store is asked again until it has taken the entry out', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('the removal of the entry is retried until the store accepts it', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(1_000);
-  world.store.refused.add(lone.name);
+  world.store.refused.add(orphan.name);
   world.runFor(3_000);
-  t.true(world.store.agents.items.has(String(lone.address)));
+  t.true(world.store.agents.items.has(String(orphan.address)));
   world.store.refused.clear();
   world.runFor(2_000);
-  t.false(world.store.agents.items.has(String(lone.address)));
+  t.false(world.store.agents.items.has(String(orphan.address)));
 });
 
-test('a target that comes while its entry is being taken out is listed as soon as that is over', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('a target that starts during the removal of its entry is registered right after it', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.store.answerTime = 500;
   world.runFor(2_300);
   world.store.answerTime = 4;
-  world.startTarget(lone);
+  world.startTarget(orphan);
   world.runFor(450);
-  t.true(world.store.agents.items.has(String(lone.address)));
-  t.is(lone.node.figures.registrations, 2, 'the removal and then the registration');
+  t.true(world.store.agents.items.has(String(orphan.address)));
+  t.is(orphan.node.figures.registrations, 2, 'the removal and then the registration');
 });
 
-test('a listing that balancers tell late does not keep a target out that comes after all', (t) => {
-  const { world, lone } = startWithoutTarget(true);
-  const isListed = (): boolean => world.store.agents.items.has(String(lone.address));
-  world.store.refused.add(lone.name);
+test('an outdated listing does not prevent the registration of a target that starts later', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
+  const isListed = (): boolean => world.store.agents.items.has(String(orphan.address));
+  world.store.refused.add(orphan.name);
   world.runFor(5_000);
   world.store.refused.clear();
   for (let step = 0; step < 200 && isListed(); step++) {
     world.runFor(10);
   }
   t.false(isListed());
-  world.startTarget(lone);
+  world.startTarget(orphan);
   world.runFor(20);
   t.true(isListed());
 });
 
-test('an agent without a target that is told to stop takes its entry with it', (t) => {
-  const { world, lone } = startWithoutTarget(true);
-  world.store.refused.add(lone.name);
+test('an agent without a target removes its entry when it stops', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
+  world.store.refused.add(orphan.name);
   world.runFor(3_000);
   world.store.refused.clear();
   let isDone = false;
-  lone.node.beginStop(() => {
+  orphan.node.beginStop(() => {
     isDone = true;
-    lone.process.kill();
+    orphan.process.kill();
   });
   world.runFor(10);
   t.true(isDone);
-  t.false(world.store.agents.items.has(String(lone.address)));
+  t.false(world.store.agents.items.has(String(orphan.address)));
 });
 
-test('an agent that stops before it has found out looks once more, and keeps no reset back', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('an agent that stops early probes for its target and does not prevent resets', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(600);
-  t.is(lone.node.figures.targetLooks, 0);
-  lone.node.beginStop(() => lone.process.kill());
+  t.is(orphan.node.figures.targetLooks, 0);
+  orphan.node.beginStop(() => orphan.process.kill());
   world.runFor(10);
-  t.false(world.store.agents.items.has(String(lone.address)));
-  t.is(countResetsOfDeadFlow(world), 1);
+  t.false(world.store.agents.items.has(String(orphan.address)));
+  t.is(countResetsOfUnheldFlow(world), 1);
 });
 
-test('its word that there is no target holds while its entry cannot be removed, and not for long', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('a report of a missing target is valid for a limited time while the entry remains', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(600);
   world.store.down = true;
-  lone.node.beginStop(() => undefined);
+  orphan.node.beginStop(() => undefined);
   world.runFor(50);
-  lone.process.kill();
-  t.is(countResetsOfDeadFlow(world), 1);
+  orphan.process.kill();
+  t.is(countResetsOfUnheldFlow(world), 1);
   world.runFor(3_000);
-  t.is(countResetsOfDeadFlow(world), 1, 'none more');
+  t.is(countResetsOfUnheldFlow(world), 1, 'no further reset');
 });
 
-test('a search that meets an agent without a target goes on by the next copy, and its entry stays', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('a search continues past an agent without a target on retransmission; the entry stays', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(300);
-  countResetsOfDeadFlow(world);
+  countResetsOfUnheldFlow(world);
   world.runFor(100);
-  t.is(countResetsOfDeadFlow(world), 1);
-  t.true(world.store.agents.items.has(String(lone.address)));
-  t.is(lone.node.state, 1, 'unknown, as a target that starts');
-  world.startTarget(lone);
+  t.is(countResetsOfUnheldFlow(world), 1);
+  t.true(world.store.agents.items.has(String(orphan.address)));
+  t.is(orphan.node.state, 1, 'unknown, as for a starting target');
+  world.startTarget(orphan);
   world.runFor(1_000);
-  t.is(lone.node.state, 2);
+  t.is(orphan.node.state, 2);
 });
 
-test('an agent that stops beside a target which has not been heard keeps its entry', (t) => {
-  const { world, lone } = startWithoutTarget(true);
+test('an agent that stops while its running target was never heard from keeps its entry', (t) => {
+  const { world, orphan } = startWithoutTarget(true);
   world.runFor(100);
-  lone.target.alive = true;
-  lone.heartbeats = false;
-  lone.node.beginStop(() => lone.process.kill());
+  orphan.target.alive = true;
+  orphan.heartbeats = false;
+  orphan.node.beginStop(() => orphan.process.kill());
   world.runFor(10);
-  t.true(world.store.agents.items.has(String(lone.address)));
-  t.is(countResetsOfDeadFlow(world), 0);
+  t.true(world.store.agents.items.has(String(orphan.address)));
+  t.is(countResetsOfUnheldFlow(world), 0);
 });
 
-/** What judges a target that is never heard; the test answers its looks. */
+/** Creates the presence of a target that never sends anything; the test answers the probes. */
 function createPresence(): {
   readonly answers: ((isVacant: boolean) => void)[];
   readonly clock: VirtualClock;
@@ -431,7 +435,7 @@
   return { answers, clock, count, presence };
 }
 
-test('a look that is answered after the agent has ended changes nothing', (t) => {
+test('a probe answered after the agent has stopped is ignored', (t) => {
   const { answers, clock, count, presence } = createPresence();
   presence.start();
   clock.runUntil(200);
@@ -441,7 +445,7 @@
   t.is(count.missed, 0);
 });
 
-test('two looks at once find out once that there is no target', (t) => {
+test('two concurrent probes report a missing target once', (t) => {
   const { answers, clock, count, presence } = createPresence();
   let done = 0;
   presence.start();
@@ -453,7 +457,7 @@
   t.is(done, 1);
 });
 
-test('a look at an address without a listener proves that there is no target', async (t) => {
+test('a probe of an address without a listener proves that there is no target', async (t) => {
   const vacant = new TcpTargetProbe(parseEndpoint('127.41.1.1:21414').unwrap());
   t.true(await new Promise<boolean>((done) => vacant.checkVacant(done)));
   const server = createServer().listen(21_415, '127.41.1.1');
@@ -463,14 +467,14 @@
   t.false(await new Promise<boolean>((done) => present.checkVacant(done)));
 });
 
-test('a look is not taken for unanswered when this process was held up itself', async (t) => {
+test('a probe does not time out because this process was blocked', async (t) => {
   const vacant = new TcpTargetProbe(parseEndpoint('127.41.1.1:21416').unwrap());
   const answer = new Promise<boolean>((done) => vacant.checkVacant(done));
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 700);
   t.true(await answer);
 });
 
-test('a target whose slots are not known yet does not get all that waits at once', (t) => {
+test('a target with unknown slots does not get all waiting requests at once', (t) => {
   const tracker = new FlowTracker();
   const target = new TargetLifecycle('map', 770, 0);
   const admission = new TargetAdmission({
--- a/test/route-terms.test.ts
+++ b/test/route-terms.test.ts
@@ -1,4 +1,4 @@
-/** What callers of a route expect: from the operator's document to the agent that lets requests wait. */
+/** Route terms, from the operator's document to the agent that queues requests. */
 import test from 'ava';
 import { readRoutingTable } from '../platform/routing-document';
 import { packEndpoint } from '../src/core/endpoint';
@@ -31,7 +31,7 @@
   return readRoutingTable({ name: 'main', revision: 1, spec })!.routes[0]!.terms;
 }
 
-test('a document tells the terms of a route; what is missing or contradictory holds for none', (t) => {
+test('route terms are read from a document; missing or contradictory ones are ignored', (t) => {
   t.deepEqual(readTerms({ priority: 1, 'slo-ms': 300, 'timeout-ms': 2_500 }), URGENT);
   t.deepEqual(readTerms({ priority: 0 }), { priority: 0, latencyGoal: 0, deadline: 0 });
   t.is(readTerms({ 'slo-ms': 300 }), undefined, 'no priority');
@@ -43,7 +43,7 @@
   t.is(checkTerms({ ...URGENT, latencyGoal: 3_000 }), 'goalBeyondDeadline');
 });
 
-test('a table counts the routes without terms, which are served all the same', (t) => {
+test('a table counts the routes without terms, which are served nevertheless', (t) => {
   const good = { host: '198.18.0.1', 'path-prefix': '/80/', service: 'a', priority: 1 };
   const routes = [good, { ...good, 'path-prefix': '/81/', priority: 'high' }];
   const table = readRoutingTable({ name: 'main', revision: 1, spec: { version: 1, routes } })!;
@@ -51,7 +51,7 @@
   t.is(table.routesWithoutTerms, 1);
 });
 
-test('only routes that share a service with others of other terms compete', (t) => {
+test('only routes that share a service with a route of other terms compete', (t) => {
   const check = createRoute(80, 'live', URGENT);
   const stream = createRoute(81, 'live', USUAL);
   const download = createRoute(82, 'archive', USUAL);
@@ -61,7 +61,7 @@
   t.is(findCompetingRoutes([createRoute(80, 'live'), createRoute(81, 'live')]).size, 0);
 });
 
-test('an agent is told a route twice in each of its runs, and again when its terms change', (t) => {
+test('terms are sent twice to each incarnation of an agent, and again when they change', (t) => {
   const ledger = new SentTermsTracker();
   const check = createRoute(80, 'live', URGENT);
   const stream = createRoute(81, 'live', USUAL);
@@ -75,13 +75,13 @@
   ledger.apply([changed, stream]);
   t.true(tell(2, changed));
   ledger.apply([check, createRoute(81, 'live', URGENT)]);
-  t.false(tell(2, check), 'no route competes with it');
+  t.false(tell(2, check), 'no competing route');
   ledger.expire(() => false);
   ledger.apply([check, stream]);
-  t.true(tell(2, check), 'what is forgotten is told again');
+  t.true(tell(2, check), 'terms are sent again to a dropped agent');
 });
 
-test('an agent goes by the later of two tables, whichever balancer tells it last', (t) => {
+test('an agent uses the terms of the later table, whichever is announced last', (t) => {
   const view = new RouteTermsCache();
   const { destination } = createRoute(80, 'live');
   view.learn({ ...URGENT, destination, version: 7 });
@@ -90,7 +90,7 @@
   t.is(view.getTerms(destination + 1), undefined);
 });
 
-test('terms travel in their message and in snapshots; older snapshots have none', (t) => {
+test('terms are encoded in their message and in snapshots; earlier snapshots have none', (t) => {
   const codec = new PacketFrameCodec([{ id: 1, secret: Buffer.from('a-test-key-of-the-cluster') }]);
   const { destination } = createRoute(80, 'live');
   const message = { type: PacketMessageType.routeTerms, destination, version: 7, ...URGENT };
--- a/test/support/selection-context.ts
+++ b/test/support/selection-context.ts
@@ -1,7 +1,7 @@
-/** What a choice of an agent depends on, as tests need it. */
+/** Selection context for tests. */
 import type { SelectionContext } from '../../src/packets/choice/selection';
 
-/** A balancer of the north that hears every agent at once and knows nothing against any. */
+/** Creates the context of a balancer in zone north with responsive and healthy agents. */
 export function createSelectionContext(fields: Partial<SelectionContext> = {}): SelectionContext {
   return {
     now: 0,
