--- a/src/packets/choice/degradation-detector.ts
+++ b/src/packets/choice/degradation-detector.ts
@@ -14,7 +14,7 @@
 /** Metrics of a target that are watched for degradation. */
 export interface TargetMetrics {
   readonly answerTime: number;
-  /** Recent answers that the time is based on. */
+  /** Recent answers behind this time. */
   readonly answers: number;
   /** 0 to 100. */
   readonly failurePercent: number;
--- a/src/packets/choice/load-spike-detector.ts
+++ b/src/packets/choice/load-spike-detector.ts
@@ -3,7 +3,7 @@
  * target: until its next report each of them would go on choosing this target by the last one.
  */
 
-/** Minimum rise, in requests plus flows; a smaller one changes no selection. */
+/** Minimum rise, in requests plus flows; less changes no selection. */
 const MINIMUM_RISE = 8;
 /** Minimum rise relative to the reported load. */
 const RISE_SHARE = 0.25;
--- a/src/packets/choice/outliers.ts
+++ b/src/packets/choice/outliers.ts
@@ -31,7 +31,7 @@
   readonly failurePercent: number;
   /** Milliseconds. */
   readonly answerTime: number;
-  /** Recent answers that the time is based on. */
+  /** Recent answers behind this time. */
   readonly answers: number;
   /** Whether it is slow after its start, which is no fault. */
   readonly isCold: boolean;
--- a/src/packets/choice/route-request-statistics.ts
+++ b/src/packets/choice/route-request-statistics.ts
@@ -11,13 +11,13 @@
 
 /** Time in which the weight of an observation decays to about a third. */
 const DECAY_TIME_MS = 30_000;
-/** Prior estimate of requests per flow, for a route without observations. */
+/** Prior estimate of requests per flow. */
 const ASSUMED_REQUESTS = 2;
 /** Weight of the prior estimate, in ended flows. */
 const ASSUMED_FLOWS = 5;
-/** Below it a route counts as having one request per flow; the rest is noise. */
+/** Below it a route has one request per flow; the rest is noise. */
 const SINGLE_REQUEST_LIMIT = 1.2;
-/** Upper bound: for its placement, a flow with more requests counts as permanent. */
+/** Upper bound; beyond it a flow is placed as a permanent one. */
 const MAXIMUM_REQUESTS = 20;
 /** Decay times after which a route without packets is forgotten. */
 const EXPIRY_DECAY_TIMES = 10;
--- a/src/packets/choice/service-time-tracker.ts
+++ b/src/packets/choice/service-time-tracker.ts
@@ -3,7 +3,7 @@
  * service begins at once while a slot is free, and otherwise when an earlier request ends.
  */
 
-/** Requests of one target, by an identifying key. */
+/** Requests of one target, by key. */
 export class ServiceTimeTracker<Key> {
   /** Start of service of each request that has a slot, oldest first. */
   private readonly startedAt = new Map<Key, number>();
--- a/src/packets/startup/target-presence.ts
+++ b/src/packets/startup/target-presence.ts
@@ -58,7 +58,7 @@
     return (this.isVacant || this.isProbedAbsent) && !this.dependencies.isTargetHeard();
   }
 
-  /** Number of probes of the target's address. */
+  /** Number of probes sent. */
   get looks(): number {
     return this.sentProbes;
   }
--- a/src/packets/terms/route-terms-cache.ts
+++ b/src/packets/terms/route-terms-cache.ts
@@ -2,7 +2,7 @@
 import type { Endpoint } from '../../environment';
 import type { RouteTerms, AnnouncedTerms } from './route-terms';
 
-/** Maximum number of routes; beyond it the one announced longest ago is dropped. */
+/** Beyond this number the route announced longest ago is dropped. */
 const MAXIMUM_ROUTES = 4_096;
 
 /** Route terms known to one agent. */
