--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -1,8 +1,8 @@
 /**
- * Frames of the packet interface. Messages that carry clients' packets have their fields at
- * fixed places before the packet's bytes: a balancer that has just started runs code that is
- * not compiled yet, where a bson document costs it most of what it has (docs/DECISIONS.md).
- * Everything else travels as a bson document.
+ * Frame codec of the packet interface. Messages that carry client packets have their fields at
+ * fixed offsets before the packet's bytes: in a balancer that has just started, code is not yet
+ * compiled, and decoding BSON would take most of its CPU time (docs/DECISIONS.md). All other
+ * messages are sent as BSON documents.
  *
  * Body of a compact frame, big-endian: message type (1 byte), then by type
  *   deliver: search (4), services, packet
@@ -14,8 +14,8 @@
  *   numberedDeliver: session (4), sequence number (4), search (4), services, packet
  *   numberedRefusal: session (4), sequence number (4), search (4), reason (1), packet
  *   report: report-frame.ts
- * where services are a length (2) and names parted by zero bytes, agents a count (2) and
- * addresses (6 each), and the last field takes the rest.
+ * where services are a length (2) and names separated by zero bytes, agents a count (2) and
+ * addresses (6 each), and the last field extends to the end of the body.
  */
 import { Ok, type Result } from 'ts-results';
 import type { Endpoint } from '../environment';
@@ -65,7 +65,7 @@
 const SERVICE_SEPARATOR = '\0';
 const MAXIMUM_CACHED_SERVICE_LISTS = 4_096;
 const SEARCH_ID_RANGE = 2 ** 32;
-/** Bytes of the fields before those of variable length, type included. */
+/** Bytes of the fixed-length fields at the start of the body, including the type. */
 const HEADER_BYTES = {
   deliver: 5,
   notHeld: 6,
@@ -74,7 +74,7 @@
   noneHolds: 5,
   received: 5,
 } as const;
-/** Bytes by which a numbered message is longer: session and sequence number after the type. */
+/** Session and sequence number, which follow the type in a numbered message. */
 const HOP_NUMBER_BYTES = 8;
 const SEQUENCE_BYTES = 4;
 const COUNT_BYTES = 2;
@@ -82,7 +82,7 @@
 const REFUSAL_REASONS: readonly number[] = Object.values(RefusalReason);
 const SEARCH_PHASES: readonly number[] = Object.values(SearchPhase);
 
-/** Whether messages of each type have a compact form. */
+/** Message types that have a compact form. */
 const HAS_COMPACT_FORM: Readonly<Record<PacketMessage['type'], boolean>> = {
   [PacketMessageType.deliver]: true,
   [PacketMessageType.notHeld]: true,
@@ -109,9 +109,9 @@
   return HAS_COMPACT_FORM[message.type];
 }
 
-/** Encodes and decodes both versions of frames. */
+/** Encodes and decodes BSON frames and compact frames. */
 export class PacketFrameCodec extends FrameCodec<PacketMessage> {
-  /** Lists of services as sent: few differ, and every packet carries one. */
+  /** Encoded service lists: there are few distinct ones, and every packet carries one. */
   private readonly packedServicesCache = new WeakMap<readonly string[], Buffer>();
   private readonly unpackedServicesCache = new Map<string, readonly string[]>();
 
@@ -119,7 +119,7 @@
     super(keys, PACKET_MESSAGE_FIELDS);
   }
 
-  /** Encodes a message with fields at fixed places. */
+  /** Encodes a message as a compact frame. */
   encodeCompact(message: CompactMessage): Buffer {
     const frame = this.encodeFrame(message);
     frame[BODY_OFFSET] = message.type;
@@ -127,7 +127,7 @@
     return frame;
   }
 
-  /** Authenticates and checks a datagram of either version. Errors 1301 to 1303. */
+  /** Authenticates and decodes a datagram of either version. Errors 1301 to 1303. */
   override decode(frame: Buffer): Result<PacketMessage, HallholdError> {
     if (frame[0] !== COMPACT_FRAME_VERSION) {
       return super.decode(frame);
@@ -138,11 +138,11 @@
     }
     const message = this.decodeBody(body.val);
     return message === undefined
-      ? failure(ResultCodes.frameMalformed, 'a compact frame of another form')
+      ? failure(ResultCodes.frameMalformed, 'malformed body of a compact frame')
       : new Ok(message);
   }
 
-  /** Encodes a report with fields at fixed places, for a node that knows them; else as a document. */
+  /** Encodes a report for a node that supports compact reports; as BSON if it does not fit. */
   encodeReport(report: ReportMessage): Buffer {
     if (!fitsCompactReport(report)) {
       return this.encode(report);
@@ -182,7 +182,7 @@
     }
   }
 
-  /** @param shift bytes left free behind the type */
+  /** @param shift bytes reserved after the type */
   private writeDelivery(message: Delivery, shift: number): Buffer {
     const services = this.packServices(message.services);
     const frame = allocateFrame(shift + HEADER_BYTES.deliver + services.length, message.payload);
@@ -205,7 +205,7 @@
     return frame;
   }
 
-  /** The message of a body; undefined when it has another form. */
+  /** Decodes a body; undefined when it is malformed. */
   private decodeBody(body: Buffer): PacketMessage | undefined {
     switch (body[0]) {
       case PacketMessageType.deliver:
@@ -309,14 +309,14 @@
   }
 }
 
-/** A frame with its last field in place. */
+/** Allocates a frame and writes its last field. */
 function allocateFrame(headerBytes: number, lastField: Buffer): Buffer {
   const frame = Buffer.allocUnsafe(BODY_OFFSET + headerBytes + lastField.length);
   frame.set(lastField, BODY_OFFSET + headerBytes);
   return frame;
 }
 
-/** @param shift bytes left free behind the type */
+/** @param shift bytes reserved after the type */
 function writeRefusal(message: Refusal, shift: number): Buffer {
   const frame = allocateFrame(shift + HEADER_BYTES.notHeld, message.payload);
   frame.writeUInt32BE(message.searchId % SEARCH_ID_RANGE, BODY_OFFSET + shift + 1);
@@ -324,7 +324,7 @@
   return frame;
 }
 
-/** Writes a message's number into the bytes left free for it. */
+/** Writes a message's hop number into the bytes reserved for it. */
 function writeHopNumber(frame: Buffer, { session, sequence }: HopNumber): Buffer {
   frame.writeUInt32BE(session, BODY_OFFSET + 1);
   frame.writeUInt32BE(sequence, BODY_OFFSET + 5);
@@ -363,7 +363,7 @@
   };
 }
 
-/** The number of a body that is long enough for one. */
+/** Reads the hop number; the body must be long enough. */
 function readHopNumber(body: Buffer): HopNumber {
   return { session: body.readUInt32BE(1), sequence: body.readUInt32BE(5) };
 }
@@ -393,7 +393,7 @@
   };
 }
 
-/** Offset behind a text with its length before it; undefined when the body is too short. */
+/** Offset after a length-prefixed text; undefined when the body is too short. */
 function findServicesEnd(body: Buffer, offset: number): number | undefined {
   if (body.length < offset + COUNT_BYTES) {
     return undefined;
@@ -415,7 +415,7 @@
   }
 }
 
-/** Offset behind a list of endpoints; undefined when it is too long, or the body too short. */
+/** Offset after a list of endpoints; undefined when it is too long, or the body too short. */
 function findEndpointsEnd(body: Buffer, offset: number): number | undefined {
   if (body.length < offset + COUNT_BYTES) {
     return undefined;
--- a/src/packets/packet-link.ts
+++ b/src/packets/packet-link.ts
@@ -1,6 +1,6 @@
 /**
- * The link of the packet interface: sends compact frames to nodes that understand them, so
- * that programs of two versions can serve side by side.
+ * Message link of the packet interface. Sends compact frames only to nodes that support them, so
+ * that two versions can run side by side.
  */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import { MessageLink } from '../wire/message-link';
@@ -16,10 +16,10 @@
 } from './packet-messages';
 import { isHopMessage } from './repair/hop-messages';
 
-/** Nodes noted; beyond that all are forgotten, and noted anew by their next frames. */
+/** Beyond this limit all nodes are forgotten; their next frames record them again. */
 const MAXIMUM_TRACKED_NODES = 20_000;
 
-/** Whether a message came with compact frames, and goes only to those who understand them. */
+/** Whether a message exists only as a compact frame and is sent only to nodes that support it. */
 function hasOnlyCompactForm(message: PacketMessage): boolean {
   switch (message.type) {
     case PacketMessageType.search:
@@ -31,7 +31,7 @@
   }
 }
 
-/** Sends and receives the frames of one node. */
+/** Sends and receives the messages of one node. */
 export class PacketLink extends MessageLink<PacketMessage> {
   private readonly compactFrameNodes = new Set<Endpoint>();
   private readonly groupSearchNodes = new Set<Endpoint>();
@@ -46,17 +46,17 @@
     super(packetCodec, transport, environment);
   }
 
-  /** Whether a node is known to understand compact frames. */
+  /** Whether a node is known to support compact frames. */
   supportsCompactFrames(node: Endpoint): boolean {
     return this.compactFrameNodes.has(node);
   }
 
-  /** Whether an agent is known to search in groups. */
+  /** Whether an agent is known to support group searches. */
   supportsGroupSearch(agent: Endpoint): boolean {
     return this.groupSearchNodes.has(agent);
   }
 
-  /** Whether an agent is known to understand sure searches. */
+  /** Whether an agent is known to support conclusive searches. */
   supportsConclusiveSearch(agent: Endpoint): boolean {
     return this.conclusiveSearchNodes.has(agent);
   }
@@ -66,7 +66,7 @@
     return this.hopRepairNodes.has(node);
   }
 
-  /** Notes which version of frames a node has said that it understands. */
+  /** Records the latest frame version that a node supports, as announced by it. */
   recordVersion(node: Endpoint, version: number): void {
     setNodeSupport(this.compactFrameNodes, node, version >= COMPACT_FRAME_VERSION);
     setNodeSupport(this.groupSearchNodes, node, version >= GROUP_SEARCH_VERSION);
@@ -74,20 +74,20 @@
     this.recordHopRepair(node, version);
   }
 
-  /** Notes that a node understands compact frames, and nothing else of it. */
+  /** Records that a node supports compact frames; changes nothing else known about it. */
   recordCompactFrames(node: Endpoint): void {
     setNodeSupport(this.compactFrameNodes, node, true);
   }
 
   /**
-   * Notes by the version of a node only whether it acknowledges numbered messages: balancers of
-   * an earlier version name none where later ones do, and yet may understand compact frames.
+   * Records by a node's version only whether it acknowledges numbered messages: earlier balancers
+   * send no version in this place, yet may support compact frames.
    */
   recordHopRepair(node: Endpoint, version: number): void {
     setNodeSupport(this.hopRepairNodes, node, version >= HOP_REPAIR_VERSION);
   }
 
-  /** The message of a received frame; a node that sends compact frames also understands them. */
+  /** Decodes a received frame; a node that sends compact frames also supports them. */
   receiveFrom(node: Endpoint, frame: Buffer): PacketMessage | undefined {
     const message = this.receive(frame);
     if (message && frame[0] === COMPACT_FRAME_VERSION) {
@@ -96,7 +96,7 @@
     return message;
   }
 
-  /** Sends a report to many, encoded once for those that know its compact form and once for others. */
+  /** Sends a report to several balancers, encoded once in each form that they support. */
   sendReport(balancers: readonly Endpoint[], report: ReportMessage): void {
     const compact = balancers.filter((balancer) => this.hopRepairNodes.has(balancer));
     const others = balancers.filter((balancer) => !this.hopRepairNodes.has(balancer));
@@ -114,7 +114,7 @@
   }
 }
 
-/** Adds a node to those noted, or takes it out. */
+/** Adds a node to a set, or removes it. */
 function setNodeSupport(nodes: Set<Endpoint>, node: Endpoint, isSupported: boolean): void {
   if (!isSupported) {
     nodes.delete(node);
--- a/src/packets/packet-message-schema.ts
+++ b/src/packets/packet-message-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The messages of the packet interface as bson documents: one short key a field, and the check that
- * a received value must pass. Fields that programs of an earlier version leave out have a default.
+ * BSON schema of the messages of the packet interface: a short key for each field and the check of
+ * received values. Fields that earlier versions do not send have a default.
  */
 import type { MessageSchema } from '../wire/frame-codec';
 import {
@@ -40,28 +40,28 @@
   return pack ? { property, key, unpack, pack } : { property, key, unpack };
 }
 
-/** Agents in the form in which they are sent. */
+/** Packs agents for sending, as [address, service, zone]. */
 export function packAgents(agents: readonly AgentRecord[]): unknown[] {
   return agents.map(({ address, service, zone }) => [address, service, zone]);
 }
 
-/** Checks one agent as received; throws a `FieldError` for anything else. */
+/** Checks a received agent; throws a `FieldError` if it is malformed. */
 export function unpackAgent(value: unknown): AgentRecord {
   const [address, service, zone] = tuple(value, 3);
   return { address: integer(address), service: text(service), zone: text(zone) };
 }
 
-/** Programs that know only the first version of frames name none. */
+/** Nodes that support only the first frame version send none. */
 function unpackFrameVersion(value: unknown): number {
   return value === undefined ? FIRST_FRAME_VERSION : integer(value);
 }
 
-/** Agents with the revisions of their registrations, in the form in which they are sent. */
+/** Packs agents with the revisions of their registrations for sending. */
 export function packListedAgents(agents: readonly ListedAgent[]): unknown[] {
   return agents.map(({ address, service, zone, revision }) => [address, service, zone, revision]);
 }
 
-/** Checks one listed agent as received; programs of an earlier version send no revision. */
+/** Checks a received listed agent; earlier versions send no revision. */
 export function unpackListedAgent(value: unknown): ListedAgent {
   if (Array.isArray(value) && value.length === 3) {
     return { ...unpackAgent(value), revision: 0 };
@@ -87,7 +87,7 @@
   const agents = listOf(unpackListedAgent)(packed);
   const removed = listOf(oneOf(0, 1))(removals);
   if (agents.length !== removed.length) {
-    throw new FieldError('changes without agents');
+    throw new FieldError('registry delta: counts of agents and removals differ');
   }
   const changes = agents.map((agent, index) => ({ agent, removed: removed[index] === 1 }));
   return { from: integer(from), to: integer(to), changes };
@@ -97,7 +97,7 @@
   return readers.map(({ reader, age }) => [reader, age]);
 }
 
-/** Programs that know no readers tell none. */
+/** Earlier versions send no readers. */
 function unpackReaders(value: unknown): readonly StoreReader[] {
   return value === undefined ? [] : listOf(unpackReader)(value);
 }
@@ -111,7 +111,7 @@
   return [revision, zones];
 }
 
-/** Programs of an earlier version know of no evacuations. Their era is the message's. */
+/** Earlier versions send no evacuations. The era of the revision is that of the message. */
 function unpackEvacuations(value: unknown): AnnouncedEvacuations {
   if (value === undefined) {
     return UNKNOWN_EVACUATIONS;
@@ -120,7 +120,7 @@
   return { revision: integer(revision), zones: listOf(text)(zones) };
 }
 
-/** Profiles of services in the form in which they are sent. */
+/** Packs service profiles for sending. */
 export function packServiceProfiles(profiles: readonly ServiceProfile[]): unknown[] {
   return profiles.map(({ service, latencyGoal, coldTime, coldRate }) => [
     service,
@@ -130,7 +130,7 @@
   ]);
 }
 
-/** Checks profiles of services as received; throws a `FieldError` for anything else. */
+/** Checks received service profiles; throws a `FieldError` if one is malformed. */
 export const unpackServiceProfiles = listOf((value): ServiceProfile => {
   const [service, latencyGoal, coldTime, coldRate] = tuple(value, 4);
   return {
@@ -145,7 +145,7 @@
   return [version, packServiceProfiles(services)];
 }
 
-/** Programs of an earlier version tell nothing of services. */
+/** Earlier versions send no service profiles. */
 function unpackVersionedProfiles(value: unknown): ServiceProfiles {
   if (value === undefined) {
     return UNKNOWN_PROFILES;
@@ -154,18 +154,18 @@
   return { version: integer(version), services: unpackServiceProfiles(services) };
 }
 
-/** A field that programs of an earlier version leave out; 0 then. */
+/** Unpacks a field that earlier versions do not send; 0 if it is missing. */
 function unpackOptionalInteger(value: unknown): number {
   return value === undefined ? 0 : integer(value);
 }
 
-/** Programs of an earlier version say nothing of it, those of a later one may say more. */
+/** Earlier versions do not send it, and later ones may send other values: partial then. */
 export function unpackFlowKnowledge(value: unknown): FlowKnowledgeValue {
   const known = Object.values(FlowKnowledge).find((one) => one === value);
   return known ?? FlowKnowledge.partial;
 }
 
-/** Programs of an earlier version say nothing of it. */
+/** Earlier versions do not send the listing state. */
 function unpackListing(value: unknown): ListingStateValue {
   if (value === undefined) {
     return ListingState.unknown;
@@ -177,7 +177,7 @@
 const payload = field('payload', 'p', binary);
 const evacuations = field('evacuations', 'e', unpackEvacuations, packEvacuations);
 
-/** Fields of every message type that travels as a bson document. */
+/** Fields of every message type that is sent as a BSON document. */
 export const PACKET_MESSAGE_FIELDS: MessageSchema = new Map<number, readonly FieldCodec[]>([
   [PacketMessageType.deliver, [searchId, field('services', 's', listOf(text)), payload]],
   [
--- a/src/packets/packet-messages.ts
+++ b/src/packets/packet-messages.ts
@@ -29,74 +29,74 @@
 
 /** Frames whose body is a bson document. */
 export const FIRST_FRAME_VERSION = 1;
-/** Frames of packets, with fields at fixed places (`packet-frames.ts`). */
+/** Compact frames with fields at fixed offsets (`packet-frames.ts`). */
 export const COMPACT_FRAME_VERSION = 2;
-/** Frames as of version 2, from an agent that also searches in groups ({@link SearchPhase}). */
+/** Frames of version 2, from an agent that also supports group searches ({@link SearchPhase}). */
 export const GROUP_SEARCH_VERSION = 3;
-/** Frames as of version 3, from an agent that also knows sure searches ({@link SearchPhase}). */
+/** As version 3, from an agent that also supports conclusive searches ({@link SearchPhase}). */
 export const CONCLUSIVE_SEARCH_VERSION = 4;
-/** Frames as of version 4, from a node that also knows the messages 112 to 116. */
+/** As version 4, from a node that also understands the messages 112 to 116. */
 export const HOP_REPAIR_VERSION = 5;
-/** Frames as of version 5, from an agent that also knows the message 118. */
+/** As version 5, from an agent that also understands the message 118. */
 export const ROUTE_TERMS_VERSION = 6;
-/** Agents in one search. */
+/** Limit of agents in one search message. */
 export const MAXIMUM_SEARCH_AGENTS = 64;
-/** Numbers in one acknowledgement. */
+/** Limit of sequence numbers in one acknowledgement. */
 export const MAXIMUM_ACKNOWLEDGED_SEQUENCES = 64;
 
-/** What an agent knows of its target. */
+/** State of an agent's target, as known to the agent. */
 export const TargetState = {
-  /** No heartbeat has reached this run of the agent yet. */
+  /** This incarnation of the agent has not received a heartbeat yet. */
   unknown: 1,
   ready: 2,
-  /** Takes no new flows; keeps those it has. */
+  /** Accepts no new flows; keeps its open flows. */
   draining: 3,
-  /** Has said that it leaves. */
+  /** Has announced its shutdown. */
   gone: 4,
-  /** The agent itself is being restarted; its target goes on. */
+  /** The agent itself is restarting; its target keeps running. */
   agentRestarting: 5,
 } as const;
 export type TargetStateValue = (typeof TargetState)[keyof typeof TargetState];
 
-/** What an agent knows of the flows of its target. */
+/** How much an agent knows about the flows of its target. */
 export const FlowKnowledge = {
-  /** The target may hold flows that the agent has never seen. */
+  /** The target may hold flows that the agent has not seen. */
   partial: 0,
-  /** The agent has seen every flow open that the target can hold. */
+  /** The agent has seen the opening of every flow that the target can hold. */
   complete: 1,
-  /** Nobody listens at the target's address: there is no flow. */
+  /** Nothing listens at the target's address, so there are no flows. */
   noTarget: 2,
 } as const;
 export type FlowKnowledgeValue = (typeof FlowKnowledge)[keyof typeof FlowKnowledge];
 
-/** Why a target did not take a packet. */
+/** Why a target did not accept a packet. */
 export const RefusalReason = {
-  /** The target returned it: it does not hold the flow, or cannot take one more. */
+  /** The target returned it: it does not hold the flow, or cannot accept another one. */
   returnedByTarget: 1,
   draining: 2,
-  /** The target has ended. */
+  /** The target has exited. */
   noTarget: 3,
   /** The target belongs to a service that the route does not allow. */
   otherService: 4,
-  /** The target has left every opening packet without an answer of late. */
+  /** The target has not answered any recent opening packet. */
   targetDown: 5,
-  /** The target's zone is out of service and takes no new flows. */
+  /** The target's zone is out of service and accepts no new flows. */
   zoneEvacuated: 6,
-  /** The target is cold and has got as many new flows of late as it bears. */
+  /** The target is cold and has reached its cold-start limit for new flows. */
   coldLimit: 7,
 } as const;
 export type RefusalReasonValue = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** A client's packet for an agent's target. */
+/** A client packet for an agent's target. */
 export interface Delivery {
-  /** The search that this packet belongs to; 0 when the balancer knows the flow's agent. */
+  /** Search that this packet belongs to; 0 when the balancer knows the flow's agent. */
   readonly searchId: number;
-  /** Services that may receive it. */
+  /** Services that may receive the packet. */
   readonly services: readonly string[];
   readonly payload: Buffer;
 }
 
-/** Balancer to agent: a client's packet for the agent's target. */
+/** Balancer to agent: a client packet for the agent's target. */
 export interface DeliverMessage extends Delivery {
   readonly type: typeof PacketMessageType.deliver;
 }
@@ -108,34 +108,34 @@
   readonly payload: Buffer;
 }
 
-/** Agent to balancer: the target did not take a packet. */
+/** Agent to balancer: the target did not accept a packet. */
 export interface NotHeldMessage extends Refusal {
   readonly type: typeof PacketMessageType.notHeld;
 }
 
-/** The number of a message that its sender repeats until it is acknowledged. */
+/** Number of a message that its sender retransmits until it is acknowledged. */
 export interface HopNumber {
-  /** Differs each time that a sender begins to number its messages to a node; 32 bits. */
+  /** Changes each time a sender starts numbering its messages to a node; 32 bits. */
   readonly session: number;
-  /** Rises by one with each message to that node and wraps; 32 bits. */
+  /** Incremented with each message to that node, wraps; 32 bits. */
   readonly sequence: number;
 }
 
-/** As {@link DeliverMessage}; the agent acknowledges it and takes it once. */
+/** As {@link DeliverMessage}; the agent acknowledges it and processes it once. */
 export interface NumberedDeliverMessage extends Delivery, HopNumber {
   readonly type: typeof PacketMessageType.numberedDeliver;
 }
 
-/** As {@link NotHeldMessage}; the balancer acknowledges it and takes it once. */
+/** As {@link NotHeldMessage}; the balancer acknowledges it and processes it once. */
 export interface NumberedRefusalMessage extends Refusal, HopNumber {
   readonly type: typeof PacketMessageType.numberedRefusal;
 }
 
-/** Agent to balancer and back: numbered messages of a session that have come. */
+/** Both directions: acknowledges received numbered messages of a session. */
 export interface ReceivedMessage {
   readonly type: typeof PacketMessageType.received;
   readonly session: number;
-  /** At least one; bounded by `MAXIMUM_ACKNOWLEDGED`. */
+  /** At least one; bounded by `MAXIMUM_ACKNOWLEDGED_SEQUENCES`. */
   readonly sequences: readonly number[];
 }
 
@@ -145,48 +145,48 @@
   readonly flow: Buffer;
 }
 
-/** Balancer to agent: does your target hold this flow? Only an agent that knows it does answers. */
+/** Balancer to agent: asks for the flow's holder. Only an agent whose target holds it answers. */
 export interface LocateMessage {
   readonly type: typeof PacketMessageType.locate;
   readonly flow: Buffer;
 }
 
-/** What the agents of a search do when it comes to them. */
+/** What each agent of a search does with the packet. */
 export const SearchPhase = {
-  /** Take the packet only if the flow is known to be held. */
+  /** Accept the packet only if the target is known to hold the flow. */
   query: 1,
   /** Offer the packet to the target. */
   offer: 2,
-  /** As `ask`, but the last agent tells the balancer, which asks other groups at the same time. */
+  /** As `query`, but the last agent notifies the balancer, which queries groups in parallel. */
   queryOnly: 3,
   /**
-   * Say for sure: an agent that has seen all flows of its target open goes by that; any other
-   * offers the packet to its target. The last one tells the balancer that none holds the flow.
+   * An agent with complete knowledge of its target's flows decides by that; any other offers
+   * the packet to its target. The last one reports to the balancer that none holds the flow.
    */
   conclusive: 4,
 } as const;
 export type SearchPhaseValue = (typeof SearchPhase)[keyof typeof SearchPhase];
 
 /**
- * Balancer to agent, then from agent to agent: a packet of an open flow whose holder is not
- * known. It goes through the listed agents in both phases until one takes it.
+ * Balancer to agent, then from agent to agent: a packet of an open flow whose holder is unknown.
+ * The listed agents forward it in order, in both phases, until one accepts it.
  */
 export interface SearchMessage {
   readonly type: typeof PacketMessageType.search;
   readonly searchId: number;
-  /** Who searches, and is told the outcome. */
+  /** Balancer that runs the search and receives its outcome. */
   readonly balancer: Endpoint;
   readonly phase: SearchPhaseValue;
-  /** Index of the agent in `agents` whose turn it is. */
+  /** Index in `agents` of the agent that handles the message. */
   readonly position: number;
-  /** All agents of the search in their order; bounded by `MAXIMUM_SEARCH_LENGTH`. */
+  /** All agents of the search in order; bounded by `MAXIMUM_SEARCH_AGENTS`. */
   readonly agents: readonly Endpoint[];
   /** Services that may receive the packet. */
   readonly services: readonly string[];
   readonly payload: Buffer;
 }
 
-/** Last agent of a group that was only asked: none knows the flow; no target was offered it. */
+/** Last agent of a `queryOnly` group: no agent knows the flow; no target was offered the packet. */
 export interface NoneKnowsMessage {
   readonly type: typeof PacketMessageType.noneKnows;
   readonly searchId: number;
@@ -194,7 +194,7 @@
   readonly payload: Buffer;
 }
 
-/** Last agent of a search to its balancer: the target of none of the agents holds the flow. */
+/** Last agent of a search to its balancer: no target of the listed agents holds the flow. */
 export interface NoneHoldsMessage {
   readonly type: typeof PacketMessageType.noneHolds;
   readonly searchId: number;
@@ -202,35 +202,35 @@
   readonly payload: Buffer;
 }
 
-/** Balancer to balancer: a client's packet for a zone that the sender cannot reach. */
+/** Balancer to balancer: a client packet for a zone that the sender cannot reach. */
 export interface DetourMessage {
   readonly type: typeof PacketMessageType.detour;
-  /** The agent that holds the packet's flow, as far as the sender knows. */
+  /** Agent that holds the packet's flow, as far as the sender knows. */
   readonly agent: Endpoint;
   readonly payload: Buffer;
 }
 
-/** Balancer to agent: answer at once, so that the round trip between us shows how far you are. */
+/** Balancer to agent: asks for an immediate reply, to measure the round-trip time. */
 export interface DistanceProbeMessage {
   readonly type: typeof PacketMessageType.distanceProbe;
-  /** Milliseconds by the balancer's clock, which only it can read. */
+  /** Milliseconds on the balancer's clock; the agent only echoes it. */
   readonly sentAt: number;
 }
 
-/** Agent to balancer: the answer to a probe. */
+/** Agent to balancer: the reply to a distance probe. */
 export interface DistanceReplyMessage {
   readonly type: typeof PacketMessageType.distanceReply;
   /** As in the probe. */
   readonly sentAt: number;
 }
 
-/** Agent to balancer: the earliest era of the store that this run of the agent has heard of. */
+/** Agent to balancer: the earliest store era that this incarnation of the agent has received. */
 export interface EraSeenMessage {
   readonly type: typeof PacketMessageType.eraSeen;
   readonly era: number;
 }
 
-/** Balancer to agent: what callers of a route expect, ahead of the first flows of that route. */
+/** Balancer to agent: what callers of a route expect; sent before the route's first flows. */
 export interface RouteTermsMessage extends AnnouncedTerms {
   readonly type: typeof PacketMessageType.routeTerms;
 }
@@ -244,57 +244,57 @@
 } as const;
 export type ListingStateValue = (typeof ListingState)[keyof typeof ListingState];
 
-/** Balancer to agent: send me reports for some seconds. */
+/** Balancer to agent: asks for reports for some seconds. */
 export interface SubscribeMessage {
   readonly type: typeof PacketMessageType.subscribe;
   readonly zone: string;
-  /** Milliseconds between reports that the balancer wants. */
+  /** Milliseconds between reports that the balancer asks for. */
   readonly interval: number;
   /** Whether the registry lists the agent. */
   readonly listing: ListingStateValue;
-  /** Zones out of service, as far as the balancer knows. */
+  /** Zones out of service, as known to the balancer. */
   readonly evacuations: AnnouncedEvacuations;
-  /** How targets behave after their start, by the balancer's routing table. */
+  /** Cold-start behaviour of targets, from the balancer's routing table. */
   readonly profiles: ServiceProfiles;
-  /** The store's era of the revision in this message; 0 from a balancer that tells none. */
+  /** Store era of the revision in this message; 0 from a balancer that sends none. */
   readonly storeEra: number;
-  /** 1 when the balancer has just started and wants to know of earlier eras. */
+  /** 1 when the balancer has just started and asks for the earliest era known to the agent. */
   readonly asksEra: number;
-  /** Latest version of frames that the balancer understands; 1 for one that names none. */
+  /** Latest frame version that the balancer supports; 1 if it sends none. */
   readonly frameVersion: number;
 }
 
 /** Agent to balancer: state and load of the target. */
 export interface ReportMessage {
   readonly type: typeof PacketMessageType.report;
-  /** Differs from run to run of the agent. */
+  /** Incarnation of the agent; changes with each start. */
   readonly run: number;
-  /** Rises with each report of a run, so that one overtaken by a later one is known. */
+  /** Rises with each report of an incarnation, so that reordered reports are detected. */
   readonly sequence: number;
   readonly service: string;
   readonly zone: string;
   readonly state: TargetStateValue;
-  /** Requests that the target works on at a time; 0 while unknown. */
+  /** Requests that the target serves concurrently; 0 while unknown. */
   readonly slots: number;
-  /** Requests under way or waiting at the target. */
+  /** Requests in service or queued at the target. */
   readonly busyRequests: number;
   readonly openFlows: number;
-  /** Milliseconds that the target takes for an answer of late; 0 when it has not told. */
+  /** Recent response time of the target in milliseconds; 0 when unknown. */
   readonly answerTime: number;
   /**
-   * Answers of late that `answerTime` rests on, fading with time; 0 from an agent that does not
-   * count them.
+   * Number of recent answers behind `answerTime`, decaying with time; 0 from an agent that does
+   * not count them.
    */
   readonly answers: number;
-  /** Targets that the agent has had before this one in its run; 0 from an agent that does not say. */
+  /** Earlier targets of this incarnation of the agent; 0 from an agent that sends none. */
   readonly targetChanges: number;
-  /** Milliseconds for which the target is still slow after its start. */
+  /** Milliseconds until the target has warmed up after its start. */
   readonly coldLeft: number;
-  /** Part of the target's requests that fail of late, in percent; 100 if it says nothing. */
+  /** Percentage of the target's recent requests that failed; 100 if it does not answer. */
   readonly failurePercent: number;
-  /** Mean bytes of a flow of the target of late, both ways; 0 while unknown. */
+  /** Mean bytes of the target's recent flows, both directions; 0 while unknown. */
   readonly flowBytes: number;
-  /** Latest version of frames that the agent understands; 1 for one that names none. */
+  /** Latest frame version that the agent supports; 1 if it sends none. */
   readonly frameVersion: number;
   readonly flowKnowledge: FlowKnowledgeValue;
   /** Number of balancers that the agent reports to. */
@@ -303,7 +303,7 @@
   readonly balancers: readonly Endpoint[];
 }
 
-/** An agent's entry as balancers tell it each other. */
+/** An agent's entry as balancers exchange it. */
 export interface AgentRecord {
   readonly address: Endpoint;
   readonly service: string;
@@ -328,7 +328,7 @@
   readonly changes: readonly RegistryChange[];
 }
 
-/** Balancer to balancer: what the sender knows, so that the receiver can ask for what it lacks. */
+/** Balancer to balancer: what the sender knows, so that the receiver can fetch what it lacks. */
 export interface PeerStatusMessage {
   readonly type: typeof PacketMessageType.peerStatus;
   /** Version of the sender's routing table; 0 for none. */
@@ -336,27 +336,27 @@
   /** 1 when the sender knows every agent. */
   readonly viewComplete: number;
   readonly zone: string;
-  /** Where the sender takes clients' packets. */
+  /** Where the sender receives client packets. */
   readonly packetAddress: Endpoint;
-  /** Thousandths of a processor that the sender may use. */
+  /** CPU share of the sender in thousandths of a processor. */
   readonly capacity: number;
-  /** 1 when the sender takes traffic. */
+  /** 1 when the sender accepts traffic. */
   readonly ready: number;
-  /** 1 when the sender wants the receiver's status at once. */
+  /** 1 when the sender asks for the receiver's status immediately. */
   readonly replyWanted: number;
-  /** Some balancers that the sender knows, so that balancers find each other. */
+  /** Some balancers known to the sender, for peer discovery. */
   readonly peers: readonly Endpoint[];
-  /** Agents heard of that the registry does not list yet. */
+  /** Agents that report but are not in the registry yet. */
   readonly unregistered: readonly AgentRecord[];
-  /** The store's revision through which the sender knows the registry; 0 for none. */
+  /** Store revision up to which the sender knows the registry; 0 for none. */
   readonly registryRevision: number;
-  /** The store's era of every revision in this message; 0 from a sender that tells none. */
+  /** Store era of every revision in this message; 0 from a sender that sends none. */
   readonly storeEra: number;
-  /** Balancers that read the store, as far as the sender knows. */
+  /** Balancers that read the store, as known to the sender. */
   readonly readers: readonly StoreReader[];
-  /** The latest changes of the registry, from a sender that has just read them. */
+  /** Latest registry changes, from a sender that has just read them. */
   readonly delta: RegistryDelta | undefined;
-  /** Zones out of service, as far as the sender knows. */
+  /** Zones out of service, as known to the sender. */
   readonly evacuations: AnnouncedEvacuations;
 }
 
@@ -381,7 +381,7 @@
   | ReportMessage
   | PeerStatusMessage;
 
-/** What an agent takes, its numbers taken off. */
+/** Messages that an agent handles, without their hop numbers. */
 export type MessageToAgent =
   | DeliverMessage
   | SearchMessage
@@ -390,7 +390,7 @@
   | DistanceProbeMessage
   | RouteTermsMessage;
 
-/** What a balancer takes, its numbers taken off. */
+/** Messages that a balancer handles, without their hop numbers. */
 export type MessageToBalancer =
   | NotHeldMessage
   | HeldMessage
--- a/src/packets/packet-settings.ts
+++ b/src/packets/packet-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the processes of the packet interface, and their check. */
+/** Settings of packet balancers and packet agents, and their validation. */
 import { Ok, type Result } from 'ts-results';
 import { parseEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
@@ -19,76 +19,76 @@
 const DEFAULT_LOCALITY = true;
 const DEFAULT_PRIORITY_QUEUE = true;
 /**
- * Milliseconds of waiting that a megabyte between zones is worth: 32 for an answer of 80,000 bytes,
- * which its client awaits for a good part of a second anyway, and 2 for one of 4,000 with its heads.
+ * Milliseconds of waiting equivalent to sending a megabyte between zones: 32 ms for an answer of
+ * 80,000 bytes, which takes a good part of a second anyway, 2 ms for 4,000 bytes with headers.
  */
 const DEFAULT_TRANSFER_COST_MS_PER_MB = 400;
-/** Percent: beyond a half, an exception is the rule. */
+/** Exceptions must not make up more than half. */
 const MAXIMUM_SHARE_PERCENT = 50;
 
 /** Settings of a packet balancer or packet agent, checked. */
 export interface PacketSettings {
   readonly name: string;
   readonly zone: string;
-  /** Where other nodes reach this process, over UDP and TCP. */
+  /** Address at which other nodes reach this process, over UDP and TCP. */
   readonly address: Endpoint;
-  /** Where this process listens for other nodes; differs from `address` behind a translation. */
+  /** Address to listen on for other nodes; differs from `address` behind NAT. */
   readonly listenAddress: Endpoint;
-  /** Where clients' packets arrive (balancer). */
+  /** Address at which client packets arrive (balancer). */
   readonly packetAddress: Endpoint | undefined;
-  /** Where the target sends its packets (agent). */
+  /** Address to which the target sends its packets (agent). */
   readonly targetOutbound: Endpoint | undefined;
-  /** Where the target takes packets (agent). */
+  /** Address at which the target receives packets (agent). */
   readonly targetAddress: Endpoint | undefined;
-  /** UDP port at which every client receives. */
+  /** UDP port on which every client receives. */
   readonly clientPort: number;
-  /** The service of the target beside an agent. */
+  /** Service of the target on the agent's machine. */
   readonly service: string | undefined;
   readonly readyAddress: Endpoint | undefined;
-  /** Where the target's heartbeats arrive (agent). */
+  /** Address at which the target's heartbeats arrive (agent). */
   readonly controlAddress: Endpoint | undefined;
   readonly storeAddress: Endpoint;
   readonly seeds: readonly Endpoint[];
-  /** Limits of cold targets (agent); undefined in a deployment without them. */
+  /** Limits for cold targets (agent); undefined to disable them. */
   readonly coldLimit: ColdStartLimitSettings | undefined;
-  /** Milliseconds between two heartbeats of a target. */
+  /** Milliseconds between the heartbeats of a target. */
   readonly heartbeatInterval: number;
-  /** Milliseconds for which a flow may rest before it is forgotten. */
+  /** Milliseconds after which an idle flow is forgotten. */
   readonly flowLifetime: number;
   /** Milliseconds that a planned stop may take. */
   readonly stopTime: number;
-  /** Milliseconds in which a change of the routing table must be in force. */
+  /** Milliseconds within which a change of the routing table must be active. */
   readonly applyTime: number;
   /**
-   * Milliseconds in which a zone must be out of service once an operator has said so; undefined in
-   * a deployment that evacuates no zones, whose balancers then make no calls for it.
+   * Milliseconds within which an operator's evacuation of a zone must take effect; undefined in a
+   * deployment without evacuations, whose balancers make no store calls for them.
    */
   readonly evacuateTime: number | undefined;
   /** How agents are chosen for new flows (balancer). */
   readonly choice: ChoiceSettings;
-  /** Processors that this process may use; may be a part of one. */
+  /** Processors that this process may use; may be fractional. */
   readonly capacity: number;
-  /** Whether an agent repeats packets of its target that a client does not acknowledge. */
+  /** Whether an agent retransmits packets of its target that a client does not acknowledge. */
   readonly repairAnswers: boolean;
-  /** Megabits a second that the machine's link carries. */
+  /** Bandwidth of the machine's link in Mbit/s. */
   readonly linkSpeed: number;
-  /** Whether packets lost between balancer and agent are sent once more by the two of them. */
+  /** Whether balancers and agents retransmit packets lost between them. */
   readonly repairHops: boolean;
-  /** Whether new flows stay in their zone as far as that pays; else a fixed share goes to others. */
+  /** Whether new flows prefer their zone by cost; otherwise a fixed share goes to other zones. */
   readonly locality: boolean;
-  /** Milliseconds of waiting that a megabyte between zones is worth. */
+  /** Milliseconds of waiting equivalent to sending a megabyte between zones. */
   readonly transferCost: number;
-  /** Whether more urgent requests go first where requests wait (agent). */
+  /** Whether queued requests are served by priority (agent). */
   readonly priorityQueue: boolean;
-  /** Turns in a hundred that each lower priority keeps meanwhile (agent). */
+  /** Minimum percentage of scheduling turns of each lower priority (agent). */
   readonly lowerPriorityShare: number;
-  /** Whether a start is shortened by what docs/design/restart.md describes. */
+  /** Whether to use the faster start described in docs/design/restart.md. */
   readonly earlyStart: boolean;
-  /** Port and path of the metrics page; undefined for none. */
+  /** Port and path of the metrics endpoint; undefined for none. */
   readonly metrics: string | undefined;
 }
 
-/** Reads the fields of one settings document and collects everything that is wrong. */
+/** Reads the fields of a settings document and collects all problems. */
 class SettingsReader {
   readonly problems: string[] = [];
 
@@ -104,7 +104,7 @@
       return undefined;
     }
     if (typeof value !== 'string') {
-      this.problems.push(`${key}: must be a text`);
+      this.problems.push(`${key}: must be a string`);
       return undefined;
     }
     return value;
@@ -144,7 +144,7 @@
     return value;
   }
 
-  /** A whole number of 0 or more. */
+  /** Reads a non-negative integer. */
   readOptionalCount(key: string): number | undefined {
     const value = this.getValue(key);
     if (value === undefined) {
@@ -157,7 +157,7 @@
     return value;
   }
 
-  /** 1 for true, 0 for false. */
+  /** Reads a boolean written as 1 or 0. */
   readToggle(key: string, fallback: boolean): boolean {
     const value = this.getValue(key);
     if (value === undefined) {
@@ -170,7 +170,7 @@
     return value === 1;
   }
 
-  /** A whole number from 0 to a highest one. */
+  /** Reads an integer from 0 to a maximum. */
   readCountUpTo(key: string, maximum: number, fallback: number): number {
     const value = this.readOptionalCount(key) ?? fallback;
     if (value > maximum) {
@@ -211,7 +211,7 @@
 }
 
 /**
- * Checks a settings document; unknown keys are left alone.
+ * Validates a settings document; unknown keys are ignored.
  * Error 1002 with one detail line for each wrong or missing key.
  */
 export function checkPacketSettings(
@@ -219,7 +219,7 @@
   document: unknown,
 ): Result<PacketSettings, HallholdError> {
   if (typeof document !== 'object' || document === null) {
-    return failure(ResultCodes.settingsInvalid, `${source} is not a table of settings`);
+    return failure(ResultCodes.settingsInvalid, `${source} does not contain a settings object`);
   }
   const reader = new SettingsReader(document as Record<string, unknown>);
   const settings = readSettings(reader);
@@ -291,7 +291,7 @@
   };
 }
 
-/** Keys whose values differ between two settings. */
+/** Lists the keys whose values differ between two settings. */
 export function listChangedKeys(before: PacketSettings, after: PacketSettings): string[] {
   const keys = Object.keys(after) as (keyof PacketSettings)[];
   return keys.filter((key) => JSON.stringify(before[key]) !== JSON.stringify(after[key]));
