--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -1,8 +1,8 @@
 /**
- * What a balancer knows of the agents: those the registry lists and those it has heard.
+ * A balancer's directory of agents: those in the registry and those that report to it.
  *
- * The directory is complete once it has taken a whole listing of the registry, or the
- * entries of a balancer whose directory is complete. Completeness is what allows a
+ * The directory is complete once it has applied a full listing of the registry, or the
+ * entries of a balancer whose directory is complete. Only a complete directory allows a
  * balancer to conclude that no target holds a flow.
  */
 import type { Endpoint } from '../environment';
@@ -17,69 +17,69 @@
 } from './packet-messages';
 
 /**
- * Milliseconds between sending an opening packet and the first request of its flow at the
- * target: a report shows the load of openings that are older than this.
+ * Time from sending an opening packet to the first request of its flow at the target: a report
+ * includes the load of openings older than this.
  */
 const OPENING_DELAY_MS = 10;
 
 /**
- * Milliseconds for which the word of an agent holds that there is no target beside it, once it is
- * silent: a removal of its entry spreads in less, and a target that came later would be heard.
+ * How long an agent's report that it has no target stays valid after its last report: a removal of
+ * its entry propagates faster, and a target started later would cause a new report.
  */
 const NO_TARGET_VALIDITY_MS = 3_000;
 
 /**
- * Milliseconds between sending an opening packet and the first answer on its flow, by which its
- * agent knows that the flow is open, where requests hardly wait.
+ * Time from sending an opening packet to the first answer on its flow, by which the agent knows
+ * that the flow is open; assumes that requests hardly wait.
  */
 const FIRST_ANSWER_DELAY_MS = 100;
 
 /**
- * Milliseconds in which every balancer hears of a new agent: changes of the registry gather for
- * one second at those who read them, and are told at once.
+ * Time until every balancer knows a new agent: the balancers that read the store batch registry
+ * changes for one second and then broadcast them.
  */
 const SETTLING_TIME_MS = 2_000;
 
 /**
- * Milliseconds for which an agent is not tried again that has got as many new flows as its cold
- * target bears in a second: with all targets cold, each opening would else visit all of them.
+ * How long an agent gets no new flows after its target has reached its cold-start limit: when all
+ * targets are cold, each opening packet would otherwise visit all of them.
  */
 const COLD_LIMIT_BACKOFF_MS = 100;
 
 /**
- * Openings noted of an agent that no report shows yet, the latest; more than a balancer sends one
- * agent between two reports, so that only those of a silent agent, which gather, are dropped.
+ * Latest openings per agent that no report includes yet. More than a balancer sends to one agent
+ * between two reports, so that only openings of an unresponsive agent are dropped.
  */
 const MAXIMUM_RECENT_OPENINGS = 1_000;
 
-/** One agent. */
+/** Directory entry of one agent. */
 export interface AgentEntry extends AgentRecord {
-  /** Revision of its registration; undefined while the registry does not list it. */
+  /** Revision of its registration; undefined while it is not in the registry. */
   registryRevision: number | undefined;
-  /** Time at which its entry was missing after the store had come back from a copy. */
+  /** Time at which its entry was found missing after a restore of the store from a backup. */
   lapsedAt: number | undefined;
   report: ReportMessage | undefined;
-  /** What the target last said of itself, also to an earlier run of the agent. */
+  /** Last state that the target reported, possibly to an earlier incarnation of the agent. */
   lastTargetState: TargetStateValue | undefined;
-  /** The run of the agent before the present one, whose late reports are void. */
+  /** Previous incarnation of the agent, whose late reports are ignored. */
   previousRun: number | undefined;
-  /** Time of the last report; undefined when none has come. */
+  /** Time of the last report; undefined before the first. */
   heardAt: number | undefined;
-  /** Time at which this balancer learnt of it. */
+  /** Time at which this balancer added the agent. */
   readonly knownSince: number;
-  /** Time until which it takes no new flows: its target is cold and has got enough. */
+  /** Time until which it gets no new flows as its target has reached its cold-start limit. */
   limitedUntil: number;
-  /** When this balancer sent it opening packets that no report shows yet; rising. */
+  /** Ascending send times of opening packets that no report includes yet. */
   recentOpenings: number[];
-  /** When this balancer sent it flows that stay, and that no report shows to be open yet; rising. */
+  /** Ascending start times of persistent flows that no report counts as open yet. */
   recentFlows: number[];
 }
 
-/** The agents by address. */
+/** Agents by address. */
 export class AgentDirectory {
   private readonly entries = new Map<Endpoint, AgentEntry>();
   private readonly zoneReachability = new ZoneReachability();
-  /** Time at which every registered agent was known first. */
+  /** Time since which every registered agent is known; `Infinity` before. */
   private completeSince = Infinity;
   /** Time since which agents are asked for reports; `Infinity` while they are not. */
   private listeningSince = -Infinity;
@@ -101,12 +101,12 @@
     return this.entries.get(address);
   }
 
-  /** The agents of some services, in no particular order. */
+  /** Agents of the given services, in no particular order. */
   findByServices(services: readonly string[]): AgentEntry[] {
     return [...this.entries.values()].filter(({ service }) => services.includes(service));
   }
 
-  /** Whether an agent has been heard lately and has not said that it goes away. */
+  /** Whether an agent has reported recently and has not announced a restart. */
   isHeard(entry: AgentEntry, now: number): boolean {
     if (entry.heardAt === undefined || entry.report?.state === TargetState.agentRestarting) {
       return false;
@@ -116,47 +116,47 @@
     );
   }
 
-  /** Agents are asked for reports from now on, unless they were before. */
+  /** Records that agents are asked for reports from now on, unless they already were. */
   startListening(now: number): void {
     if (this.listeningSince === Infinity) {
       this.listeningSince = now;
     }
   }
 
-  /** Agents are no longer asked for reports: their silence says nothing. */
+  /** Records that agents are no longer asked for reports: missing reports mean nothing then. */
   stopListening(): void {
     this.listeningSince = Infinity;
   }
 
-  /** Milliseconds for which an agent has said nothing although it was asked for reports. */
+  /** Milliseconds without a report from an agent that was asked for reports. */
   getSilence({ heardAt, knownSince }: AgentEntry, now: number): number {
     return Math.max(0, now - Math.max(heardAt ?? knownSince, this.listeningSince));
   }
 
-  /** Whether an agent is not heard, and has not been asked for reports long enough to be silent. */
+  /** Whether an agent has not reported, but was asked too recently to count as unresponsive. */
   isReportPending(entry: AgentEntry, now: number): boolean {
     const isRestarting = entry.report?.state === TargetState.agentRestarting;
     const isSilent = this.getSilence(entry, now) > computeSilenceTimeout(this.size);
     return !isRestarting && !isSilent && !this.isHeard(entry, now);
   }
 
-  /** Whether all agents of a zone have fallen silent while others are heard. */
+  /** Whether all agents of a zone have stopped reporting while other zones still report. */
   isZoneSilent(zone: string, now: number): boolean {
     return this.zoneReachability.isSilent(zone, this.size, now, this.listeningSince);
   }
 
   /**
-   * Whether an agent has come up since this directory has been complete, so lately that other
-   * balancers may not know it. Of those known from the start nothing tells how new they are.
+   * Whether an agent was added after the directory became complete, so recently that other
+   * balancers may not know it. The age of agents known from the start is unknown.
    */
   isSettling(entry: AgentEntry, now: number): boolean {
     return entry.knownSince > this.completeSince && now - entry.knownSince < SETTLING_TIME_MS;
   }
 
   /**
-   * Whether the target of an agent may hold flows, as far as is known here: the agent is registered,
-   * or has told of its target or of flows there. One that has come up and heard nothing of its
-   * target may be beside none; if a target is there, the agent registers once it hears it.
+   * Whether an agent's target may hold flows, as far as known: the agent is registered, or has
+   * reported a target state or open flows. A started agent without a heartbeat may have no target;
+   * if there is one, the agent registers on its first heartbeat.
    */
   mayHoldFlows({ lapsedAt, lastTargetState, registryRevision, report }: AgentEntry): boolean {
     const hasFlows = report !== undefined && report.openFlows > 0;
@@ -164,14 +164,14 @@
     return wasListed || lastTargetState !== undefined || hasFlows;
   }
 
-  /** Whether an agent has said, a moment ago, that there is no target beside it: it holds no flow. */
+  /** Whether an agent has recently reported that it has no target, and so holds no flow. */
   hasNoTarget({ heardAt, report }: AgentEntry, now: number): boolean {
     const wasReported = report?.flowKnowledge === FlowKnowledge.noTarget;
     return wasReported && heardAt !== undefined && now - heardAt <= NO_TARGET_VALIDITY_MS;
   }
 
   /**
-   * An agent is sent an opening packet.
+   * Records that an opening packet is sent to an agent.
    * @param staysOpen whether the flow is expected to carry several requests
    */
   recordOpening(
@@ -185,7 +185,7 @@
     }
   }
 
-  /** An agent has refused a new flow because its target is cold and has got enough of them. */
+  /** Records that an agent refused a new flow because of its target's cold-start limit. */
   recordColdLimit(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
     if (entry) {
@@ -193,7 +193,7 @@
     }
   }
 
-  /** Whether any agent has been heard lately. */
+  /** Whether any agent has reported recently. */
   hasHeardAny(now: number): boolean {
     for (const entry of this.entries.values()) {
       if (this.isHeard(entry, now)) {
@@ -204,8 +204,8 @@
   }
 
   /**
-   * Takes an agent from the registry, or a peer when `revision` is undefined. What an agent that
-   * is heard says of itself goes before what others say: its entry may be of an earlier target.
+   * Adds or updates an agent from the registry, or from a peer when `revision` is undefined. Recent
+   * reports of the agent itself take precedence: the entry may be that of an earlier target.
    */
   upsert(record: AgentRecord, revision: number | undefined, now: number): AgentEntry {
     const known = this.entries.get(record.address);
@@ -238,8 +238,8 @@
   }
 
   /**
-   * Takes a report; the sender becomes known by it.
-   * @returns the agent's entry, or undefined for a report that a later one has overtaken
+   * Records a report and adds its sender if it is unknown.
+   * @returns the agent's entry, or undefined for an out-of-date report
    */
   recordReport(address: Endpoint, report: ReportMessage, now: number): AgentEntry | undefined {
     const { service, zone } = report;
@@ -262,7 +262,7 @@
     return entry;
   }
 
-  /** The registry no longer lists an agent: it stays only while it is heard. */
+  /** Records that the registry no longer lists an agent: it is kept only while it reports. */
   markUnregistered(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
     if (!entry) {
@@ -276,8 +276,8 @@
   }
 
   /**
-   * The store has come back from a copy without an agent's entry, which nobody has removed: the agent
-   * stays known, silent or not, so that no flow of its target is taken for dead.
+   * Records that an agent's entry was lost by a restore of the store, not removed: the agent stays
+   * known even if unresponsive, so that flows of its target are not considered dead.
    */
   markLapsed(address: Endpoint, now: number): void {
     const entry = this.entries.get(address);
@@ -287,7 +287,7 @@
     }
   }
 
-  /** Drops an agent that is neither registered nor heard. */
+  /** Removes an agent that is neither registered nor reporting. */
   forget(address: Endpoint): void {
     this.deleteEntry(address);
   }
@@ -305,7 +305,7 @@
   }
 }
 
-/** Adds a time to a list that is bounded: the earliest one goes. */
+/** Appends a time to a bounded list, dropping the earliest. */
 function appendBounded(times: number[], now: number): void {
   times.push(now);
   if (times.length > MAXIMUM_RECENT_OPENINGS) {
@@ -318,8 +318,8 @@
 }
 
 /**
- * The state to go by after a report. A restarted agent does not know its target's state
- * until the next heartbeat; a target that was leaving before is still taken to leave.
+ * State to use after a report. A restarted agent does not know its target's state until the
+ * next heartbeat; a target that was shutting down is assumed to still be.
  */
 function resolveState(
   known: TargetStateValue | undefined,
@@ -329,7 +329,7 @@
   return reported === TargetState.unknown && wasLeaving ? known : reported;
 }
 
-/** Whether a state is the target's own, not one of its agent. */
+/** Whether a state describes the target rather than its agent. */
 function isTargetState(state: TargetStateValue): boolean {
   return state !== TargetState.unknown && state !== TargetState.agentRestarting;
 }
--- a/src/packets/deployment-state.ts
+++ b/src/packets/deployment-state.ts
@@ -1,33 +1,33 @@
 /**
- * What subscriptions tell agents of the deployment, and which agents have been told it.
+ * State of the deployment that subscriptions carry to agents, and which agents have been sent it.
  *
- * Profiles and zones out of service change seldom and subscriptions are sent every two seconds by
- * every balancer, so an agent is told what it has not been told in its present run, often enough
- * that a lost datagram does not matter; other subscriptions say nothing of it.
+ * Profiles and zones out of service change rarely, and every balancer sends subscriptions every two
+ * seconds. So they carry the state only until it has been sent to the present incarnation of the
+ * agent, several times in a row to tolerate lost datagrams.
  */
 import type { Endpoint } from '../environment';
 import { UNKNOWN_PROFILES, type ServiceProfiles } from './routing-table';
 import { UNKNOWN_EVACUATIONS, type ZoneEvacuations } from './zone-evacuations';
 
 /**
- * Subscriptions in a row that tell an agent the same news: where one datagram in 500 is lost, an
- * agent misses all three once in a hundred million times, and other balancers tell it too.
+ * Consecutive subscriptions that carry the same state: where one datagram in 500 is lost, an
+ * agent misses all three once in a hundred million times, and other balancers send it too.
  */
 const SENDS_PER_STATE = 3;
 
-/** What a subscription can tell an agent of the deployment. */
+/** State of the deployment that a subscription can carry. */
 export interface DeploymentState {
   readonly evacuations: ZoneEvacuations;
   readonly profiles: ServiceProfiles;
 }
 
-/** What a subscription says that tells nothing new: an agent keeps what it knows. */
+/** Carried by subscriptions that need not carry the state: the agent keeps what it knows. */
 export const UNKNOWN_DEPLOYMENT_STATE: DeploymentState = {
   evacuations: UNKNOWN_EVACUATIONS,
   profiles: UNKNOWN_PROFILES,
 };
 
-/** What an agent has been told. */
+/** State that was sent to an agent. */
 interface SentState {
   /** The run of the agent; undefined before its first report. */
   readonly run: number | undefined;
@@ -35,18 +35,18 @@
   sendsLeft: number;
 }
 
-/** The news of one balancer. */
+/** Tracks which state one balancer has sent to each agent. */
 export class SentStateTracker {
   private readonly sentStates = new Map<Endpoint, SentState>();
 
   /**
-   * Whether the next subscription at an agent must tell it the news; counts as told.
-   * @param run the agent's run by its latest report; undefined before the first
+   * Whether the next subscription to an agent must carry the state; if so, counts it as sent.
+   * @param run the agent's incarnation in its latest report; undefined before the first
    */
   markSentIfDue(agent: Endpoint, run: number | undefined, state: DeploymentState): boolean {
     const known = this.sentStates.get(agent);
     if (!known || run === undefined || known.run !== run || differs(state, known.state)) {
-      this.sentStates.set(agent, { run, state: state, sendsLeft: SENDS_PER_STATE - 1 });
+      this.sentStates.set(agent, { run, state, sendsLeft: SENDS_PER_STATE - 1 });
       return true;
     }
     if (known.sendsLeft === 0) {
@@ -56,13 +56,13 @@
     return true;
   }
 
-  /** Whether an agent has begun another run, which knows nothing of what was told before. */
+  /** Whether an agent has started another incarnation, which has lost the state sent before. */
   hasNewRun(agent: Endpoint, run: number | undefined): boolean {
     const known = this.sentStates.get(agent);
     return known !== undefined && run !== undefined && known.run !== run;
   }
 
-  /** Forgets the agents that are no longer known. */
+  /** Removes the agents that are no longer known. */
   removeUnknownAgents(isKnown: (agent: Endpoint) => boolean): void {
     for (const agent of this.sentStates.keys()) {
       if (!isKnown(agent)) {
@@ -72,7 +72,7 @@
   }
 }
 
-/** Whether news are of another version than those told; equal contents may differ in between. */
+/** Whether the state has another version than the sent one, even if the content is the same. */
 function differs(state: DeploymentState, sent: DeploymentState): boolean {
   return (
     state.profiles.version !== sent.profiles.version ||
--- a/src/packets/registry-reconciler.ts
+++ b/src/packets/registry-reconciler.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the registry of agents true from the balancers' side: an agent that is heard but
- * not listed is registered on its behalf, and one that has long been silent is removed.
+ * Reconciles the registry of agents with their reports: an agent that reports but is not
+ * listed is registered on its behalf, and one that has long been unresponsive is removed.
  */
 import type { Endpoint, Environment } from '../environment';
 import { formatEndpoint } from '../core/endpoint';
@@ -9,21 +9,21 @@
 import type { AgentRegistryPort, ResultCallback } from './collection-port';
 import { TargetState } from './packet-messages';
 
-/** Calls under way at once: entries that lapsed together come back together. */
+/** Limits concurrent calls, as entries that were lost together are registered together. */
 const MAXIMUM_CONCURRENT_CALLS = 16;
-/** Milliseconds that an agent has for its own registration. */
+/** Time that an agent has to register itself. */
 const SELF_REGISTRATION_TIME_MS = 3_000;
-/** Milliseconds of silence after which an agent's entry is removed. */
+/** Time without reports after which an agent's entry is removed. */
 const REMOVAL_SILENCE_MS = 12_000;
-/** Milliseconds after which an agent that is neither listed nor heard is forgotten. */
+/** Time after which an agent that is neither listed nor reporting is forgotten. */
 const FORGET_SILENCE_MS = 30_000;
 /**
- * The same for an agent whose target nobody is known to have heard: peers name it again every half
- * second while they hear it, and its silence must not keep dead flows from being told so.
+ * The same for an agent without a known target: peers that receive its reports announce it every
+ * half second, and an unresponsive agent must not delay resets of dead flows.
  */
 const FORGET_UNKNOWN_SILENCE_MS = 3_000;
 
-/** Upkeep by one balancer. */
+/** Reconciliation by one balancer. */
 export class RegistryReconciler {
   private readonly pendingCalls = new Set<Endpoint>();
   private callsMade = 0;
@@ -32,17 +32,17 @@
     private readonly environment: Environment,
     private readonly directory: AgentDirectory,
     private readonly registry: AgentRegistryPort,
-    /** The era of the store as of which the directory lists agents. */
-    private readonly era: () => number,
+    /** Store era of the directory's registry revisions. */
+    private readonly getEra: () => number,
   ) {}
 
-  /** Calls made to the registry. */
+  /** Number of calls made to the registry. */
   get calls(): number {
     return this.callsMade;
   }
 
   /**
-   * To be run about once a second.
+   * To be called about once a second.
    * @param mayCall whether this balancer is one of those that call the store
    */
   reconcile(mayCall: boolean): void {
@@ -88,7 +88,7 @@
     this.registry.register(entry, this.beginCall('registration', entry.address));
   }
 
-  /** Silence proves little when nobody is heard: then this balancer is the one cut off. */
+  /** Removes nothing when no agent reports: then this balancer itself is probably cut off. */
   private remove(entry: AgentEntry, silence: number, now: number): void {
     if (!this.directory.hasHeardAny(now)) {
       return;
@@ -97,10 +97,10 @@
     this.environment.report(Events.agentRemoved, { agent, silence: Math.round(silence) });
     const answer = this.beginCall('removal', entry.address);
     const revision = entry.registryRevision ?? 0;
-    this.registry.remove(entry, { era: this.era(), revision }, answer);
+    this.registry.remove(entry, { era: this.getEra(), revision }, answer);
   }
 
-  /** Counts a call; what it returns takes the answer, and the next round tries again. */
+  /** Counts a call and returns its callback; a failed call is repeated in the next round. */
   private beginCall(call: 'registration' | 'removal', agent: Endpoint): ResultCallback<void> {
     this.pendingCalls.add(agent);
     this.callsMade++;
--- a/src/packets/registry-view.ts
+++ b/src/packets/registry-view.ts
@@ -1,4 +1,4 @@
-/** Takes what the registry and other balancers list of agents into a balancer's directory. */
+/** Applies agents listed by the registry and by other balancers to a balancer's directory. */
 import type { Environment } from '../environment';
 import { Events } from '../logging/events';
 import type { AgentDirectory } from './agent-directory';
@@ -6,34 +6,34 @@
 import type { AgentRecord, ListedAgent, RegistryChange, RegistryDelta } from './packet-messages';
 import { isLater, resolveEra, UNKNOWN_POSITION, type StorePosition } from './store-position';
 
-/** What the view works with. */
+/** Dependencies of the registry view. */
 export interface RegistryViewDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
-  /** The directory may know other agents now, or be complete. */
+  /** Called when the directory's agents or its completeness may have changed. */
   onChanged(): void;
 }
 
-/** The registry as one balancer has taken it. */
+/** The registry as known to one balancer. */
 export class RegistryView {
   private currentPosition = UNKNOWN_POSITION;
 
   constructor(private readonly dependencies: RegistryViewDependencies) {}
 
   /**
-   * The store's revision through which the registry's changes are known; 0 before any listing.
-   * Two balancers of the same revision know the same entries.
+   * Store revision up to which registry changes are applied; 0 before any listing.
+   * Two balancers with the same revision know the same entries.
    */
   get revision(): number {
     return this.currentPosition.revision;
   }
 
-  /** The moment of the store through which the registry's changes are known. */
+  /** Store position up to which registry changes are applied. */
   get position(): StorePosition {
     return this.currentPosition;
   }
 
-  /** Takes a whole listing of the store: the directory is complete from now on. */
+  /** Applies a full listing of the store; the directory is complete afterwards. */
   applyListing(listing: Listing<AgentRecord>): void {
     const agents = listing.items.map(({ item, revision }) => ({ ...item, revision }));
     const { era, revision } = listing;
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Takes changes of the registry that the store told.
-   * @returns what other balancers lack after it; undefined when nothing is new
+   * Applies registry changes read from the store.
+   * @returns the delta to send to other balancers; undefined when nothing is new
    */
   applyChanges({ changes, era, revision }: Changes<AgentRecord>): RegistryDelta | undefined {
     const from = this.currentPosition.revision;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Takes changes that another balancer has read, if they follow what is known here.
-   * @param era the era of their revisions; 0 when it is not told
+   * Applies changes that another balancer has read, unless changes before them are missing here.
+   * @param era the era of their revisions; 0 when unknown
    */
   applyDelta({ from, to, changes }: RegistryDelta, era: number): void {
     const { isComplete } = this.dependencies.directory;
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Takes the registry as a balancer whose directory is complete knows it. */
+  /** Applies the registry of a balancer whose directory is complete. */
   applySnapshot(agents: readonly ListedAgent[], peerPosition: StorePosition, origin: string): void {
     const position = resolveEra(peerPosition, this.currentPosition);
     if (isLater(position, this.currentPosition)) {
@@ -90,7 +90,7 @@
     this.markComplete(origin);
   }
 
-  /** Takes agents that another balancer knows. */
+  /** Adds agents known to another balancer. */
   mergeAgents(agents: readonly AgentRecord[]): void {
     const { directory, environment } = this.dependencies;
     const now = environment.now();
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Makes the directory list these agents and no others; true when it did not before. What a later
-   * era does not list was not removed by anyone: the store's copy was older.
+   * Makes these agents the registered ones of the directory; true when that changed anything.
+   * Agents missing from a later era were not removed: the restored backup was older.
    */
   private replaceEntries(agents: readonly ListedAgent[], asOf: StorePosition): boolean {
     if (isLater(this.currentPosition, asOf)) {
--- a/src/packets/store-position.ts
+++ b/src/packets/store-position.ts
@@ -1,33 +1,33 @@
 /**
- * Moments of the store, and which of two is later.
+ * Positions in the store's history, and their order.
  *
- * Revisions rise with each change, and are given out again after the store has come back from a copy of
- * itself; its era rises by one then. So revisions are compared within an era only: compared across a
- * return, a balancer takes what it knew for later than what the store says now.
+ * Revisions rise with each change, and are reused after the store is restored from a backup; its era
+ * rises by one then. So revisions are compared only within an era: compared across a restore, a
+ * balancer would consider what it knew newer than the present content of the store.
  */
 
-/** A moment of the store. */
+/** A position in the store's history. */
 export interface StorePosition {
-  /** 0 when it is not known: told by a program of an earlier version, or by a store without eras. */
+  /** Number of the restore; 0 when unknown: from an earlier version, or a store without eras. */
   readonly era: number;
   readonly revision: number;
 }
 
-/** Before anything is known of the store. */
+/** Position before anything is known about the store. */
 export const UNKNOWN_POSITION: StorePosition = { era: 0, revision: 0 };
 
 /**
- * Milliseconds in which the owners of what a copy lacks write it again: a balancer tells an agent every
- * two seconds whether it is listed, and readers enter one that is still missing after three.
+ * Time within which entries missing from a backup are written again by their owners: a balancer
+ * informs an agent every two seconds whether it is listed, and readers register it after three.
  */
 export const REWRITE_TIME_MS = 3_000;
 
-/** Whether a moment is later than another one. Within a later era every revision is. */
+/** Whether a position is later than another one. Any revision of a later era is later. */
 export function isLater(one: StorePosition, other: StorePosition): boolean {
   return one.era === other.era ? one.revision > other.revision : one.era > other.era;
 }
 
-/** A moment as told by a program that may not know eras: then it is taken to be of the known one. */
+/** Assigns the known era to a position without one, from a sender that does not support eras. */
 export function resolveEra<T extends StorePosition>(received: T, known: StorePosition): T {
   return received.era === 0 ? { ...received, era: known.era } : received;
 }
--- a/src/packets/zone-evacuations.ts
+++ b/src/packets/zone-evacuations.ts
@@ -1,14 +1,13 @@
 /**
- * The zones that operators have taken out of service. Their targets get no new flows until the
- * zone is put back; open flows stay where they are.
+ * Zones that operators have taken out of service. Their targets get no new flows until the zone
+ * is back in service; open flows stay where they are.
  *
- * Every node holds the whole list with the store's moment as of which it is true. A later
- * one replaces it and an earlier one changes nothing, so news may arrive in any order and
- * from anyone.
+ * Every node keeps the whole list with its store position. A later list replaces it and an
+ * earlier one is ignored, so updates may arrive in any order and from any node.
  *
- * A store that has come back from a copy may lack the latest evacuations until the operator writes them
- * again. So zones that were out of service stay so for a while: that costs some locality, and new flows
- * in a zone that is being emptied would break the operator's order.
+ * A store that was restored from a backup may lack the latest evacuations until the operator writes
+ * them again. So zones that were out of service stay so for a while: that costs some locality, while
+ * new flows in a zone that is being evacuated would violate the operator's request.
  */
 import type { Environment, TimerHandle } from '../environment';
 import { Events } from '../logging/events';
@@ -26,41 +25,41 @@
   readonly zone: string;
 }
 
-/** All zones that are out of service as of a revision, in a message that names its era apart. */
+/** Zones that are out of service as of a revision, in a message whose era is a separate field. */
 export interface AnnouncedEvacuations {
   readonly revision: number;
   readonly zones: readonly string[];
 }
 
-/** All zones that are out of service as of a moment of the store; revision 0 when unknown. */
+/** Zones that are out of service as of a store position; revision 0 when unknown. */
 export interface ZoneEvacuations extends StorePosition {
   readonly zones: readonly string[];
 }
 
-/** What a node knows that has heard nothing of evacuations. */
+/** State of a node before it has received any evacuations. */
 export const UNKNOWN_EVACUATIONS: ZoneEvacuations = { ...UNKNOWN_POSITION, zones: [] };
 
-/** Told which zones went out of service or came back. */
+/** Called with the zones that went out of service or came back. */
 export type EvacuationObserver = (changedZones: readonly string[]) => void;
 
-/** The zones out of service as one node knows them. */
+/** The zones out of service, as known to one node. */
 export class ZoneEvacuationView {
   private latest = UNKNOWN_EVACUATIONS;
-  /** Zones that the present era of the store does not list, and the one before did. */
+  /** Zones that the previous era of the store listed and the present one does not. */
   private retained: readonly string[] = [];
   private retentionTimer: TimerHandle | undefined;
 
   constructor(
     private readonly environment: Environment,
-    private readonly changed: EvacuationObserver,
+    private readonly onChange: EvacuationObserver,
   ) {}
 
-  /** The latest state known, for other nodes. */
+  /** The latest known state, to send to other nodes. */
   get current(): ZoneEvacuations {
     return this.latest;
   }
 
-  /** The same for a message whose revisions are of an era; nothing while it is known of another. */
+  /** The same for a message of the given era; unknown if the state is of another era. */
   getCurrentIn(era: number): ZoneEvacuations {
     return this.latest.era === era ? this.latest : UNKNOWN_EVACUATIONS;
   }
@@ -74,12 +73,12 @@
     return this.latest.zones.includes(zone) || this.retained.includes(zone);
   }
 
-  /** Takes a whole listing of the store. */
+  /** Applies a full listing of the store. */
   applyListing({ items, era, revision }: Listing<EvacuatedZone>): void {
     this.apply({ era, revision, zones: items.map(({ item }) => item.zone) }, 'store');
   }
 
-  /** Takes changes that the store told, in their order. */
+  /** Applies changes read from the store, in order. */
   applyChanges({ changes, era, revision }: Changes<EvacuatedZone>): void {
     if (era !== this.latest.era) {
       return;
@@ -98,7 +97,7 @@
     this.apply({ era, revision, zones: [...zones] }, 'store');
   }
 
-  /** Takes what another node knows; what is not later, or says nothing, changes nothing. */
+  /** Applies a received state; one that is not later, or unknown, is ignored. */
   apply(received: ZoneEvacuations, origin: string): void {
     const before = this.latest;
     const resolved = resolveEra(received, before);
@@ -111,7 +110,7 @@
     this.reportChanges(zonesBefore, origin, before.revision === 0);
   }
 
-  /** Ends the timer. */
+  /** Cancels the retention timer. */
   stop(): void {
     this.retentionTimer?.cancel();
   }
@@ -129,7 +128,7 @@
     }
   }
 
-  /** The operator has not taken these zones out of service again: the store's word counts. */
+  /** Accepts the store's list: the operator has not taken these zones out of service again. */
   private endRetention(): void {
     const zonesBefore = this.zones;
     this.retained = [];
@@ -152,7 +151,7 @@
       });
     }
     if (changedZones.length > 0 || isFirst) {
-      this.changed(changedZones);
+      this.onChange(changedZones);
     }
   }
 }
--- a/src/packets/zone-reachability.ts
+++ b/src/packets/zone-reachability.ts
@@ -1,38 +1,38 @@
 /**
- * Which zones a balancer has lost its way to.
+ * Detects zones that a balancer cannot reach.
  *
- * One agent may be silent for three of its reports before it counts as away. Agents of a zone
- * report independently of each other, so silence of all of them shows much sooner that the way to
- * the zone is cut, or that it has lost power.
+ * A single agent counts as unresponsive only after it has missed about three reports. Agents of a
+ * zone report independently, so when all of them stop, a network partition or power loss of the
+ * zone is detected much earlier.
  */
 import { computeReportInterval } from './report-interval';
 
-/** Agents of a zone from which on their common silence says something. */
+/** Zones with fewer agents are never considered unreachable. */
 const MINIMUM_ZONE_AGENTS = 6;
 /**
- * Part of the time between two reports of one agent for which all of a zone must be silent: agents
- * that started together, within a fifth of that time, leave a gap of four fifths.
+ * Share of the report interval without any report after which a zone is unreachable: agents
+ * that started together, within a fifth of the interval, leave a gap of four fifths.
  */
 const SILENCE_SHARE = 0.8;
-/** Milliseconds of silence at least, however often agents report. */
+/** Lower limit of that time, however often agents report. */
 const MINIMUM_SILENCE_MS = 250;
 /**
- * Part of that silence after whose begin another zone must have been heard: a balancer that hears
- * nobody has been held up itself.
+ * Another zone must have reported after this share of that time: a balancer that receives nothing
+ * at all has been stalled itself.
  */
 const OTHER_ZONE_SHARE = 0.5;
 
-/** What is known of one zone. */
+/** Contact with one zone. */
 interface ZoneContact {
   agents: number;
   heardAt: number;
 }
 
-/** The zones as one balancer hears them. */
+/** Contact of one balancer with each zone. */
 export class ZoneReachability {
   private readonly zones = new Map<string, ZoneContact>();
 
-  /** An agent of a zone is heard. */
+  /** Records a report from an agent of a zone. */
   recordReport(zone: string, now: number): void {
     const contact = this.zones.get(zone);
     if (contact) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** An agent of a zone was added to the directory, or taken out. */
+  /** Records that an agent of a zone was added to the directory, or removed. */
   adjustAgentCount(zone: string, change: 1 | -1): void {
     const contact = this.zones.get(zone);
     if (contact) {
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Whether all agents of a zone have fallen silent while others are heard.
-   * @param agents number of all agents, on which the time between their reports depends
-   * @param listeningSince time since which agents are asked for reports; `Infinity` while they are not
+   * Whether all agents of a zone have stopped reporting while other zones still report.
+   * @param agents number of all agents, which determines the report interval
+   * @param listeningSince time since which agents are asked for reports; `Infinity` if they are not
    */
   isSilent(zone: string, agents: number, now: number, listeningSince = -Infinity): boolean {
     const contact = this.zones.get(zone);
