--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -1,6 +1,6 @@
 /**
- * Entries and heartbeats that another program wrote: fields missing or of another type, names that there
- * are not, bytes that can't be read. None of them names anything to use, and what stands beside holds.
+ * Invalid entries and heartbeats written by other programs: missing fields, wrong types, unknown
+ * names, undecodable bytes. They must be skipped, and valid entries beside them must be used.
  */
 import { createServer, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -31,7 +31,7 @@
 
 const PROPERTY_SETTINGS = { seed: 20_261_203, numRuns: 400 };
 
-/** Values that readers must bear, among them objects whose conversion to text would throw. */
+/** Values that decoders must tolerate, including objects whose conversion to a string throws. */
 const arbitraryValue = fc.oneof(
   fc.jsonValue({ maxDepth: 3 }),
   fc.constantFrom<unknown>(
@@ -60,7 +60,7 @@
   limits: { 'idle-timeout-ms': 9_000 },
 };
 
-/** A good document with one field, at any depth that matters, replaced or left out. */
+/** Variants of a valid document, each with one field replaced or omitted. */
 function replaceEachField(document: object, value: unknown): unknown[] {
   return Object.keys(document).flatMap((key) => {
     return [
@@ -70,7 +70,7 @@
   });
 }
 
-test('any object, table, agent or zone is read or left, and never throws', (t) => {
+test('any object, table, agent or zone is read or skipped, and never throws', (t) => {
   const property = fc.property(arbitraryValue, arbitraryValue, (value, other) => {
     readObject(value);
     readEvent(value);
@@ -86,22 +86,22 @@
   t.pass();
 });
 
-test('a route beside unreadable ones holds, they are counted, and peers can be told the table', (t) => {
+test('valid routes beside unreadable ones are used, those are counted, and the table can be sent', (t) => {
   const property = fc.property(fc.array(arbitraryValue, { maxLength: 4 }), (others) => {
-    const spoilt = others.flatMap((value) => [
+    const invalidRoutes = others.flatMap((value) => [
       value,
       ...replaceEachField(VALID_ROUTE, value),
       { ...VALID_ROUTE, service: undefined, backends: [value, { service: 'map', weight: value }] },
     ]);
-    const spec = { ...VALID_TABLE, routes: [...spoilt, VALID_ROUTE], services: [...others] };
+    const spec = { ...VALID_TABLE, routes: [...invalidRoutes, VALID_ROUTE], services: [...others] };
     const table = readRoutingTable({ name: 'main', revision: 1, spec })!;
     const view = { viewComplete: true, agents: [], registryRevision: 1, storeEra: 1 };
-    const told = decodeSnapshotText(encodeSnapshotText({ ...view, routingTable: table }));
+    const decoded = decodeSnapshotText(encodeSnapshotText({ ...view, routingTable: table }));
     const last = table.routes.at(-1)!;
     return (
       last.destination === packEndpoint('198.18.0.1', 8_443) &&
       last.services[0]!.service === 'map' &&
-      told.ok
+      decoded.ok
     );
   });
   fc.assert(property, PROPERTY_SETTINGS);
@@ -111,8 +111,8 @@
   t.is(table.routes.length, 1);
 });
 
-test('a table that is none as a whole is left, so that the one before stays in force', (t) => {
-  const spoilt: unknown[] = [
+test('an invalid table is skipped, so that the previous one stays active', (t) => {
+  const invalidTables: unknown[] = [
     null,
     {},
     { ...VALID_TABLE, version: '8' },
@@ -121,7 +121,7 @@
     { ...VALID_TABLE, routes: {} },
     { ...VALID_TABLE, routes: [{ ...VALID_ROUTE, service: 3 }] },
   ];
-  for (const spec of spoilt) {
+  for (const spec of invalidTables) {
     t.is(readRoutingTable({ name: 'main', revision: 1, spec }), undefined, JSON.stringify(spec));
   }
 });
@@ -138,7 +138,7 @@
   born: 1_796_000_000_000,
 };
 
-test('a heartbeat with a field missing or of another type is refused', (t) => {
+test('a heartbeat with a missing field or one of another type is refused', (t) => {
   t.truthy(readHeartbeat('i', JSON.stringify(HEARTBEAT)));
   for (const key of ['service', 'slots', 'state', 'seq']) {
     const rest = JSON.stringify({ ...HEARTBEAT, [key]: undefined });
@@ -155,7 +155,7 @@
   }
 });
 
-test('what a reader takes of any heartbeat is fit to be told', (t) => {
+test('every number read from any accepted heartbeat is finite and non-negative', (t) => {
   const property = fc.property(
     fc.constantFrom(...Object.keys(HEARTBEAT)),
     arbitraryValue,
@@ -169,7 +169,7 @@
   t.pass();
 });
 
-test('refused heartbeats change nothing, are told by number, and are counted', async (t) => {
+test('refused heartbeats change nothing, are answered with status 400, and are counted', async (t) => {
   const taken: string[] = [];
   let refused = 0;
   const server = serveHeartbeats(
@@ -194,7 +194,7 @@
   t.is(refused, 3);
 });
 
-test('a heartbeat of a service that no table names is not of the target', (t) => {
+test('a heartbeat of a service that no table names is refused', (t) => {
   const world = new PacketWorld(91);
   startModelDeployment(world);
   world.runFor(4_000);
@@ -227,7 +227,7 @@
   spec: { address: '10.0.0.1:7000', service: 'map', zone: 'north' },
 };
 
-/** An API whose answers a test writes. */
+/** Starts an API server whose responses the test writes, and a client of it. */
 async function createApi(
   t: ExecutionContext,
   answer: (path: string, response: ServerResponse) => void,
@@ -247,7 +247,7 @@
   return api;
 }
 
-test('good entries of a listing and of changes hold beside others, which are counted', async (t) => {
+test('valid entries of a listing and of changes are used beside invalid ones, which are counted', async (t) => {
   const api = await createApi(t, (path, response) => {
     const events = [
       ...INVALID_OBJECTS.map((object) => ({ object })),
@@ -278,10 +278,10 @@
   t.is(changes.unwrap().skipped, 2 * INVALID_OBJECTS.length);
   const zones = evacuatedZones(api);
   const names = (await awaitAnswer(zones.list.bind(zones))).unwrap().items.map(({ name }) => name);
-  t.true(names.includes('10-0-0-1'), 'an object of any content takes the zone of its name out');
+  t.true(names.includes('10-0-0-1'), 'an object of any content evacuates the zone of its name');
 });
 
-test('an answer that is none as a whole is an error of the call', async (t) => {
+test('a malformed answer is an error of the call', async (t) => {
   const bodies = ['not json', '{}', '{"items":7,"at":1}', '{"items":[],"at":"1"}', '[]', '\u0000'];
   for (const body of bodies) {
     const api = await createApi(t, (_path, response) => response.end(body));
@@ -291,7 +291,7 @@
   }
 });
 
-test('pages are joined as of the first, so that a change meanwhile is among those that follow', async (t) => {
+test('joined pages have the revision of the first, so that later changes are not missed', async (t) => {
   const asked: string[] = [];
   const other = { ...VALID_AGENT, meta: { name: '10-0-0-2', rev: 12 } };
   const spec = { ...VALID_AGENT.spec, address: '10.0.0.2:7000' };
@@ -308,7 +308,7 @@
   t.deepEqual(asked, ['/hallhold/objects/agents', '/hallhold/objects/agents?after=10-0-0-1']);
 });
 
-test('pages of two eras are no listing, nor is a page that does not go on', async (t) => {
+test('pages of two eras and pages that repeat forever are errors of the call', async (t) => {
   let era = 1;
   const api = await createApi(t, (_path, response) => {
     response.setHeader('Store-Era', String(era++));
@@ -331,14 +331,14 @@
   const route = ['198.18.0.1', 8_443] as const;
   await cluster.start();
   const { store } = cluster;
-  const addJunk = (): void => {
+  const addInvalidObjects = (): void => {
     INVALID_OBJECTS.forEach((object, index) => {
       for (const kind of ['config', 'agents']) {
         store.putRaw(kind, `junk-${index}`, object);
       }
     });
   };
-  addJunk();
+  addInvalidObjects();
   store.put('config', 'main', { ...VALID_TABLE, routes: [{}, VALID_ROUTE, 7] });
   const balancer = cluster.spawn('balancer', '127.61.1.1');
   const agent = cluster.spawn('agent', '127.61.2.1', 'map');
@@ -353,11 +353,22 @@
   await cluster.whenReady('127.61.1.1');
   t.true(await client.open('127.61.1.1'));
   t.is(await client.ask('127.61.1.1', 'one'), 'answer to one');
-  addJunk();
+  addInvalidObjects();
   store.put('config', 'main', { version: 'none' });
-  const junk = JSON.stringify({ service: 'map', slots: '4', state: 'draining', seq: 99 });
-  const beat = fetchStatus('127.61.2.1', base + 5, 'PUT', '/hallhold/instances/i-1', junk);
-  t.is(await beat, 400);
+  const invalidHeartbeat = JSON.stringify({
+    service: 'map',
+    slots: '4',
+    state: 'draining',
+    seq: 99,
+  });
+  const status = fetchStatus(
+    '127.61.2.1',
+    base + 5,
+    'PUT',
+    '/hallhold/instances/i-1',
+    invalidHeartbeat,
+  );
+  t.is(await status, 400);
   t.is(await client.ask('127.61.1.1', 'two'), 'answer to two');
   t.is(await cluster.readiness('127.61.1.1'), 200);
   t.deepEqual([balancer.child.exitCode, agent.child.exitCode], [null, null]);
--- a/test/packet-directory.test.ts
+++ b/test/packet-directory.test.ts
@@ -1,4 +1,4 @@
-/** What a balancer concludes from the reports of agents. */
+/** Conclusions of a balancer's directory from the reports of agents. */
 import test from 'ava';
 import { AgentDirectory } from '../src/packets/agent-directory';
 import { acceptsNewFlows } from '../src/packets/agent-selection';
@@ -7,7 +7,7 @@
 
 const AGENT = 0x0a00_0001_0000;
 
-test('a target that drains gets no new flow while its restarted agent does not know it', (t) => {
+test('a draining target gets no new flows while its restarted agent does not know its state', (t) => {
   const directory = new AgentDirectory();
   directory.recordReport(AGENT, createReport({ state: TargetState.draining }), 0);
   directory.recordReport(
@@ -25,7 +25,7 @@
   t.true(acceptsNewFlows(entry));
 });
 
-test('a target that was ready may get new flows while its restarted agent does not know it', (t) => {
+test('a ready target may get new flows while its restarted agent does not know its state', (t) => {
   const directory = new AgentDirectory();
   directory.recordReport(AGENT, createReport(), 0);
   directory.recordReport(
@@ -41,7 +41,7 @@
   t.true(acceptsNewFlows(entry));
 });
 
-test('a new agent draws no flows until other balancers know it, those known from the start do', (t) => {
+test('an agent is settling until other balancers know it, unless it was known from the start', (t) => {
   const directory = new AgentDirectory();
   const known = directory.upsert({ address: AGENT, service: 's', zone: 'z' }, 4, 1_000);
   directory.markComplete(1_000);
@@ -51,7 +51,7 @@
   t.false(directory.isSettling(late, 3_200));
 });
 
-test('what an agent says of itself goes before an entry of an earlier target at its address', (t) => {
+test("an agent's own reports take precedence over the entry of an earlier target", (t) => {
   const directory = new AgentDirectory();
   directory.upsert({ address: AGENT, service: 'old', zone: 'z' }, 4, 0);
   directory.recordReport(AGENT, createReport({ service: 'new' }), 10);
--- a/test/packet-frames.test.ts
+++ b/test/packet-frames.test.ts
@@ -1,4 +1,4 @@
-/** Frames of packets with fields at fixed places. */
+/** Compact frames: encoding, authentication, validation and version negotiation. */
 import test from 'ava';
 import { ResultCodes } from '../src/errors/result-codes';
 import { PacketFrameCodec, type CompactMessage } from '../src/packets/packet-frames';
@@ -33,7 +33,7 @@
   { type: PacketMessageType.noneKnows, searchId: 9, agents: AGENTS, payload: PACKET },
 ];
 
-test('every compact message survives its frame, and so does its bson form', (t) => {
+test('every compact message decodes to itself, from a compact frame and from BSON', (t) => {
   const codec = new PacketFrameCodec([KEY]);
   for (const message of MESSAGES) {
     t.deepEqual(codec.decode(codec.encodeCompact(message)).unwrap(), message);
@@ -44,9 +44,11 @@
   }
 });
 
-test('a compact frame that is cut, changed or of another key is a numbered error', (t) => {
+test('a compact frame that is truncated, changed or signed with another key is rejected', (t) => {
   const codec = new PacketFrameCodec([KEY]);
-  const stranger = new PacketFrameCodec([{ id: 1, secret: Buffer.from('another-key-altogether') }]);
+  const otherCodec = new PacketFrameCodec([
+    { id: 1, secret: Buffer.from('another-key-altogether') },
+  ]);
   const random = new SeededRandom(5);
   const allowed = [
     ResultCodes.frameTooShort,
@@ -55,7 +57,7 @@
   ];
   for (const message of MESSAGES) {
     const frame = codec.encodeCompact(message);
-    t.is(stranger.decode(frame).err, true);
+    t.is(otherCodec.decode(frame).err, true);
     for (let length = 0; length < frame.length; length++) {
       const decoded = codec.decode(frame.subarray(0, length));
       t.true(decoded.err && allowed.includes(decoded.val.resultCode as never));
@@ -68,7 +70,7 @@
   }
 });
 
-/** Signs any body, as a faulty program with the right key would. */
+/** Signs any body, as a faulty node with the right key would. */
 class BodySigner extends PacketFrameCodec {
   signBody(body: Buffer): Buffer {
     const frame = Buffer.concat([Buffer.alloc(18), body]);
@@ -77,7 +79,7 @@
   }
 }
 
-test('an authentic body of any other form is malformed, and never throws', (t) => {
+test('an authentic but malformed body is reported as malformed and never throws', (t) => {
   const signer = new BodySigner([KEY]);
   const random = new SeededRandom(6);
   const types = Object.values(PacketMessageType);
@@ -90,7 +92,7 @@
   }
 });
 
-test('a node gets compact frames only once it is known to understand them', (t) => {
+test('a node gets compact frames only once it is known to support them', (t) => {
   const codec = new PacketFrameCodec([KEY]);
   const versions: number[] = [];
   const { environment } = new RouterHarness([]);
--- a/test/packet-store-copy.test.ts
+++ b/test/packet-store-copy.test.ts
@@ -1,7 +1,7 @@
 /**
- * The store's return from a copy against real processes, over the adapter: a table written after it is
- * in force within the three seconds in which the deployments ask for it, wherever the store's revision
- * stands and however the waiting call ends. Without eras, version 6 was never in force in the first case.
+ * Restore of the store from a backup against real processes, over the adapter: a table written after
+ * it is active within the required three seconds, whatever the store's revision is and however the
+ * waiting call ends. Without eras, version 6 never became active in the first case.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import test, { type ExecutionContext } from 'ava';
@@ -16,7 +16,7 @@
 const FIRST_ROUTE = ['198.18.0.1', 8_443] as const;
 const ADDED_ROUTE = ['198.18.0.2', 8_443] as const;
 const APPLY_TIME_MS = 3_000;
-/** Milliseconds after its start by which a balancer of a small cluster reads for itself. */
+/** Time after its start by which a balancer of a small cluster reads for itself. */
 const READING_DELAY_MS = 3_500;
 const RETRY_INTERVAL_MS = 100;
 
@@ -42,7 +42,7 @@
   readonly client: PacketClient;
 }
 
-/** One balancer that reads for itself, an agent with its target, and a client of the later route. */
+/** Starts a balancer that reads for itself, an agent with its target, a client of the later route. */
 async function createClusterHarness(t: ExecutionContext, net: number): Promise<ClusterHarness> {
   const base = 23_000 + net * 10;
   const cluster = new PacketCluster(createPorts(base));
@@ -66,7 +66,7 @@
   return { cluster, balancer, client };
 }
 
-/** Whether the later route is served in time. */
+/** Resolves to whether the later route is served in time. */
 async function isServedInTime(
   { client, balancer }: ClusterHarness,
   begin: number,
@@ -81,29 +81,29 @@
   return false;
 }
 
-for (const [index, { passed, away }] of [
-  { passed: true, away: 700 },
-  { passed: true, away: 0 },
-  { passed: false, away: 700 },
-  { passed: false, away: 0 },
+for (const [index, { isPastOldRevision, outageMs }] of [
+  { isPastOldRevision: true, outageMs: 700 },
+  { isPastOldRevision: true, outageMs: 0 },
+  { isPastOldRevision: false, outageMs: 700 },
+  { isPastOldRevision: false, outageMs: 0 },
 ].entries()) {
-  const where = passed ? 'past the old revisions' : 'below the old revisions';
-  test(`a table of after the return is served in time: away ${away} ms, ${where}`, async (t) => {
-    const scene = await createClusterHarness(t, 50 + index);
-    const { store } = scene.cluster;
-    const copy = store.copy();
+  const where = isPastOldRevision ? 'past the old revisions' : 'below the old revisions';
+  test(`a table written after a restore is served in time: outage ${outageMs} ms, ${where}`, async (t) => {
+    const harness = await createClusterHarness(t, 50 + index);
+    const { store } = harness.cluster;
+    const backup = store.copy();
     store.advance(20);
     store.put('config', 'main', createConfiguration(5, [FIRST_ROUTE]));
     await pause(500);
-    if (away > 0) {
+    if (outageMs > 0) {
       store.spoiler = (call) => (call.socket.resetAndDestroy(), true);
-      await pause(away);
+      await pause(outageMs);
     }
-    store.returnFrom(copy);
+    store.returnFrom(backup);
     store.put('config', 'main', createConfiguration(5, [FIRST_ROUTE]));
     store.put('config', 'main', createConfiguration(6, [FIRST_ROUTE, ADDED_ROUTE]));
-    store.advance(passed ? 60 : 0);
+    store.advance(isPastOldRevision ? 60 : 0);
     store.spoiler = undefined;
-    t.true(await isServedInTime(scene, Date.now()));
+    t.true(await isServedInTime(harness, Date.now()));
   });
 }
--- a/test/reader-messages.test.ts
+++ b/test/reader-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages of readers: those of an earlier version, and those of any other form. */
+/** Status, subscription and snapshot messages: compatibility with earlier versions, validation. */
 import test from 'ava';
 import { deserialize, serialize } from 'bson';
 import { ResultCodes } from '../src/errors/result-codes';
@@ -47,7 +47,7 @@
   evacuations: { revision: 12, zones: ['south'] },
 };
 
-/** Sends a message with some fields of its document replaced; a field set to undefined is left out. */
+/** Encodes a message with some fields of its document replaced, or omitted if set to undefined. */
 class FieldReplacingCodec extends PacketFrameCodec {
   encodeWithFields(
     message: PeerStatusMessage | SubscribeMessage,
@@ -61,18 +61,18 @@
   }
 }
 
-test('a status or subscription of an earlier version tells nothing of readers and listings', (t) => {
+test('fields that earlier versions do not send in a status or subscription get defaults', (t) => {
   const codec = new FieldReplacingCodec([KEY]);
-  const left = { g: undefined, h: undefined, d: undefined, x: undefined, e: undefined };
+  const omitted = { g: undefined, h: undefined, d: undefined, x: undefined, e: undefined };
   const status = codec
-    .decode(codec.encodeWithFields(PEER_STATUS, left))
+    .decode(codec.encodeWithFields(PEER_STATUS, omitted))
     .unwrap() as PeerStatusMessage;
   t.deepEqual(
     [status.registryRevision, status.storeEra, status.readers, status.delta, status.routingVersion],
     [0, 0, [], undefined, 3],
   );
   t.deepEqual(status.evacuations, UNKNOWN_EVACUATIONS);
-  const spoilt = codec.encodeWithFields(SUBSCRIPTION, {
+  const earlierFrame = codec.encodeWithFields(SUBSCRIPTION, {
     l: undefined,
     h: undefined,
     n: undefined,
@@ -80,7 +80,7 @@
     c: undefined,
     v: undefined,
   });
-  const subscription = codec.decode(spoilt).unwrap() as SubscribeMessage;
+  const subscription = codec.decode(earlierFrame).unwrap() as SubscribeMessage;
   t.is(subscription.listing, ListingState.unknown);
   t.deepEqual([subscription.storeEra, subscription.asksEra], [0, 0]);
   t.is(subscription.frameVersion, FIRST_FRAME_VERSION);
@@ -88,10 +88,10 @@
   t.deepEqual(subscription.profiles, UNKNOWN_PROFILES);
 });
 
-test('readers, deltas and listings of any other form are malformed', (t) => {
+test('malformed readers, deltas, listings and evacuations are rejected', (t) => {
   const codec = new FieldReplacingCodec([KEY]);
   const packed = [AGENT.address, AGENT.service, AGENT.zone, 12];
-  const spoilt: readonly Record<string, unknown>[] = [
+  const invalidFields: readonly Record<string, unknown>[] = [
     { g: -1 },
     { g: 'twelve' },
     { d: [[1]] },
@@ -103,7 +103,7 @@
     { x: [9, 'twelve', [packed], [0]] },
     { x: 7 },
   ];
-  for (const fields of spoilt) {
+  for (const fields of invalidFields) {
     const decoded = codec.decode(codec.encodeWithFields(PEER_STATUS, fields));
     t.is(decoded.err && decoded.val.resultCode, ResultCodes.frameMalformed);
   }
--- a/test/snapshot-exchange.test.ts
+++ b/test/snapshot-exchange.test.ts
@@ -1,4 +1,4 @@
-/** Snapshots over HTTP: whole, deflated, and nothing but snapshots. */
+/** Snapshot exchange over HTTP: encodings, updates and invalid responses. */
 import { createServer, get, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { deflateSync } from 'node:zlib';
@@ -42,7 +42,7 @@
   );
 }
 
-test('a snapshot arrives whole, and anew once what it tells has changed', async (t) => {
+test('a snapshot arrives complete, and is sent updated once its content has changed', async (t) => {
   let snapshot = SNAPSHOT;
   const server = serveSnapshots(packEndpoint(LOOPBACK, 0), () => snapshot, t.log);
   t.teardown(() => server.close());
@@ -53,7 +53,7 @@
   t.deepEqual(await fetch(peer), snapshot);
 });
 
-test('a balancer of an earlier version still gets bson', async (t) => {
+test('a balancer of an earlier version still gets BSON', async (t) => {
   const server = serveSnapshots(packEndpoint(LOOPBACK, 0), () => SNAPSHOT, t.log);
   t.teardown(() => server.close());
   await listen(server);
@@ -68,7 +68,7 @@
   t.deepEqual(decodeSnapshot(bytes).unwrap(), SNAPSHOT);
 });
 
-test('what is no snapshot is a numbered error', async (t) => {
+test('a malformed snapshot and an unreachable peer are distinct errors', async (t) => {
   const bodies = [Buffer.alloc(0), Buffer.from('404'), deflateSync('{}'), deflateSync('[')];
   for (const body of bodies) {
     const server = createServer((_call, response) => response.end(body)).listen(0, LOOPBACK);
--- a/test/store-copy.test.ts
+++ b/test/store-copy.test.ts
@@ -1,17 +1,12 @@
 /**
- * The first case of an incident: requests went by a routing table that had been replaced more than
- * three seconds before, at all balancers of a deployment in which each reads the store for itself.
+ * Guards against outdated routing tables after the store is restored from a backup some seconds old.
+ * The store then reuses revisions. Without eras, the long polls of balancers that each read for
+ * themselves continued from a revision that the store had passed a second time, and the tables
+ * written before it were never applied. The cases differ in whether the store has passed the old
+ * revision when it is asked again; `packet-store-copy.test.ts` runs them against real processes.
  *
- * Seen: the store failed three calls in a row, was there again, and no balancer put the next table in
- * force. How it came about: the store had come back from a copy of itself some seconds old. Its
- * revisions were given out again, so the balancers' waiting calls went on from a revision that the
- * store had passed a second time, and the table written in between lay below it.
- * Cause: revisions were compared although they were of two lives of the store. Proved by these tests,
- * which differ only in whether the store has passed the old revision when it is asked again, and by
- * the same sequence against real processes (`packet-store-copy.test.ts`).
- *
- * The second case, in part: a balancer that starts after the return reads a registry, or a table, that
- * lacks the latest entries, takes it for the whole and tells clients that their flows are dead.
+ * Also guards against resets of live flows: a balancer that starts after the restore reads a
+ * registry or table without the latest entries, and must not consider it complete.
  */
 import test from 'ava';
 import { packEndpoint } from '../src/core/endpoint';
@@ -25,12 +20,12 @@
   TILE_DESTINATION,
 } from '../src/simulation/packets/random-faults';
 
-/** Milliseconds in which the deployments ask for a change of the table. */
+/** Time within which deployments require a table change to be active. */
 const APPLY_TIME_MS = 3_000;
-/** Milliseconds for which the world's judge takes a route to be on its way still. */
+/** Time for which the simulation's verifier considers a route still propagating. */
 const VERIFIER_APPLY_TIME_MS = 6_000;
 const LARGE_CLUSTER_SIZE = 30;
-/** A route that only the later tables have. */
+/** Route that only later tables have. */
 const ADDED = packEndpoint('198.18.0.9', 8_443);
 const ADDED_ROUTES: ReadonlyMap<Endpoint, readonly string[]> = new Map([
   ...MODEL_ROUTES,
@@ -53,10 +48,10 @@
 }
 
 /**
- * The store is away for a moment and comes back from a copy that lacks version 2; the operator writes
- * that again and then version 3, before any balancer asks.
+ * Restores the store, after an outage, from a backup that lacks version 2; the operator writes it
+ * again and then version 3, before any balancer asks.
  * @param isPastOldRevision whether the store's revision is past the old one by then
- * @param outageMs milliseconds for which the store answers nobody; 0: calls that wait are only cut
+ * @param outageMs time for which the store does not answer; 0: waiting calls are only cut
  */
 function restoreWithChanges(
   world: PacketWorld,
@@ -64,44 +59,44 @@
   outageMs: number,
 ): void {
   const { store } = world;
-  const copy = store.copy();
+  const backup = store.copy();
   store.advance(20);
   world.configure(2, MODEL_ROUTES);
   world.runFor(1_000);
   store.down = outageMs > 0;
   world.runFor(outageMs);
-  store.returnFrom(copy);
+  store.returnFrom(backup);
   world.configure(2, MODEL_ROUTES);
   world.configure(3, MODEL_ROUTES);
   store.advance(isPastOldRevision ? 40 : 0);
   store.down = false;
 }
 
-for (const { passed, away, balancers } of [
-  { passed: true, away: 700, balancers: 3 },
-  { passed: false, away: 700, balancers: 3 },
-  { passed: true, away: 0, balancers: 3 },
-  { passed: true, away: 700, balancers: LARGE_CLUSTER_SIZE },
-  { passed: true, away: 0, balancers: LARGE_CLUSTER_SIZE },
-  { passed: false, away: 0, balancers: LARGE_CLUSTER_SIZE },
+for (const { isPastOldRevision, outageMs, balancers } of [
+  { isPastOldRevision: true, outageMs: 700, balancers: 3 },
+  { isPastOldRevision: false, outageMs: 700, balancers: 3 },
+  { isPastOldRevision: true, outageMs: 0, balancers: 3 },
+  { isPastOldRevision: true, outageMs: 700, balancers: LARGE_CLUSTER_SIZE },
+  { isPastOldRevision: true, outageMs: 0, balancers: LARGE_CLUSTER_SIZE },
+  { isPastOldRevision: false, outageMs: 0, balancers: LARGE_CLUSTER_SIZE },
 ]) {
-  const where = passed ? 'past the old revisions' : 'below the old revisions';
-  test(`a table of after the return is in force in time: ${balancers} balancers, away ${away} ms, ${where}`, (t) => {
+  const where = isPastOldRevision ? 'past the old revisions' : 'below the old revisions';
+  test(`a table written after a restore is active in time: ${balancers} balancers, outage ${outageMs} ms, ${where}`, (t) => {
     const world = startWorld(51, balancers);
-    restoreWithChanges(world, passed, away);
+    restoreWithChanges(world, isPastOldRevision, outageMs);
     world.runFor(APPLY_TIME_MS);
     t.deepEqual(getVersions(world), repeatVersion(world, 3));
   });
 }
 
-test('the store returns twice in a row', (t) => {
+test('the store is restored twice in a row', (t) => {
   const world = startWorld(53);
   restoreWithChanges(world, true, 0);
   world.runFor(300);
-  const copy = world.store.copy();
+  const backup = world.store.copy();
   world.configure(4, MODEL_ROUTES);
   world.runFor(100);
-  world.store.returnFrom(copy);
+  world.store.returnFrom(backup);
   world.configure(4, MODEL_ROUTES);
   world.configure(5, MODEL_ROUTES);
   world.store.advance(60);
@@ -109,10 +104,10 @@
   t.deepEqual(getVersions(world), repeatVersion(world, 5));
 });
 
-test('a balancer that the store refuses hears of the agents of the new era from its peers', (t) => {
+test('a balancer that the store refuses gets the agents of the new era from its peers', (t) => {
   const world = startWorld(54);
-  const [apart] = world.balancers;
-  world.store.refused.add(apart!.name);
+  const [refused] = world.balancers;
+  world.store.refused.add(refused!.name);
   world.store.advance(500);
   const lost = world.addAgent('map', 'north');
   world.runFor(2_000);
@@ -121,15 +116,15 @@
   t.is(world.store.agents.items.size, world.agents.length, 'all agents are listed again');
   const added = world.addAgent('map', 'south');
   world.runFor(3_000);
-  t.truthy(apart!.node.directory.find(added.address)?.registryRevision);
-  t.truthy(apart!.node.directory.find(lost.address)?.registryRevision);
+  t.truthy(refused!.node.directory.find(added.address)?.registryRevision);
+  t.truthy(refused!.node.directory.find(lost.address)?.registryRevision);
 });
 
-test('a balancer that starts in the gap resets no flow of an agent that the copy lacks', (t) => {
+test('a balancer started after a restore resets no flow of an agent missing from the backup', (t) => {
   for (let seed = 60; seed < 66; seed++) {
     const world = startWorld(seed, 2);
-    const copy = world.store.copy();
-    // It reports half an interval after the others.
+    const backup = world.store.copy();
+    // The new agent reports half an interval after the others.
     world.runFor(125);
     world.addAgent('map', 'south');
     world.runFor(4_000);
@@ -138,16 +133,16 @@
     }
     // Agents report every 250 ms: the balancers start at various times between two reports.
     world.runFor(1_000 + 40 * (seed - 60));
-    world.store.returnFrom(copy);
+    world.store.returnFrom(backup);
     world.balancers.forEach((balancer) => world.startBalancer(balancer));
     world.runFor(6_000);
     t.deepEqual(world.violations.flowsReset, [], `seed ${seed}`);
   }
 });
 
-test('a balancer that starts in the gap resets no flow of a route that the copy lacks', (t) => {
+test('a balancer started after a restore resets no flow of a route missing from the backup', (t) => {
   const world = startWorld(57);
-  const copy = world.store.copy();
+  const backup = world.store.copy();
   world.configure(2, ADDED_ROUTES);
   world.runFor(2 * VERIFIER_APPLY_TIME_MS);
   for (let index = 0; index < 30; index++) {
@@ -155,64 +150,65 @@
     world.openFlow(TILE_DESTINATION, 60, 40);
   }
   world.runFor(500);
-  world.store.returnFrom(copy);
+  world.store.returnFrom(backup);
   world.balancers.forEach((balancer) => world.startBalancer(balancer));
-  // The operator writes again what was lost.
+  // The operator writes the lost table again.
   world.clock.schedule(1_500, () => world.configure(2, ADDED_ROUTES));
   world.runFor(4_000);
   t.deepEqual(world.violations.flowsReset, []);
   t.deepEqual(getVersions(world), repeatVersion(world, 2));
 });
 
-test('a balancer that starts while the store is behind takes the later table of its peers', (t) => {
+test('a balancer started while the store is outdated gets the later table from its peers', (t) => {
   const world = startWorld(58);
-  const copy = world.store.copy();
+  const backup = world.store.copy();
   world.configure(2, ADDED_ROUTES);
   world.runFor(2_000);
-  world.store.returnFrom(copy);
+  world.store.returnFrom(backup);
   const [balancer] = world.balancers;
   world.startBalancer(balancer!);
   world.runFor(1_000);
   t.deepEqual(getVersions(world), repeatVersion(world, 2));
 });
 
-test('agents that the copy lacks enter themselves again, once each, and nobody for them', (t) => {
+test('agents missing from the backup register themselves again, once each, without balancers', (t) => {
   const world = startWorld(59, LARGE_CLUSTER_SIZE);
   for (let index = 0; index < 24; index++) {
     world.addAgent('map', 'north');
   }
   world.runFor(6_000);
-  const registrations = (): number[] => world.agents.map(({ node }) => node.figures.registrations);
-  const onBehalf = (): number =>
+  const listRegistrations = (): number[] =>
+    world.agents.map(({ node }) => node.figures.registrations);
+  const countRegistryCalls = (): number =>
     world.balancers.reduce((sum, { node }) => sum + node.figures.registryCalls, 0);
-  const before = registrations();
-  const callsBefore = onBehalf();
+  const before = listRegistrations();
+  const callsBefore = countRegistryCalls();
   world.store.returnFrom({ ...world.store.copy(), agents: [] });
   world.runFor(REWRITE_TIME_MS);
   t.is(world.store.agents.items.size, world.agents.length);
   t.deepEqual(
-    registrations().map((count, index) => count - before[index]!),
+    listRegistrations().map((count, index) => count - before[index]!),
     world.agents.map(() => 1),
   );
-  t.is(onBehalf(), callsBefore);
+  t.is(countRegistryCalls(), callsBefore);
   t.deepEqual(
     world.balancers.map(({ node }) => node.figures.agentsKnown),
     world.balancers.map(() => world.agents.length),
   );
 });
 
-test('an entry that the copy has brought back of an agent that is gone goes again', (t) => {
+test('an entry of a stopped agent that a restore has brought back is removed again', (t) => {
   const world = startWorld(60);
   const gone = world.addAgent('map', 'north');
   world.runFor(3_000);
-  const copy = world.store.copy();
+  const backup = world.store.copy();
   gone.process.kill();
   gone.target.alive = false;
   world.store.lapse(String(gone.address));
   world.runFor(5_000);
-  world.store.returnFrom(copy);
+  world.store.returnFrom(backup);
   world.runFor(1_000);
-  t.true(world.store.agents.items.has(String(gone.address)), 'the copy has it');
+  t.true(world.store.agents.items.has(String(gone.address)), 'the backup has it');
   world.runFor(15_000);
   t.false(world.store.agents.items.has(String(gone.address)));
   world.balancers.forEach(({ node }) => t.is(node.directory.find(gone.address), undefined));
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -1,6 +1,6 @@
 /**
- * The store comes back from a copy of itself some seconds old: what was written since is gone, its
- * revisions are given out again, and its era has risen by one.
+ * Restore of the store from a backup some seconds old: later writes are lost, revisions are reused,
+ * and the era is one higher.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import test from 'ava';
@@ -35,32 +35,34 @@
   zone: 'north',
 };
 
-interface Reported {
+interface LoggedEvent {
   readonly event: EventKind;
   readonly fields: EventFields;
 }
 
-/** A model deployment that has run for a while, and what its processes report. */
-function startReportingWorld(seed: number): { world: PacketWorld; reported: Reported[] } {
-  const reported: Reported[] = [];
+/** Starts a model deployment, runs it for a while and collects its log events. */
+function startLoggingWorld(seed: number): { world: PacketWorld; events: LoggedEvent[] } {
+  const events: LoggedEvent[] = [];
   const world = new PacketWorld(seed, (_process, event, fields) => {
-    reported.push({ event, fields });
+    events.push({ event, fields });
   });
   startModelDeployment(world);
   world.runFor(5_000);
-  return { world, reported };
+  return { world, events };
 }
 
-test('every answer tells the era of the store; one without it tells none', async (t) => {
+test('every answer carries the era of the store; without it the last known era, or 0, applies', async (t) => {
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
   const collection = routingTables(api);
   const first = (await awaitAnswer(collection.list.bind(collection))).unwrap();
   standin.returnFrom(standin.copy());
-  // The first call may still go out on a connection that the return has cut.
-  const afterReturn = await awaitAnswer(collection.list.bind(collection));
-  const listed = afterReturn.ok ? afterReturn : await awaitAnswer(collection.list.bind(collection));
+  // The first call may still use a connection that the restore has closed.
+  const afterRestore = await awaitAnswer(collection.list.bind(collection));
+  const listed = afterRestore.ok
+    ? afterRestore
+    : await awaitAnswer(collection.list.bind(collection));
   const second = listed.unwrap();
   t.is(second.era, first.era + 1);
   standin.spoiler = (_call, response) => {
@@ -74,17 +76,17 @@
   t.is((await awaitAnswer(unnamed.list.bind(unnamed))).unwrap().era, 0);
 });
 
-test('a change of the era is reported, with what was known before', (t) => {
-  const { world, reported } = startReportingWorld(41);
-  const listings = reported.filter(({ event }) => event === Events.storeListed);
+test('a change of the era is logged with the eras before and after', (t) => {
+  const { world, events } = startLoggingWorld(41);
+  const listings = events.filter(({ event }) => event === Events.storeListed);
   t.true(listings.length > 0);
   t.true(listings.every(({ fields }) => fields['era'] === 1));
-  const copy = world.store.copy();
+  const backup = world.store.copy();
   world.configure(2, MODEL_ROUTES);
   world.runFor(1_000);
-  world.store.returnFrom(copy);
+  world.store.returnFrom(backup);
   world.runFor(3_000);
-  const changes = reported.filter(({ event }) => event === Events.storeEraChanged);
+  const changes = events.filter(({ event }) => event === Events.storeEraChanged);
   t.true(changes.length > 0);
   t.deepEqual([changes[0]!.fields['before'], changes[0]!.fields['after']], [1, 2]);
   world.balancers.forEach(({ node }) => t.is(node.figures.storeEra, 2));
@@ -96,7 +98,7 @@
   t.teardown(() => (api.close(), standin.stop()));
   const tables = routingTables(api);
   const position: StorePosition = (await awaitAnswer(tables.list.bind(tables))).unwrap();
-  // The store's return is not seen by this call: it goes on waiting, and only another one is answered.
+  // The restore does not end this call: it keeps waiting, and only another call is answered.
   standin.spoiler = (call) => call.url?.includes('watch') === true;
   const waiting = awaitAnswer<Changes<RoutingTable>>((answer) =>
     tables.awaitChanges(position, 10_000, answer),
@@ -113,7 +115,7 @@
 });
 
 for (const status of [410, 503, 429]) {
-  test(`a waiting call that the store refuses with ${status} tells of the later era`, async (t) => {
+  test(`a waiting call that the store refuses with ${status} reports the later era`, async (t) => {
     const standin = new ObjectApiStandin();
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
@@ -128,7 +130,7 @@
   });
 }
 
-test('a removal under a revision of an earlier era is not sent: it may name another entry', async (t) => {
+test('a removal by a revision of an earlier era is not sent: it may match another entry', async (t) => {
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
@@ -145,7 +147,7 @@
   t.truthy(standin.get('agents', '10-0-0-1'));
 });
 
-test('moments are compared by era first, and those without one within the known era', (t) => {
+test('positions are compared by era first; one without an era is assigned the known era', (t) => {
   t.true(isLater({ era: 2, revision: 5 }, { era: 1, revision: 90 }));
   t.false(isLater({ era: 1, revision: 90 }, { era: 2, revision: 5 }));
   t.false(isLater({ era: 2, revision: 5 }, { era: 2, revision: 5 }));
@@ -173,20 +175,23 @@
   return { directory, view };
 }
 
-test('agents that a later era does not list stay known, and are told to be missing', (t) => {
+test('agents that a later era does not list stay known as unregistered', (t) => {
   const { directory, view } = createViewHarness();
   view.applyListing({ skipped: 0, era: 2, revision: 80, items: [] });
   t.deepEqual(view.position, { era: 2, revision: 80 });
   t.is(directory.size, 2);
   t.is(directory.find(1)!.registryRevision, undefined);
-  t.true(directory.mayHoldFlows(directory.find(1)!), 'its silence keeps flows from being reset');
+  t.true(
+    directory.mayHoldFlows(directory.find(1)!),
+    'its flows must not be reset while it does not report',
+  );
   const agent = { ...AGENT, address: 1, revision: 81 };
   view.applyDelta({ from: 80, to: 81, changes: [{ agent, removed: false }] }, 2);
   t.is(directory.find(1)!.registryRevision, 81);
   t.is(directory.find(1)!.lapsedAt, undefined);
 });
 
-test('what is told of an earlier era changes nothing, whatever its revisions', (t) => {
+test('updates of an earlier era register nothing, whatever their revisions', (t) => {
   const { directory, view } = createViewHarness();
   view.applyListing({ skipped: 0, era: 2, revision: 80, items: [] });
   const agent = { ...AGENT, address: 3, revision: 105 };
@@ -199,17 +204,17 @@
   });
   t.is(directory.find(3), undefined);
   view.applySnapshot([agent], { era: 1, revision: 105 }, 'peer');
-  t.is(directory.find(3)!.registryRevision, undefined, 'known, and not listed');
+  t.is(directory.find(3)!.registryRevision, undefined, 'known, but not registered');
   t.deepEqual(view.position, { era: 2, revision: 80 });
 });
 
-test('an agent that was removed in the same era is forgotten, as ever', (t) => {
+test('an agent that was removed in the same era is forgotten', (t) => {
   const { directory, view } = createViewHarness();
   view.applyListing({ skipped: 0, era: 1, revision: 110, items: [] });
   t.is(directory.size, 0);
 });
 
-test('a zone that the copy has put back into service gets no new flows for a while', (t) => {
+test('a zone whose evacuation a restore has lost gets no new flows for a while', (t) => {
   const harness = new RouterHarness([]);
   const changed: string[][] = [];
   const view = new ZoneEvacuationView(harness.environment, (zones) => changed.push([...zones]));
@@ -217,13 +222,13 @@
   view.apply({ era: 2, revision: 10, zones: [] }, 'store');
   t.true(view.isEvacuated('south'));
   t.deepEqual(changed, [['south']]);
-  // Nobody takes it out of service again: the store's word counts.
+  // Nobody takes it out of service again, so the store's list applies.
   harness.runFor(REWRITE_TIME_MS + 1);
   t.false(view.isEvacuated('south'));
   t.deepEqual(changed, [['south'], ['south']]);
 });
 
-test('a node that tells nothing of zones in the later era changes nothing', (t) => {
+test('an unknown state of the later era does not end an evacuation', (t) => {
   const harness = new RouterHarness([]);
   const view = new ZoneEvacuationView(harness.environment, () => undefined);
   view.apply({ era: 1, revision: 20, zones: ['south'] }, 'store');
@@ -233,25 +238,25 @@
   t.true(view.isEvacuated('south'));
 });
 
-test('the last word of the operator counts, in the later era', (t) => {
+test('the latest change by the operator applies in the later era', (t) => {
   const harness = new RouterHarness([]);
   const view = new ZoneEvacuationView(harness.environment, () => undefined);
   view.apply({ era: 1, revision: 20, zones: ['south'] }, 'store');
   view.apply({ era: 2, revision: 10, zones: [] }, 'store');
   view.apply({ era: 2, revision: 11, zones: ['south'] }, 'store');
   view.apply({ era: 2, revision: 12, zones: [] }, 'store');
-  t.false(view.isEvacuated('south'), 'taken out and put back again');
+  t.false(view.isEvacuated('south'), 'evacuated and back in service');
   view.apply({ era: 2, revision: 13, zones: ['north'] }, 'store');
   harness.runFor(REWRITE_TIME_MS + 1);
   t.true(view.isEvacuated('north'));
-  // A zone that the copy has brought back is out of service until the operator puts it back.
+  // An evacuation brought back by a restore holds until the operator ends it.
   view.apply({ era: 3, revision: 5, zones: ['east'] }, 'store');
   t.true(view.isEvacuated('east'));
   view.apply({ era: 3, revision: 6, zones: [] }, 'store');
   t.false(view.isEvacuated('east'));
 });
 
-test('where no agent tells of an earlier era, resets wait only for the agents to be able to', (t) => {
+test('resets wait for the rewrite time only if an agent reports an earlier era', (t) => {
   const settling = new ViewConvergence();
   settling.start(1_000);
   t.false(settling.isConverged(2, 1_050));
--- a/test/support/answers.ts
+++ b/test/support/answers.ts
@@ -1,9 +1,9 @@
-/** Answers by callback as promises. */
+/** Converts callback results to promises. */
 import type { Result } from 'ts-results';
 import type { HallholdError } from '../../src/errors/hallhold-error';
 import type { ResultCallback } from '../../src/packets/collection-port';
 
-/** The answer to one call. */
+/** Resolves with the result of one call. */
 export function awaitAnswer<T>(
   call: (answer: ResultCallback<T>) => void,
 ): Promise<Result<T, HallholdError>> {
--- a/test/support/fetch-status.ts
+++ b/test/support/fetch-status.ts
@@ -1,7 +1,7 @@
-/** One HTTP call of a test, of which only the status matters. */
+/** HTTP requests of tests that check only the status. */
 import { request } from 'node:http';
 
-/** The status of the answer; 0 when nobody answers. */
+/** Sends a request and resolves with the response status; 0 if the request fails. */
 export function fetchStatus(
   host: string,
   port: number,
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -1,4 +1,4 @@
-/** Zones that operators take out of service: who knows it when, and what they do then. */
+/** Evacuated zones: propagation of evacuations and their effect on flows. */
 import test from 'ava';
 import { ZoneEvacuationView } from '../src/packets/zone-evacuations';
 import {
@@ -14,7 +14,7 @@
 } from '../src/simulation/packets/random-faults';
 import { RouterHarness } from './support/router-harness';
 
-/** Milliseconds in which the deployments ask for it. */
+/** Time within which deployments require an evacuation to take effect. */
 const EVACUATE_TIME_MS = 5_000;
 
 function createView(): { view: ZoneEvacuationView; changed: string[][] } {
@@ -25,7 +25,7 @@
   return { view, changed };
 }
 
-test('a later revision replaces what is known, an earlier one changes nothing', (t) => {
+test('a later revision replaces the known state, an earlier one is ignored', (t) => {
   const { view, changed } = createView();
   t.false(view.isKnown);
   view.apply({ era: 1, revision: 20, zones: ['south'] }, 'peer');
@@ -40,14 +40,14 @@
   t.deepEqual(changed, [['south'], ['north', 'south']]);
 });
 
-test('the first state known is told even if no zone is out of service', (t) => {
+test('the first known state is notified even if no zone is out of service', (t) => {
   const { view, changed } = createView();
   view.applyListing({ items: [], skipped: 0, era: 1, revision: 4 });
   t.true(view.isKnown);
   t.deepEqual(changed, [[]]);
 });
 
-test('changes of the store apply in order, those already known from others are left out', (t) => {
+test('changes of the store apply in order, except those already known from peers', (t) => {
   const { view } = createView();
   const item = { zone: 'south' };
   const change = (revision: number, removed: boolean) =>
@@ -55,7 +55,7 @@
   view.applyListing({ items: [], skipped: 0, era: 1, revision: 4 });
   view.applyChanges({ skipped: 0, changes: [change(6, false)], era: 1, revision: 6 });
   t.true(view.isEvacuated('south'));
-  // A peer tells that the zone is back; the own call, begun earlier, still tells all of it.
+  // A peer announces the zone's return; a call that began earlier still returns all changes.
   view.apply({ era: 1, revision: 9, zones: [] }, 'peer');
   view.applyChanges({
     skipped: 0,
@@ -73,7 +73,7 @@
   t.deepEqual(view.current, { era: 1, revision: 12, zones: [] });
 });
 
-test('a new flow goes to no target of a zone out of service, an open one goes on there', (t) => {
+test('new flows avoid targets of an evacuated zone, open ones stay there', (t) => {
   const harness = new RouterHarness([2, 2]);
   const [first] = harness.agents;
   harness.directory.recordReport(
@@ -92,7 +92,7 @@
   t.is(harness.sent.at(-1)!.to, first);
 });
 
-test('a client is told at once when all targets of its service are out of service', (t) => {
+test('a client is reset at once when all targets of its service are out of service', (t) => {
   const harness = new RouterHarness([2, 2]);
   harness.evacuatedZones = ['north'];
   harness.router.route(harness.createOpening(7));
@@ -106,13 +106,13 @@
   return world;
 }
 
-/** Opening packets that the targets of a zone have got by now. */
+/** Counts the opening packets that the targets of a zone have received so far. */
 function countOpened(world: PacketWorld, zone: string): number {
   const agents = world.agents.filter((agent) => agent.zone === zone);
   return agents.reduce((sum, { openings }) => sum + openings.length, 0);
 }
 
-/** Opens flows for a while, and tells how many went to a zone. */
+/** Opens flows for a while and counts those that went to a zone. */
 function countNewFlows(world: PacketWorld, zone: string): number {
   const before = countOpened(world, zone);
   openModelFlows(world, 60, 2, 100);
@@ -120,7 +120,7 @@
   return countOpened(world, zone) - before;
 }
 
-test('open flows of an evacuated zone go on, new ones go elsewhere, and come back after it', (t) => {
+test('open flows of an evacuated zone continue, new ones go elsewhere until it is restored', (t) => {
   const world = startWorld(11);
   openModelFlows(world, 40, 30, 200);
   world.runFor(1_000);
@@ -136,7 +136,7 @@
   t.true(world.clients.every(({ state }) => state === 'done'));
 });
 
-test('a zone that goes and comes back within a second is in service everywhere', (t) => {
+test('a zone evacuated and restored within a second is in service everywhere', (t) => {
   const world = startWorld(12);
   world.store.evacuate('north');
   world.runFor(2);
@@ -155,7 +155,7 @@
   );
 });
 
-test('two zones may be out of service at a time', (t) => {
+test('two zones may be out of service at the same time', (t) => {
   const world = startWorld(13);
   world.store.evacuate('north');
   world.store.evacuate('east');
@@ -165,7 +165,7 @@
   t.true(countNewFlows(world, 'south') > 0);
 });
 
-test('balancers that the store refuses hear of it from others, in time', (t) => {
+test('balancers that the store refuses learn of an evacuation from peers in time', (t) => {
   const world = startWorld(14, 14);
   world.balancers.slice(0, 5).forEach(({ name }) => world.store.refused.add(name));
   world.runFor(4_000);
@@ -175,7 +175,7 @@
   t.true(world.balancers.every(({ node }) => node.figures.zonesEvacuated === 1));
 });
 
-test('both readers die as a zone goes out of service: others read in time', (t) => {
+test('both readers die as a zone is evacuated: other balancers read it in time', (t) => {
   const world = startWorld(15, 14);
   world.runFor(4_000);
   world.balancers
@@ -186,7 +186,7 @@
   t.is(countNewFlows(world, 'north'), 0);
 });
 
-test('a balancer and an agent that start meanwhile know it before they place or take a flow', (t) => {
+test('restarted balancers and agents know an evacuation before they place or accept flows', (t) => {
   const world = startWorld(16);
   world.store.evacuate('north');
   world.runFor(500);
@@ -200,7 +200,7 @@
   t.is(countOpened(world, 'north'), before);
 });
 
-test('after a loss of all power no flow opens in a zone that is out of service', (t) => {
+test('after a total power loss no flow opens in an evacuated zone', (t) => {
   const world = startWorld(17);
   world.store.evacuate('north');
   world.runFor(500);
@@ -214,7 +214,7 @@
   t.true(countOpened(world, 'south') > 0);
 });
 
-test('the agent has the last word where a balancer knows nothing of it', (t) => {
+test('agents refuse flows of a balancer that does not know of the evacuation', (t) => {
   const world = startWorld(18);
   const [stale, ...others] = world.balancers;
   world.store.refused.add(stale!.name);
--- a/test/zone-silence.test.ts
+++ b/test/zone-silence.test.ts
@@ -1,4 +1,4 @@
-/** What the silence of a zone's agents says, and what it does not. */
+/** Detection of unreachable zones by missing reports of their agents. */
 import test from 'ava';
 import { AgentDirectory } from '../src/packets/agent-directory';
 import { createReport } from './support/reports';
@@ -6,7 +6,7 @@
 const NORTH = 'north';
 const SOUTH = 'south';
 
-/** Ten agents a zone, all heard at a time. */
+/** Creates a directory of ten agents per zone that all reported at the given time. */
 function createDirectory(at: number): AgentDirectory {
   const directory = new AgentDirectory();
   for (let index = 0; index < 20; index++) {
@@ -16,8 +16,8 @@
   return directory;
 }
 
-// Guards against detours for flows of zones that a balancer has not listened to while it relayed.
-test('a zone is silent only once it was listened to', (t) => {
+// Guards against detours for flows of zones whose reports a balancer did not ask for while relaying.
+test('a zone is silent only after its agents were asked for reports', (t) => {
   const directory = createDirectory(0);
   directory.stopListening();
   directory.recordReport(1, createReport({ sequence: 2 }), 20_000);
