--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -17,7 +17,7 @@
 } from './packet-messages';
 
 /**
- * Time from sending an opening packet to the first request of its flow at the target: a report
+ * Time from sending an opening packet (SYN) to the first request of its flow at the target: a report
  * includes the load of openings older than this.
  */
 const OPENING_DELAY_MS = 10;
--- a/src/packets/deployment-state.ts
+++ b/src/packets/deployment-state.ts
@@ -21,7 +21,7 @@
   readonly profiles: ServiceProfiles;
 }
 
-/** Carried by subscriptions that need not carry the state: the agent keeps what it knows. */
+/** Sent to an agent that already has the state: it keeps what it knows. */
 export const UNKNOWN_DEPLOYMENT_STATE: DeploymentState = {
   evacuations: UNKNOWN_EVACUATIONS,
   profiles: UNKNOWN_PROFILES,
--- a/src/packets/packet-messages.ts
+++ b/src/packets/packet-messages.ts
@@ -78,7 +78,7 @@
   noTarget: 3,
   /** The target belongs to a service that the route does not allow. */
   otherService: 4,
-  /** The target has not answered any recent opening packet. */
+  /** The target has not answered any recent opening packet (SYN). */
   targetDown: 5,
   /** The target's zone is out of service and accepts no new flows. */
   zoneEvacuated: 6,
--- a/src/packets/registry-reconciler.ts
+++ b/src/packets/registry-reconciler.ts
@@ -54,8 +54,8 @@
 
   private reconcileEntry(entry: AgentEntry, mayCall: boolean, now: number): void {
     const silence = this.directory.getSilence(entry, now);
-    const listed = entry.registryRevision !== undefined;
-    if (!listed && silence > this.getForgetSilence(entry)) {
+    const isListed = entry.registryRevision !== undefined;
+    if (!isListed && silence > this.getForgetSilence(entry)) {
       this.directory.forget(entry.address);
     } else if (
       !mayCall ||
@@ -63,9 +63,9 @@
       this.pendingCalls.size >= MAXIMUM_CONCURRENT_CALLS
     ) {
       return;
-    } else if (listed && silence > REMOVAL_SILENCE_MS) {
+    } else if (isListed && silence > REMOVAL_SILENCE_MS) {
       this.remove(entry, silence, now);
-    } else if (!listed && this.needsRegistration(entry, now)) {
+    } else if (!isListed && this.needsRegistration(entry, now)) {
       this.register(entry);
     }
   }
--- a/src/packets/registry-view.ts
+++ b/src/packets/registry-view.ts
@@ -37,9 +37,9 @@
   applyListing(listing: Listing<AgentRecord>): void {
     const agents = listing.items.map(({ item, revision }) => ({ ...item, revision }));
     const { era, revision } = listing;
-    const differs = this.replaceEntries(agents, listing);
+    const hasChanged = this.replaceEntries(agents, listing);
     const isFirstOfEra = era > this.currentPosition.era || this.currentPosition.revision === 0;
-    if ((differs || isFirstOfEra) && isLater(listing, this.currentPosition)) {
+    if ((hasChanged || isFirstOfEra) && isLater(listing, this.currentPosition)) {
       this.currentPosition = { era, revision };
     }
     this.markComplete('store');
@@ -110,7 +110,7 @@
     const { directory, environment } = this.dependencies;
     const now = environment.now();
     const listed = new Set(agents.map(({ address }) => address));
-    let differs = false;
+    let hasChanged = false;
     for (const { address, registryRevision } of [...directory.getAll()]) {
       if (registryRevision !== undefined && !listed.has(address)) {
         if (isLaterEra) {
@@ -118,14 +118,14 @@
         } else {
           directory.markUnregistered(address, now);
         }
-        differs = true;
+        hasChanged = true;
       }
     }
     for (const { revision, ...agent } of agents) {
-      differs ||= directory.find(agent.address)?.registryRevision !== revision;
+      hasChanged ||= directory.find(agent.address)?.registryRevision !== revision;
       directory.upsert(agent, revision, now);
     }
-    return differs;
+    return hasChanged;
   }
 
   private updateDirectory(changes: readonly RegistryChange[], revision: number): void {
--- a/test/snapshot-exchange.test.ts
+++ b/test/snapshot-exchange.test.ts
@@ -25,11 +25,12 @@
 
 function listen(server: Server): Promise<Endpoint> {
   return new Promise((done) => {
-    const tell = (): void => done(packEndpoint(LOOPBACK, (server.address() as AddressInfo).port));
+    const resolveAddress = (): void =>
+      done(packEndpoint(LOOPBACK, (server.address() as AddressInfo).port));
     if (server.listening) {
-      tell();
+      resolveAddress();
     } else {
-      server.once('listening', tell);
+      server.once('listening', resolveAddress);
     }
   });
 }
