--- a/src/packets/repair/answer-flow.ts
+++ b/src/packets/repair/answer-flow.ts
@@ -1,82 +1,81 @@
 /**
- * One flow's packets from its target to the client, from sending until they are acknowledged:
- * what was lost on the way, and when it is to be repeated.
+ * Loss detection for one flow from its target to the client: buffers packets until they are
+ * acknowledged and decides when to retransmit them.
  *
- * Pure: times come from the caller. Acknowledgements are cumulative and tell nothing of single
- * packets, so a gap is told by repeated equal ones (RFC 5681) that last longer than packets
- * overtake each other (RFC 8985), and a lost tail by a timeout (RFC 6298, RFC 8985 section 7).
- * Packets overtake each other on the way from the target too: their order here means nothing.
+ * Pure: times come from the caller. Acknowledgements are cumulative, so a gap is detected by
+ * duplicate acknowledgements (RFC 5681) that persist beyond a reordering window (RFC 8985), and a
+ * lost tail by a timeout (RFC 6298, RFC 8985 section 7). Packets are also reordered between the
+ * target and the agent, so the order in which they arrive here carries no information.
  */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket } from '../flow-packet';
 import { RETRANSMISSION_CUTOFF_MS, TARGET_TIMEOUT_MS, type AnswerTiming } from './answer-timing';
 import { computeEndSequence, computeDistance, computeSequenceLength } from './sequence-numbers';
 
-/** Packets kept of a flow: as many as a sender has under way. */
+/** Packets buffered per flow: as many as a sender has in flight. */
 const MAXIMUM_BUFFERED_PACKETS = 16;
-/** Repeats of one packet: one for the loss, one for the loss of the repeat. */
+/** Retransmissions of one packet: one for its loss, one for the loss of the retransmission. */
 const MAXIMUM_RETRANSMISSIONS = 2;
 /**
- * Repeats of an answer to an opening: its client may have gone on with another target that got a
- * copy of the opening, of which this agent sees nothing.
+ * Retransmissions of a SYN-ACK. Its client may have continued with another target that received a
+ * retransmission of the SYN, which this agent cannot see.
  */
 const MAXIMUM_OPENING_RETRANSMISSIONS = 1;
-/** Sequence numbers known as sent; a sender has 16 packets under way, some may be unaccounted. */
+/** Sequence numbers tracked as sent; a sender has 16 packets in flight, and some go unrecorded. */
 const MAXIMUM_TRACKED_SEQUENCES = 64;
 
-/** A packet that was sent to the client and is not acknowledged. */
+/** A packet that was sent to the client and is not acknowledged yet. */
 export interface BufferedPacket {
-  /** The packet as the target wrote it; never altered. */
+  /** The packet as the target sent it; never altered. */
   readonly bytes: Buffer;
   readonly sequence: number;
   readonly endSequence: number;
   readonly opens: boolean;
-  /** Time at which the target sent it last. */
+  /** Time at which the target last sent it. */
   sentAt: number;
-  /** Repeats from here. */
+  /** Retransmissions by this agent. */
   retransmissions: number;
-  /** Its target has repeated it. */
   isRetransmittedByTarget: boolean;
 }
 
-/** What a client's packet told. */
+/** Outcome of a client's acknowledgement. */
 export interface AcknowledgementResult {
-  /** Packets acknowledged by it. */
+  /** Packets that it acknowledged. */
   readonly acknowledgedCount: number;
-  /** Repeats of them that came after the first had arrived. */
+  /** Retransmissions of these packets that were unnecessary. */
   readonly spuriousRetransmissions: number;
 }
 
-/** How a flow stands: `targetRepeats` after its target's timer, until that is acknowledged. */
+/** State of a flow: `targetRepeats` from a timeout of the target until its packets are acknowledged. */
 type FlowPhase = 'repaired' | 'targetRepeats' | 'over';
 
 const NO_PROGRESS: AcknowledgementResult = { acknowledgedCount: 0, spuriousRetransmissions: 0 };
 
-/** The answers of one flow. */
+/** Retransmission state of one flow. */
 export class AnswerFlow {
-  /** Unacknowledged packets, by sequence number. */
+  /** Unacknowledged packets, in order of sequence number. */
   private buffered: BufferedPacket[] = [];
-  /** Sequence numbers of packets sent and not acknowledged, kept or not. */
+  /** Sequence numbers of packets sent and not acknowledged, whether buffered or not. */
   private readonly sentSequences = new Set<number>();
   private phase: FlowPhase = 'repaired';
-  /** All before it is acknowledged. */
+  /** Every sequence number before it is acknowledged. */
   private acknowledgedUpTo: number;
   private sentUpTo: number;
-  /** What was sent when a gap or a loss was last known; all before it must come to close it. */
+  /** Highest sequence sent when a loss was last detected; recovery ends once it is acknowledged. */
   private recoveryPoint: number;
-  /** Time since which a gap has been known; undefined without one. */
+  /** Time at which the current gap was detected; undefined without one. */
   private gapDetectedAt: number | undefined;
   private lastSentAt = 0;
   private progressAt = 0;
   private retransmittedAt = 0;
-  /** Probes since the last progress. */
+  /** Tail loss probes since the last progress. */
   private probes = 0;
   private byteCount = 0;
   readonly client: Endpoint;
   private readonly firstSequence: number;
 
   /**
-   * @param first the first packet of the target that was seen
+   * @param first the first packet seen from the target
    * @param usedAt time of the target's latest packet
    */
   constructor(
@@ -91,24 +90,24 @@
     this.recoveryPoint = first.sequence;
   }
 
-  /** Bytes of the packets kept. */
+  /** Bytes of the buffered packets. */
   get bufferedBytes(): number {
     return this.byteCount;
   }
 
-  /** Whether anything is kept that may have to be repeated. */
+  /** Whether any packet is buffered for retransmission. */
   get isPending(): boolean {
     return this.buffered.length > 0;
   }
 
-  /** Whether a packet of the target opens another flow between the same ends. */
+  /** Whether a packet of the target opens another flow between the same endpoints. */
   isReplacedBy(packet: FlowPacket): boolean {
     return packet.opens && packet.sequence !== this.firstSequence;
   }
 
   /**
-   * The target's packet has been sent to the client.
-   * @param mayBuffer whether there is room to keep it
+   * Records a packet of the target that has been sent to the client.
+   * @param mayBuffer whether there is room to buffer it
    */
   recordSent(packet: FlowPacket, mayBuffer: boolean, now: number): void {
     this.usedAt = now;
@@ -132,7 +131,7 @@
     }
   }
 
-  /** Whether the target has sent these numbers before. */
+  /** Whether the target has sent this sequence number before. */
   private isRetransmission({ sequence }: FlowPacket): boolean {
     const isOld = computeDistance(this.acknowledgedUpTo, sequence) < 0;
     return isOld || this.sentSequences.has(sequence);
@@ -147,8 +146,8 @@
   }
 
   /**
-   * The target's own repeat takes the place of one from here. After repeated acknowledgements it
-   * is one packet, and the rest is still looked after; after its timer all is up to the target.
+   * The target's own retransmission replaces one by this agent. A fast retransmit concerns one
+   * packet, and the others stay buffered; after a timeout, recovery is left to the target.
    */
   private handleTargetRetransmission({ sequence }: FlowPacket, now: number): void {
     const packet = this.buffered.find((one) => one.sequence === sequence);
@@ -186,13 +185,13 @@
     }
   }
 
-  /** One side has ended the flow or broken it off: nothing is repeated any more. */
+  /** Ends retransmission after either side has closed or reset the flow. */
   end(): void {
     this.phase = 'over';
     this.removeBuffered(() => true);
   }
 
-  /** A client's packet acknowledges what came before `packet.acknowledgement`. */
+  /** Handles a client's packet, which acknowledges all before `packet.acknowledgement`. */
   handleAcknowledgement(packet: FlowPacket, now: number): AcknowledgementResult {
     const { acknowledgement } = packet;
     const advance = computeDistance(this.acknowledgedUpTo, acknowledgement);
@@ -212,7 +211,7 @@
     return progress;
   }
 
-  /** The receiver has something from behind the first unacknowledged packet. */
+  /** The receiver got a packet beyond the first unacknowledged one. */
   private handleDuplicateAcknowledgement(now: number): void {
     if (this.buffered.length > 1 && this.isFirstMissing) {
       this.gapDetectedAt ??= now;
@@ -220,19 +219,19 @@
     }
   }
 
-  /** Whether the first packet is kept that the receiver lacks, and nobody has repeated it. */
+  /** Whether the first packet that the receiver lacks is buffered and not yet retransmitted. */
   private get isFirstMissing(): boolean {
     const [first] = this.buffered;
     const isMissing = first?.sequence === this.acknowledgedUpTo;
     return isMissing && first.retransmissions === 0 && !first.isRetransmittedByTarget;
   }
 
-  /** Whether something from behind the first missing packet has come, or may have been lost. */
+  /** Whether packets up to the recovery point are still unacknowledged. */
   private get isRecovering(): boolean {
     return computeDistance(this.acknowledgedUpTo, this.recoveryPoint) > 0;
   }
 
-  /** What is still missing of the time of a gap or a repeat is another gap (RFC 6582). */
+  /** A partial acknowledgement during recovery reveals another gap (RFC 6582). */
   private updateGap(now: number): void {
     const { isRecovering } = this;
     if (!isRecovering) {
@@ -249,7 +248,7 @@
     if (!last) {
       return NO_PROGRESS;
     }
-    const retransmissions = covered.reduce((sum, { retransmissions: more }) => sum + more, 0);
+    const retransmissions = covered.reduce((sum, packet) => sum + packet.retransmissions, 0);
     const isAmbiguous = retransmissions > 0 || covered.some((one) => one.isRetransmittedByTarget);
     const isSpurious =
       retransmissions > 0 && now - this.retransmittedAt < this.timing.reorderingWindow;
@@ -263,12 +262,12 @@
     };
   }
 
-  /** Takes out what is acknowledged: the first of the packets kept. */
+  /** Removes and returns the acknowledged packets, which come first in the buffer. */
   private removeAcknowledged(): BufferedPacket[] {
-    const open = this.buffered.findIndex(
-      ({ endSequence: end }) => computeDistance(end, this.acknowledgedUpTo) < 0,
+    const firstOpen = this.buffered.findIndex(
+      ({ endSequence }) => computeDistance(endSequence, this.acknowledgedUpTo) < 0,
     );
-    const covered = this.buffered.splice(0, open < 0 ? this.buffered.length : open);
+    const covered = this.buffered.splice(0, firstOpen < 0 ? this.buffered.length : firstOpen);
     covered.forEach(({ bytes }) => (this.byteCount -= bytes.length));
     return covered;
   }
@@ -281,12 +280,12 @@
     }
   }
 
-  /** A single packet may wait for another one before it is acknowledged; an opening does not. */
+  /** A single packet may get a delayed acknowledgement; a SYN-ACK does not. */
   private getAcknowledgementKind(last: BufferedPacket): 'prompt' | 'delayed' {
     return this.buffered.length === 1 && !last.opens ? 'delayed' : 'prompt';
   }
 
-  /** Time at which there is something to do; Infinity for never. */
+  /** Time of the next retransmission or expiry; Infinity for never. */
   get dueAt(): number {
     const [first] = this.buffered;
     if (!first) {
@@ -295,13 +294,13 @@
     return Math.min(this.gapDueAt, this.probeDueAt, this.expiresAt);
   }
 
-  /** Time at which the oldest copy is dropped: its target repeats it by itself then. */
+  /** Time at which the oldest packet is dropped, since its target then retransmits it. */
   private get expiresAt(): number {
     const sentAt = this.buffered.reduce((oldest, one) => Math.min(oldest, one.sentAt), Infinity);
     return sentAt + TARGET_TIMEOUT_MS;
   }
 
-  /** Once packets cannot have overtaken each other, and the first has had its time. */
+  /** After the reordering window, and not before the first packet's timeout. */
   private get gapDueAt(): number {
     const [first] = this.buffered;
     if (!first || this.gapDetectedAt === undefined) {
@@ -316,14 +315,14 @@
     if (!last || this.probes >= MAXIMUM_RETRANSMISSIONS) {
       return Infinity;
     }
-    const heardAt = Math.max(this.progressAt, this.gapDetectedAt ?? 0);
-    const since = Math.max(this.lastSentAt, heardAt, this.retransmittedAt);
+    const acknowledgedAt = Math.max(this.progressAt, this.gapDetectedAt ?? 0);
+    const since = Math.max(this.lastSentAt, acknowledgedAt, this.retransmittedAt);
     return since + this.timing.getTimeout(this.getAcknowledgementKind(last)) * 2 ** this.probes;
   }
 
   /**
-   * Takes the packet that is to be repeated now; it counts as repeated by {@link recordRetransmission} only.
-   * @returns undefined when there is none
+   * Returns the packet to retransmit now, or undefined. The caller reports the retransmission to
+   * {@link recordRetransmission}.
    */
   takeDuePacket(now: number): BufferedPacket | undefined {
     this.removeExpired(now);
@@ -338,20 +337,20 @@
     return undefined;
   }
 
-  /** A packet that {@link takeDuePacket} gave has been repeated; one that was withheld has not. */
+  /** Records that a packet of {@link takeDuePacket} was sent; not called for a suppressed one. */
   recordRetransmission(packet: BufferedPacket, now: number): void {
     packet.retransmissions++;
     this.retransmittedAt = now;
     this.recoveryPoint = this.sentUpTo;
   }
 
-  /** Drops what the target repeats by itself from now on. */
+  /** Drops packets that the target retransmits from now on. */
   private removeExpired(now: number): void {
     this.removeBuffered(({ sentAt }) => now - sentAt >= TARGET_TIMEOUT_MS);
   }
 
-  private removeBuffered(isRemoved: (answer: BufferedPacket) => boolean): void {
-    this.buffered = this.buffered.filter((answer) => !isRemoved(answer));
+  private removeBuffered(isRemoved: (packet: BufferedPacket) => boolean): void {
+    this.buffered = this.buffered.filter((packet) => !isRemoved(packet));
     this.byteCount = this.buffered.reduce((sum, { bytes }) => sum + bytes.length, 0);
     if (this.buffered.length === 0) {
       this.gapDetectedAt = undefined;
@@ -359,12 +358,12 @@
   }
 }
 
-/** Whether a packet carries nothing but its acknowledgement. */
+/** Whether a packet carries nothing but an acknowledgement. */
 function isPureAcknowledgement({ opens, ends, resets, payloadLength }: FlowPacket): boolean {
   return !opens && !ends && !resets && payloadLength === 0;
 }
 
-/** The packet if it may be repeated once more, and its target is not about to do so. */
+/** The packet if it may be retransmitted again and its target is not about to do so. */
 function getRetransmittable(
   packet: BufferedPacket | undefined,
   now: number,
--- a/src/packets/repair/answer-repair.ts
+++ b/src/packets/repair/answer-repair.ts
@@ -1,11 +1,11 @@
 /**
- * Repeats what a target sent to its clients and what was lost on the way, before the target's own
- * timer does.
+ * Retransmits packets from a target to its clients that were lost, before the target's own
+ * retransmission timer fires.
  *
- * The agent sends the packets and sees the clients' acknowledgements come back, so it knows of a
- * loss within a round trip. It sends copies of what the target wrote, byte for byte, and never
- * acknowledges anything in a client's place: a target loses nothing of its own repeats. All of it
- * may be forgotten at any time; then the target's timer is what it was before.
+ * The agent forwards the packets and sees the clients' acknowledgements, so it detects a loss
+ * within a round trip. It sends byte-for-byte copies and never acknowledges on a client's behalf,
+ * so the target's own retransmission keeps working. The state can be discarded at any time; the
+ * target's timer then recovers the loss as it would without this module.
  */
 import type { Endpoint, Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
@@ -15,49 +15,49 @@
 import { RepairBudget } from './repair-budget';
 import { computeSequenceLength } from './sequence-numbers';
 
-/** Bytes kept over all flows: a small part of what an agent's machine has at least (200 MB). */
+/** Bytes buffered over all flows: a small part of the smallest agent machine's memory (200 MB). */
 const MAXIMUM_BUFFERED_BYTES = 8 * 1_024 * 1_024;
-/** Flows known at once, with and without packets kept; less than a kilobyte each without. */
+/** Flows tracked at once, with or without buffered packets; under 1 KB each without. */
 const MAXIMUM_FLOWS = 4_096;
-/** Milliseconds between two looks at what is due, so that packets due together share a wake-up. */
+/** Minimum timer delay, so that packets due at about the same time share one wake-up. */
 const TIMER_GRANULARITY_MS = 5;
-/** Milliseconds by which a timer may be late before acknowledgements not yet read come first. */
+/** Lateness of a timer above which unread acknowledgements are processed before retransmitting. */
 const TIMER_TOLERANCE_MS = 2 * TIMER_GRANULARITY_MS;
-/** Milliseconds between two log lines that repeats are limited. */
+/** Minimum time between two log lines about limited retransmissions. */
 const REPORT_INTERVAL_MS = 1_000;
 
 /** Counters of answer repair. */
 export interface AnswerRepairCounters {
-  /** Packets repeated in a target's place. */
+  /** Packets retransmitted on behalf of a target. */
   answersRepeated: number;
-  /** Of these, repeats of what the client had got already. */
+  /** Of these, spurious ones: the client had already received the packet. */
   answersRepeatedNeedlessly: number;
-  /** Packets of targets that a client acknowledged while they were kept. */
+  /** Packets that a client acknowledged while they were buffered. */
   answersAcknowledged: number;
-  /** Repeats that the budget and packets that the room for copies did not allow. */
+  /** Retransmissions beyond the budget, and packets not buffered for lack of space. */
   answerRepairsWithheld: number;
 }
 
-/** Counters, and what is kept at present. */
+/** Counters, and the current buffer size. */
 export interface AnswerRepairFigures extends Readonly<AnswerRepairCounters> {
-  /** Bytes of packets that clients have not acknowledged. */
+  /** Bytes of buffered packets that clients have not acknowledged. */
   readonly answerBytesKept: number;
 }
 
-/** What answer repair works with. */
+/** Dependencies of {@link AnswerRepair}. */
 export interface AnswerRepairDependencies {
   readonly environment: Environment;
-  /** Repeats nothing when it is off. */
+  /** When false, nothing is buffered or retransmitted. */
   readonly isEnabled: boolean;
   /**
-   * Milliseconds for which a flow may rest. A flow is known as long, since the packets of an answer
-   * come in any order: only who knows where the answer before ended knows where one begins.
+   * Milliseconds for which a flow may be idle; its state is retained as long. The packets of an
+   * answer arrive in any order, so its start is known only from the end of the previous answer.
    */
   readonly flowLifetime: number;
   sendToClient(client: Endpoint, packet: Buffer): void;
 }
 
-/** Answer repair of one agent. */
+/** Retransmits lost answer packets of one agent's target. */
 export class AnswerRepair {
   private readonly counters: AnswerRepairCounters = {
     answersRepeated: 0,
@@ -67,18 +67,18 @@
   };
   private readonly timing = new AnswerTiming();
   private readonly budget = new RepairBudget();
-  /** In the order of their targets' latest packets. */
+  /** Ordered by the time of the target's latest packet. */
   private readonly flows = new Map<FlowKey, AnswerFlow>();
-  /** Flows with packets kept. */
+  /** Flows with buffered packets. */
   private readonly pending = new Set<AnswerFlow>();
   private bufferedBytes = 0;
   private timer: TimerHandle | undefined;
   private timerAt = Infinity;
-  /** Repeats and copies withheld since the last log line. */
+  /** Retransmissions suppressed and packets not buffered since the last log line. */
   private withheldSinceReport = 0;
   private reportedAt = -Infinity;
   private isStopped = false;
-  /** The present timer waits only until what came meanwhile has been read. */
+  /** Whether the current timer only gives time to read datagrams that arrived during a pause. */
   private isDeferred = false;
 
   constructor(private readonly dependencies: AnswerRepairDependencies) {}
@@ -88,8 +88,8 @@
   }
 
   /**
-   * A target's packet has been sent to its client.
-   * @param packet its bytes are kept as they are, and must not be altered afterwards
+   * Records a target's packet that has been sent to its client.
+   * @param packet its bytes are buffered without copying and must not be altered afterwards
    */
   recordSent(packet: FlowPacket): void {
     const now = this.dependencies.environment.now();
@@ -106,7 +106,7 @@
     this.startTimer(flow.dueAt, now);
   }
 
-  /** A client's packet has come here, whatever becomes of it. */
+  /** Handles a client's packet, whether or not it is delivered to the target. */
   handleClientPacket(packet: FlowPacket): void {
     if (packet.opens) {
       this.handleOpening(packet);
@@ -121,7 +121,7 @@
     this.startTimer(flow.dueAt, now);
   }
 
-  /** The target does not hold a flow. */
+  /** Discards the state of a flow that the target does not hold. */
   removeFlow(key: FlowKey): void {
     const flow = this.flows.get(key);
     if (flow) {
@@ -130,14 +130,14 @@
     }
   }
 
-  /** The target was replaced: nothing of the one before is repeated. */
+  /** Discards all state, after the target was replaced. */
   clear(): void {
     this.flows.clear();
     this.pending.clear();
     this.bufferedBytes = 0;
   }
 
-  /** Ends it for good. */
+  /** Stops permanently. */
   stop(): void {
     this.isStopped = true;
     this.timer?.cancel();
@@ -148,7 +148,7 @@
     return this.dependencies.isEnabled && !this.isStopped;
   }
 
-  /** A first copy begins another flow between the same ends: nothing of the one before is repeated. */
+  /** An original SYN starts another flow between the same endpoints, so the old state is dropped. */
   private handleOpening(packet: FlowPacket): void {
     if (packet.openingCopy === 0) {
       this.removeFlow(packet.flow);
@@ -160,16 +160,15 @@
       flow.end();
       return;
     }
-    const { acknowledgedCount: acknowledged, spuriousRetransmissions: needlessRepeats } =
-      flow.handleAcknowledgement(packet, now);
-    this.counters.answersAcknowledged += acknowledged;
-    this.counters.answersRepeatedNeedlessly += needlessRepeats;
+    const { acknowledgedCount, spuriousRetransmissions } = flow.handleAcknowledgement(packet, now);
+    this.counters.answersAcknowledged += acknowledgedCount;
+    this.counters.answersRepeatedNeedlessly += spuriousRetransmissions;
     if (packet.ends) {
       flow.end();
     }
   }
 
-  /** The flow of a target's packet, the latest now; undefined when there is nothing to note. */
+  /** The flow of a target's packet, moved to the end of the order; undefined if not tracked. */
   private getOrCreateFlow(packet: FlowPacket, now: number): AnswerFlow | undefined {
     const known = this.flows.get(packet.flow);
     if (known && !known.isReplacedBy(packet)) {
@@ -187,7 +186,7 @@
     return flow;
   }
 
-  /** Forgets flows that rest, and the one that rests longest when there is no room for another. */
+  /** Removes idle flows, and the flow idle for longest when there is no room for another. */
   private evictFlows(now: number): void {
     const { flowLifetime } = this.dependencies;
     for (const [key, flow] of this.flows) {
@@ -198,7 +197,7 @@
     }
   }
 
-  /** Runs a change of one flow, and keeps what is counted over all flows. */
+  /** Applies a change to one flow and updates the totals over all flows. */
   private applyChange(flow: AnswerFlow, action: () => void): void {
     this.bufferedBytes -= flow.bufferedBytes;
     action();
@@ -210,7 +209,7 @@
     }
   }
 
-  /** One timer for all flows, at the earliest time at which one of them is due. */
+  /** Sets the single timer of all flows to the earliest time at which one is due. */
   private startTimer(dueAt: number, now: number): void {
     if (dueAt === Infinity || dueAt > this.timerAt - TIMER_GRANULARITY_MS) {
       return;
@@ -266,7 +265,7 @@
     this.dependencies.sendToClient(flow.client, packet.bytes);
   }
 
-  /** Counts what the bounds do not allow; tells it at most once a second. */
+  /** Counts what the limits did not allow; logs it at most once a second. */
   private recordWithheld(now: number): void {
     this.counters.answerRepairsWithheld++;
     this.withheldSinceReport++;
--- a/src/packets/repair/hop-messages.ts
+++ b/src/packets/repair/hop-messages.ts
@@ -1,4 +1,4 @@
-/** Which messages belong to hop repair alone, and which message a numbered one carries. */
+/** Message types of hop repair, and conversion of numbered messages to plain ones. */
 import {
   PacketMessageType,
   type DeliverMessage,
@@ -11,14 +11,13 @@
 
 /** A message that can be numbered. */
 export type RepairableMessage = DeliverMessage | NotHeldMessage;
-/** A message with its number. */
+/** A message with a session and sequence number. */
 export type NumberedMessage = NumberedDeliverMessage | NumberedRefusalMessage;
-/** A message of hop repair. */
+/** A message that only hop repair handles. */
 export type HopMessage = ReceivedMessage | NumberedMessage;
-/** A message that a node acts on. */
+/** Any other message, which a node handles itself. */
 export type PlainMessage = Exclude<PacketMessage, HopMessage>;
 
-/** Whether a message belongs to hop repair alone. */
 export function isHopMessage(message: PacketMessage): message is HopMessage {
   switch (message.type) {
     case PacketMessageType.received:
@@ -30,7 +29,7 @@
   }
 }
 
-/** The message that a numbered one carries. */
+/** The plain message that a numbered one carries. */
 export function extractMessage(message: NumberedMessage): RepairableMessage {
   const { searchId, payload } = message;
   switch (message.type) {
--- a/src/packets/repair/hop-receiver.ts
+++ b/src/packets/repair/hop-receiver.ts
@@ -1,20 +1,20 @@
 /**
- * The receiving half of hop repair: takes each numbered message once. Pure.
+ * The receiving side of hop repair: detects duplicates of numbered messages. Pure.
  *
- * A window belongs to a session, not to a node: a sender that restarts or has forgotten its
- * numbers draws another session, so its messages are never taken for repeats. A jump of the
- * numbers could not tell that, since new numbers may begin anywhere, close to the old ones too.
- * The session before is kept as well, for its messages that are still under way.
+ * A window belongs to a session, not to a node: a sender that restarts or has dropped its state
+ * draws a new session, so its messages are never mistaken for duplicates. A jump of the sequence
+ * numbers would not reveal that, since new numbers may start anywhere, also close to the old ones.
+ * The previous session is retained for its messages that are still in flight.
  */
 import type { Endpoint } from '../../environment';
 import type { HopNumber } from '../packet-messages';
 import { SequenceWindow } from './sequence-window';
 
-/** Nodes noted; beyond that the one noted first is forgotten. As many as `PacketLink` notes. */
+/** Peers tracked; beyond that the oldest is evicted. The same limit as in `PacketLink`. */
 const MAXIMUM_PEERS = 20_000;
 /**
- * Milliseconds after the last message of a node after which its windows are dropped: repeats end
- * after 150 ms (`hop-sender.ts`), and a frozen process holds datagrams back for seconds.
+ * Time after a peer's last message at which its windows are dropped: retransmissions end after
+ * 150 ms (`hop-sender.ts`), and a paused process delays datagrams by seconds.
  */
 const WINDOW_LIFETIME_MS = 30_000;
 
@@ -29,19 +29,19 @@
   usedAt: number;
 }
 
-/** The receiver of one node. */
+/** Duplicate detection of one node. */
 export class HopReceiver {
   private readonly peers = new Map<Endpoint, PeerWindows>();
 
   /**
-   * Takes the number of a message.
-   * @returns whether the message comes for the first time
+   * Records the number of a received message.
+   * @returns whether the message is received for the first time
    */
   recordReceived(peer: Endpoint, { session, sequence }: HopNumber, now: number): boolean {
     return this.getOrCreateWindow(peer, session, now).add(sequence);
   }
 
-  /** Drops the windows of nodes that have sent nothing for long. */
+  /** Drops the windows of idle peers. */
   expire(now: number): void {
     for (const [peer, { usedAt }] of this.peers) {
       if (now - usedAt > WINDOW_LIFETIME_MS) {
--- a/src/packets/repair/hop-repair.ts
+++ b/src/packets/repair/hop-repair.ts
@@ -1,10 +1,10 @@
 /**
- * Repairs losses between a balancer and an agent, the same at both ends: numbers what a loss
- * would cost the client 200 ms, repeats it until it is acknowledged, and takes what the other
- * end has numbered once (docs/design/hop-repair.md).
+ * Retransmission between a balancer and an agent, the same on both sides: numbers messages whose
+ * loss would delay the client by 200 ms, retransmits them until acknowledged, and drops duplicates
+ * of the peer's numbered messages (docs/design/hop-repair.md).
  *
- * Decisions are those of {@link HopSender} and {@link HopReceiver}; here are the clock, the two
- * timers and the link.
+ * {@link HopSender} and {@link HopReceiver} hold the logic; this module adds the clock, the timer
+ * and the link.
  */
 import type { Endpoint, Environment, TimerHandle } from '../../environment';
 import { Events } from '../../logging/events';
@@ -27,32 +27,32 @@
 import { HopSender, type OverdueResult } from './hop-sender';
 
 /**
- * Milliseconds by which a timer may be late. One that is later follows a pause of this process,
- * in which acknowledgements may have come that are not read yet: they are read first.
+ * Lateness of a timer above which this process is taken to have paused. Acknowledgements that
+ * arrived meanwhile may still be unread, so they are read before anything is retransmitted.
  */
 const TIMER_TOLERANCE_MS = 5;
-/** Milliseconds that reading them is given; a timer of a process without a backlog is no later. */
+/** Time to read them; without a backlog, a timer fires no later than this. */
 const READ_DELAY_MS = 1;
-/** Milliseconds between two reports that repeats are limited. */
+/** Minimum time between two log lines about limited retransmissions. */
 const REPORT_INTERVAL_MS = 1_000;
 
-/** What hop repair works with. */
+/** Dependencies of {@link HopRepair}. */
 export interface HopRepairDependencies {
   readonly environment: Environment;
   readonly link: PacketLink;
-  /** Whether messages are numbered here; those of others are taken in any case. */
+  /** Whether this node numbers its messages; those of peers are handled in any case. */
   readonly isEnabled: boolean;
-  /** Whether a node can be reached, as far as is known. */
+  /** Whether a peer is believed to be reachable. */
   isReachable(peer: Endpoint, now: number): boolean;
 }
 
 /** Counters of hop repair. */
 export interface HopCounters {
-  /** Messages sent once more. */
+  /** Messages retransmitted. */
   readonly hopRepeats: number;
-  /** Repeats left out: the node was silent, the budget spent, or too many messages kept. */
+  /** Retransmissions suppressed: peer unresponsive, budget exhausted or buffer full. */
   readonly hopRepeatsSuppressed: number;
-  /** Messages that came again, and were acknowledged again and dropped. */
+  /** Duplicates received, acknowledged again and dropped. */
   readonly hopDuplicates: number;
   /** Acknowledgements sent. */
   readonly hopAcknowledgements: number;
@@ -64,9 +64,9 @@
   private readonly receiver = new HopReceiver();
   private readonly budget = new RepairBudget();
   private retransmissionTimer: TimerHandle | undefined;
-  /** Time for which that timer is set; Infinity while it is not. */
+  /** Time at which the timer fires; Infinity while it is not set. */
   private timerDueAt = Infinity;
-  /** Whether that timer only gives time for reading, after one that was late. */
+  /** Whether the timer only gives time to read datagrams, after a late one. */
   private isDeferred = false;
   private retransmissionCount = 0;
   private suppressedCount = 0;
@@ -87,14 +87,14 @@
     };
   }
 
-  /** Smoothed round trip to a node in milliseconds; undefined before the first acknowledgement. */
+  /** Smoothed round trip to a peer in milliseconds; undefined before the first acknowledgement. */
   getRoundTrip(peer: Endpoint): number | undefined {
     return this.sender.getRoundTrip(peer);
   }
 
   /**
-   * Sends a message with a client's packet: numbered if its loss matters and the node
-   * acknowledges, without a number otherwise.
+   * Sends a message with a client's packet: numbered if its loss would delay the client and the
+   * peer supports hop repair, plain otherwise.
    */
   send(to: Endpoint, message: RepairableMessage, packet: FlowPacket): void {
     const { environment, isEnabled, link } = this.dependencies;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Takes a received message: a numbered one is acknowledged, each time that it comes.
-   * @returns the message to act on, without its number; undefined when there is none
+   * Handles a received message; a numbered one is acknowledged each time it is received.
+   * @returns the plain message to process; undefined for a duplicate or an acknowledgement
    */
   receive(from: Endpoint, message: PacketMessage): PlainMessage | undefined {
     if (!isHopMessage(message)) {
@@ -131,21 +131,21 @@
     }
   }
 
-  /** Drops what is too old to matter. */
+  /** Drops the state of idle peers. */
   expire(now: number): void {
     this.sender.expire(now);
     this.receiver.expire(now);
   }
 
-  /** Ends the timers. */
+  /** Cancels the timer. */
   stop(): void {
     this.retransmissionTimer?.cancel();
   }
 
   /**
-   * Takes a number, and acknowledges it at once: numbers that gather for one acknowledgement need a
-   * timer of their own each time, which wakes the process once more for every packet of a flow.
-   * @returns whether the number comes for the first time
+   * Records a number and acknowledges it at once: batching acknowledgements would need a timer,
+   * which wakes the process once more for every packet of a flow.
+   * @returns whether the number is received for the first time
    */
   private acknowledge(from: Endpoint, { session, sequence }: HopNumber): boolean {
     const { environment, link } = this.dependencies;
@@ -157,7 +157,7 @@
     return isNew;
   }
 
-  /** Makes sure that overdue messages are looked at no later than at a time. */
+  /** Ensures that the timer fires no later than at `dueAt`. */
   private startTimer(dueAt: number): void {
     if (dueAt >= this.timerDueAt) {
       return;
@@ -174,7 +174,7 @@
     const isLate = now - this.timerDueAt > TIMER_TOLERANCE_MS;
     this.retransmissionTimer = undefined;
     this.timerDueAt = Infinity;
-    // Once only: a process whose timers are all late would never repeat or give up anything.
+    // Defers once only: a process whose timers are always late would never retransmit or time out.
     this.isDeferred = isLate && !this.isDeferred;
     if (this.isDeferred) {
       this.startTimer(now + READ_DELAY_MS);
@@ -196,10 +196,7 @@
     });
   }
 
-  private retransmit(
-    { retransmissions: retransmissions, silent, overBudget }: OverdueResult,
-    now: number,
-  ): void {
+  private retransmit({ retransmissions, silent, overBudget }: OverdueResult, now: number): void {
     this.retransmissionCount += retransmissions.length;
     this.suppressedCount += silent + overBudget;
     retransmissions.forEach(({ peer, message }) => this.dependencies.link.send(peer, message));
@@ -219,9 +216,10 @@
 }
 
 /**
- * Whether the loss of a packet costs its client a wait. A pure acknowledgement does not, the next
- * one covers it, nor does the end of a flow, whose client has its answer. Nor is a packet numbered that is offered while its flow is searched for: the
- * search has a timeout of its own, and goes on elsewhere.
+ * Whether the loss of a packet would delay its client. The loss of a pure acknowledgement does not,
+ * as the next one covers it, nor that of a FIN, whose client already has its answer. A packet
+ * offered while its flow is searched for is not numbered: the search has its own timeout and
+ * continues elsewhere.
  */
 function needsAcknowledgement(packet: FlowPacket, searchId: number): boolean {
   const hasContent = packet.payloadLength > 0 || packet.resets;
--- a/src/packets/repair/hop-sender.ts
+++ b/src/packets/repair/hop-sender.ts
@@ -1,9 +1,9 @@
 /**
- * The sending half of hop repair: numbers messages, keeps them until they are acknowledged, and
- * says which are to be repeated. Pure: time comes with each call.
+ * The sending side of hop repair: numbers messages, buffers them until they are acknowledged, and
+ * selects those to retransmit. Pure: time is passed with each call.
  *
- * Repeats end before the client's own copy, which comes 200 ms after the original and may go to
- * another agent; the rest is left to it.
+ * Retransmissions end before the client's own, which follows 200 ms after the original and may go
+ * to another agent; later recovery is left to the client.
  */
 import type { Endpoint } from '../../environment';
 import { PacketMessageType, type HopNumber, type ReceivedMessage } from '../packet-messages';
@@ -11,49 +11,49 @@
 import { RoundTripEstimator, type TimeoutBounds } from './round-trip-estimator';
 
 const TIMEOUT_BOUNDS: TimeoutBounds = {
-  /** Milliseconds; 8.8 between zones 4.4 ms apart, and as much again and more. */
+  /** Milliseconds; over three times the round trip of 8.8 ms between zones 4.4 ms apart. */
   initial: 30,
   /**
-   * Milliseconds; a node with 0.3 of a processor pauses that long within one period (100 ms) of
-   * the scheduler's quota, and a repeat after 20 ms still saves nine tenths of the client's 200.
+   * Milliseconds; a node limited to 0.3 of a processor pauses that long within one quota period
+   * (100 ms) of the scheduler, and a retransmission after 20 ms still saves 90 % of the 200 ms.
    */
   minimum: 20,
-  /** Milliseconds; so that there is one repeat before {@link RETRANSMISSION_CUTOFF_MS}. */
+  /** Milliseconds; leaves time for one retransmission before {@link RETRANSMISSION_CUTOFF_MS}. */
   maximum: 100,
 };
 /**
- * Repeats of one message: where 3 round trips in 1,000 fail, all four sendings of one in ten
- * thousand million are lost, and a fourth repeat would come too late.
+ * Retransmissions of one message: with 3 round trips in 1,000 failing, all four transmissions are
+ * lost for one message in ten thousand million, and a fourth retransmission would come too late.
  */
 const MAXIMUM_RETRANSMISSIONS = 3;
-/** Milliseconds after a message from which on it is not repeated: its client does so after 200. */
+/** Age above which a message is not retransmitted: its client does so after 200 ms. */
 const RETRANSMISSION_CUTOFF_MS = 150;
-/** Milliseconds for which an acknowledgement is awaited: two timeouts of the longest kind. */
+/** Time for which an acknowledgement is awaited: twice the maximum timeout. */
 const ACKNOWLEDGEMENT_TIMEOUT_MS = 200;
 /**
- * Timeouts in a row, without any acknowledgement, that still bring repeats; beyond that a node
- * gets none until it acknowledges something. Where one round trip in ten fails, six in a row do
- * so once in a million times: the node is away, or out of reach.
+ * Consecutive timeouts after which retransmissions to a peer are suppressed until it acknowledges
+ * a message. With one round trip in ten failing, six in a row fail once in a million times, so the
+ * peer is most likely down or unreachable.
  */
 const MAXIMUM_CONSECUTIVE_TIMEOUTS = 6;
-/** Messages kept at once, about a fifth of a second of 20,000 a second. */
+/** Messages buffered at once, about 200 ms at 20,000 messages a second. */
 const MAXIMUM_BUFFERED_MESSAGES = 4_000;
-/** Bytes of packets kept at once: as many messages with the most data (1,200 bytes) and heads. */
+/** Bytes buffered at once: as many messages with the maximum data (1,200 bytes) and headers. */
 const MAXIMUM_BUFFERED_BYTES = 5_200_000;
-/** Nodes that are numbered for; beyond that the one noted first is forgotten. */
+/** Peers tracked; beyond that the oldest is evicted. */
 const MAXIMUM_PEERS = 20_000;
-/** Milliseconds without a message after which a node's round trip and numbers are forgotten. */
+/** Idle time after which a peer's round trip and sequence numbers are dropped. */
 const PEER_LIFETIME_MS = 60_000;
 const NUMBER_RANGE = 2 ** 32;
 
-/** What is known of one node. */
+/** Sending state of one peer. */
 interface PeerState {
   readonly address: Endpoint;
-  /** Drawn anew whenever a node is noted, so that numbers begun anew are told from repeats. */
+  /** Random per peer state, so that a restarted numbering is not mistaken for duplicates. */
   readonly session: number;
   nextSequence: number;
   readonly roundTrip: RoundTripEstimator;
-  /** Milliseconds to which timeouts have been doubled since the last sample (Karn's rule). */
+  /** Milliseconds to which timeouts have backed off since the last sample (Karn's rule). */
   backoffTimeout: number;
   consecutiveTimeouts: number;
   readonly buffered: Map<number, BufferedMessage>;
@@ -66,35 +66,35 @@
   readonly sentAt: number;
   dueAt: number;
   timeout: number;
-  /** Timeouts so far, with a repeat or without. */
+  /** Timeouts so far, whether followed by a retransmission or not. */
   timeouts: number;
   retransmissions: number;
 }
 
-/** A message that is to be sent once more. */
+/** A message to retransmit. */
 export interface Retransmission {
   readonly peer: Endpoint;
   readonly message: NumberedMessage;
 }
 
-/** What the sender asks when a message is overdue. */
+/** Conditions for retransmitting an overdue message. */
 export interface RetransmissionPolicy {
-  /** Whether a node can be reached and still acknowledges, as far as is known. */
+  /** Whether a peer is believed to be reachable and to support acknowledgements. */
   isReachable(peer: Endpoint): boolean;
-  /** Takes a repeat from the budget; false when there is none left. */
+  /** Takes a token from the budget; false when there is none left. */
   takeToken(): boolean;
 }
 
-/** The outcome of looking at what is overdue. */
+/** Outcome of processing overdue messages. */
 export interface OverdueResult {
   readonly retransmissions: readonly Retransmission[];
-  /** Repeats left out because the node is silent. */
+  /** Retransmissions suppressed because the peer is unresponsive. */
   readonly silent: number;
-  /** Repeats left out because the budget was spent. */
+  /** Retransmissions suppressed because the budget was exhausted. */
   readonly overBudget: number;
 }
 
-/** The sender of one node. */
+/** Sending side of one node. */
 export class HopSender {
   private readonly peers = new Map<Endpoint, PeerState>();
   private readonly buffered = new Set<BufferedMessage>();
@@ -104,23 +104,23 @@
   /** @param random uniform in [0, 1) */
   constructor(private readonly random: () => number) {}
 
-  /** Messages kept. */
+  /** Messages buffered. */
   get size(): number {
     return this.buffered.size;
   }
 
-  /** Messages that were not kept since too many were. */
+  /** Messages sent without buffering because the buffer was full. */
   get unbufferedMessages(): number {
     return this.unbufferedCount;
   }
 
-  /** Smoothed round trip to a node in milliseconds; undefined before the first acknowledgement. */
+  /** Smoothed round trip to a peer in milliseconds; undefined before the first acknowledgement. */
   getRoundTrip(peer: Endpoint): number | undefined {
     return this.peers.get(peer)?.roundTrip.smoothed;
   }
 
   /**
-   * Numbers a message that is sent now, and keeps it unless too many are kept already.
+   * Numbers a message that is sent now, and buffers it unless the buffer is full.
    * @returns the message to send
    */
   prepareMessage(to: Endpoint, message: RepairableMessage, now: number): NumberedMessage {
@@ -138,7 +138,7 @@
     return numbered;
   }
 
-  /** Time at which the earliest message is overdue; undefined when none is kept. */
+  /** Time at which the earliest message is overdue; undefined when none is buffered. */
   get nextDueAt(): number | undefined {
     let earliest: number | undefined;
     for (const { dueAt } of this.buffered) {
@@ -147,13 +147,13 @@
     return earliest;
   }
 
-  /** Milliseconds after which a message that is sent to a node now is overdue. */
+  /** Milliseconds after which a message that is sent to a peer now is overdue. */
   getTimeout(peer: Endpoint): number {
     const known = this.peers.get(peer);
     return known ? computeTimeout(known) : TIMEOUT_BOUNDS.initial;
   }
 
-  /** A node has received messages. Numbers of another session or not kept are passed over. */
+  /** Handles an acknowledgement. Unknown numbers and those of another session are ignored. */
   handleAcknowledgement(
     from: Endpoint,
     { session, sequences }: ReceivedMessage,
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Takes what is overdue: each such message is repeated, waits on, or is given up. */
+  /** Processes overdue messages: each is retransmitted, awaited further, or dropped. */
   takeOverdue(now: number, policy: RetransmissionPolicy): OverdueResult {
     const retransmissions: Retransmission[] = [];
     let silent = 0;
@@ -195,10 +195,10 @@
         case 'wait':
       }
     }
-    return { retransmissions: retransmissions, silent, overBudget };
+    return { retransmissions, silent, overBudget };
   }
 
-  /** Forgets nodes that have got nothing for long. */
+  /** Drops the state of idle peers. */
   expire(now: number): void {
     for (const peer of this.peers.values()) {
       if (now - peer.usedAt > PEER_LIFETIME_MS) {
@@ -307,22 +307,19 @@
   }
 }
 
-/** Takes the round trip of an acknowledged message; one that was repeated tells nothing. */
-function sampleRoundTrip(
-  { peer, retransmissions: repeats, sentAt }: BufferedMessage,
-  now: number,
-): void {
-  if (repeats === 0) {
+/** Adds the round trip of an acknowledged message; that of a retransmitted one is ambiguous. */
+function sampleRoundTrip({ peer, retransmissions, sentAt }: BufferedMessage, now: number): void {
+  if (retransmissions === 0) {
     peer.roundTrip.addSample(now - sentAt);
     peer.backoffTimeout = 0;
   }
 }
 
-function computeTimeout({ roundTrip, backoffTimeout: backedOff }: PeerState): number {
-  return Math.max(roundTrip.timeout, backedOff);
+function computeTimeout({ roundTrip, backoffTimeout }: PeerState): number {
+  return Math.max(roundTrip.timeout, backoffTimeout);
 }
 
-/** Counts a timeout and doubles the next one, also for later messages until there is a sample. */
+/** Counts a timeout and doubles the next one, also for later messages until the next sample. */
 function backOff(buffered: BufferedMessage, now: number): void {
   const { peer } = buffered;
   buffered.timeouts++;
--- a/src/packets/repair/round-trip-estimator.ts
+++ b/src/packets/repair/round-trip-estimator.ts
@@ -1,30 +1,28 @@
 /**
- * How long a message and its acknowledgement take between two ends, and when a message without
- * one is to be repeated: the estimator of RFC 6298.
+ * Round-trip time and retransmission timeout between two nodes: the estimator of RFC 6298.
  *
- * Pure: the caller brings the samples, and by Karn's rule only those of messages that were sent
- * once. Backing off (doubling) is up to the caller, since it belongs to one message here, not
- * to the connection.
+ * Pure: the caller supplies the samples, by Karn's rule only those of messages that were sent
+ * once. Exponential backoff is left to the caller, since it applies to one message here, not to
+ * the connection.
  */
 
 /** Weight of a new sample in the smoothed round trip (RFC 6298, alpha). */
 const SMOOTHING_WEIGHT = 1 / 8;
 /** Weight of a new deviation in the smoothed deviation (RFC 6298, beta). */
 const DEVIATION_WEIGHT = 1 / 4;
-/** Deviations that a timeout allows beyond the smoothed round trip (RFC 6298, K). */
+/** Deviations that a timeout adds to the smoothed round trip (RFC 6298, K). */
 const DEVIATION_FACTOR = 4;
 
 /** Bounds of a timeout, in milliseconds. */
 export interface TimeoutBounds {
   /** The timeout before the first sample. */
   readonly initial: number;
-  /** Never less: pauses of the other end and the timer's own grain are no loss. */
+  /** Lower limit, above pauses of the peer and the timer's granularity. */
   readonly minimum: number;
-  /** Never more. */
   readonly maximum: number;
 }
 
-/** The round trip to one other end. */
+/** Round trip to one peer. */
 export class RoundTripEstimator {
   private mean: number | undefined;
   private deviation = 0;
@@ -32,8 +30,8 @@
   constructor(private readonly bounds: TimeoutBounds) {}
 
   /**
-   * Takes the time from sending a message to its acknowledgement.
-   * @param elapsed milliseconds; of a message that was sent once
+   * Adds the time from sending a message to its acknowledgement.
+   * @param elapsed milliseconds; only of a message that was sent once
    */
   addSample(elapsed: number): void {
     if (this.mean === undefined) {
@@ -51,7 +49,7 @@
     return this.mean;
   }
 
-  /** Milliseconds without an acknowledgement after which a message counts as lost. */
+  /** Milliseconds without an acknowledgement after which a message is considered lost. */
   get timeout(): number {
     const { initial, minimum: floor, maximum: ceiling } = this.bounds;
     if (this.mean === undefined) {
--- a/src/packets/repair/sequence-window.ts
+++ b/src/packets/repair/sequence-window.ts
@@ -1,27 +1,27 @@
 /**
- * Which numbers of one session have come: the highest, and a bit for each of those shortly below
- * it (the anti-replay window of RFC 4303, section 3.4.3).
+ * Sequence numbers received in one session: the highest, and a bitmap of those just below it (the
+ * anti-replay window of RFC 4303, section 3.4.3).
  */
 import { computeDistance } from './sequence-numbers';
 
 /**
- * Numbers that are told apart below the highest. A repeat comes at most 150 ms after the message
- * itself (`hop-sender.ts`); a balancer that sends one agent 6,800 messages a second, more than a
- * processor can, gets that far ahead meanwhile.
+ * Sequence numbers tracked below the highest. A retransmission follows at most 150 ms after the
+ * message (`hop-sender.ts`); only a balancer that sends one agent 6,800 messages a second, more
+ * than one processor can, gets that far ahead in this time.
  */
 export const WINDOW_SIZE = 1_024;
 const WORD_BITS = 32;
 const WORD_COUNT = WINDOW_SIZE / WORD_BITS;
 
-/** The window of one session. */
+/** Sliding window of one session. */
 export class SequenceWindow {
   private readonly words = new Uint32Array(WORD_COUNT);
   private highest: number | undefined;
 
   /**
-   * Notes a number.
+   * Records a sequence number.
    * @param sequence 32 bits, wrapping
-   * @returns whether it comes for the first time; false for one so old that nothing tells
+   * @returns whether it is new; false also for one below the window, where that is unknown
    */
   add(sequence: number): boolean {
     if (this.highest === undefined) {
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /** Clears the bits that numbers after `highest` take over. */
+  /** Clears the bits that the numbers after `highest` reuse. */
   private clearSkipped(highest: number, distance: number): void {
     if (distance >= WINDOW_SIZE) {
       this.words.fill(0);
@@ -64,7 +64,7 @@
   }
 }
 
-/** The window's length divides 2^32, so a number keeps its place when the numbers wrap. */
+/** The window size divides 2^32, so the index stays consistent when sequence numbers wrap. */
 function getWordIndex(sequence: number): number {
   return Math.floor((sequence % WINDOW_SIZE) / WORD_BITS);
 }
