--- a/src/core/bucket-set.ts
+++ b/src/core/bucket-set.ts
@@ -1,4 +1,4 @@
-/** A set of bucket numbers, kept and sent as a bitmap of 32 bytes. */
+/** A set of bucket numbers, stored and sent as a bitmap of 32 bytes. */
 import { BUCKET_COUNT } from './hashing';
 
 const BITS_PER_BYTE = 8;
@@ -35,14 +35,14 @@
     this.bits[bucket >> 3]! &= ~(1 << (bucket & 7));
   }
 
-  /** The members in ascending order. */
+  /** The buckets in ascending order. */
   listBuckets(): number[] {
-    const found: number[] = [];
+    const buckets: number[] = [];
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
       if (this.has(bucket)) {
-        found.push(bucket);
+        buckets.push(bucket);
       }
     }
-    return found;
+    return buckets;
   }
 }
--- a/src/core/hashing.ts
+++ b/src/core/hashing.ts
@@ -1,19 +1,19 @@
-/** Hashes that every node must compute alike: buckets of flows and rendezvous scores. */
+/** Hashes that must be the same on every node: buckets of flows and rendezvous scores. */
 import murmurhash from 'murmurhash';
 import type { Endpoint } from '../environment';
 
-/** Buckets a service's flows are divided into; the unit of directory ownership. */
+/** Buckets into which a service's flows are divided; the unit of directory ownership. */
 export const BUCKET_COUNT = 256;
 
 const ENDPOINT_BYTES = 6;
 const scratch = Buffer.alloc(ENDPOINT_BYTES);
 
-/** A 32-bit hash of a text. */
+/** 32-bit MurmurHash3 of a text. */
 export function hashText(text: string): number {
   return murmurhash.v3(Buffer.from(text));
 }
 
-/** The seed that {@link computeBucket} takes for a service; compute it once per service. */
+/** The seed of a service for {@link computeBucket}; compute it once per service. */
 export function computeServiceSeed(service: string): number {
   return hashText(service);
 }
--- a/src/core/ownership.ts
+++ b/src/core/ownership.ts
@@ -1,4 +1,4 @@
-/** Which member of a service's group owns each bucket: rendezvous over the eligible members. */
+/** Bucket ownership within a service's group: rendezvous hashing over the eligible members. */
 import { BUCKET_COUNT, computeRendezvousScore } from './hashing';
 
 /** Rendezvous score of a member for one bucket of a service. */
@@ -6,17 +6,17 @@
   return computeRendezvousScore(`${service}/${bucket}`, target);
 }
 
-/** Owners of all buckets, by bucket. */
+/** Owners indexed by bucket. */
 export type BucketOwners = readonly (string | undefined)[];
 
 /**
- * Computed owners by service and members. Many nodes of one process ask the same when
- * a group changes; the oldest results go first.
+ * Results by service and members: many nodes of one process compute the same when a group
+ * changes. The oldest results are evicted first.
  */
 const cachedOwners = new Map<string, BucketOwners>();
 const MAXIMUM_CACHED_RESULTS = 4_096;
 
-/** Owner of every bucket among the eligible members; all undefined when there is none. */
+/** Owner of every bucket; all undefined without eligible members. */
 export function computeOwners(service: string, eligible: readonly string[]): BucketOwners {
   const key = [service, ...eligible].join('\n');
   const cached = cachedOwners.get(key);
--- a/src/core/permit-ledger.ts
+++ b/src/core/permit-ledger.ts
@@ -1,25 +1,25 @@
 /**
- * What became of every permit this agent incarnation issued and saw used.
+ * Outcomes of the used permits that this agent incarnation issued.
  *
- * An entry is made before the back end sees the request. The answer is kept until
- * the permit expires; that the permit was used is remembered much longer, so that
- * an expired permit can truthfully be told apart as never used.
+ * An entry is recorded before the request is forwarded to the back end. The answer is retained
+ * until the permit expires; the use itself is retained much longer, so that an expired permit can
+ * reliably be reported as never used.
  */
 
-/** What became of a used permit. `Answer` is the final answer that repeats receive again. */
+/** Outcome of a used permit. `Answer` is the final answer, sent again to retransmitted requests. */
 export type LedgerEntry<Answer> =
-  /** Handed to a back end, no answer yet. */
+  /** Forwarded to a back end, no answer yet. */
   | { readonly outcome: 'running' }
   | { readonly outcome: 'answered'; readonly answer: Answer }
-  /** Refused for good: no copy of the request may run any more. */
+  /** Permanently refused: no copy of the request may run any more. */
   | { readonly outcome: 'burnt'; readonly answer: Answer }
-  /** Used, but its answer is no longer kept. */
+  /** Used, but its answer is no longer retained. */
   | { readonly outcome: 'used' };
 
-/** Milliseconds after expiry for which a permit's use is remembered. */
+/** Time after expiry for which a permit's use is retained. */
 export const USE_RETENTION_MS = 3_600_000;
 
-/** An entry as kept and as handed to a successor. */
+/** An entry as stored and as exported in a handover. */
 export interface StoredEntry<Answer> {
   readonly serial: number;
   entry: LedgerEntry<Answer>;
@@ -43,7 +43,7 @@
     this.entries.set(serial, { serial, entry, expiresAt });
   }
 
-  /** Everything, for a successor. */
+  /** All entries, for a handover. */
   listEntries(): StoredEntry<Answer>[] {
     return [...this.entries.values()];
   }
@@ -52,12 +52,12 @@
     this.entries.delete(serial);
   }
 
-  /** True when an expired permit was certainly never used: its use would still be remembered. */
+  /** Whether an expired permit was certainly never used: its use would still be retained. */
   wasNeverUsed(serial: number, expiresAt: number, now: number): boolean {
     return !this.entries.has(serial) && now - expiresAt < USE_RETENTION_MS;
   }
 
-  /** Drops the answers of expired permits, and in time the memory of their use. */
+  /** Drops the answers of expired permits, and their entries after {@link USE_RETENTION_MS}. */
   removeExpired(now: number): void {
     for (const [serial, stored] of this.entries) {
       if (now - stored.expiresAt >= USE_RETENTION_MS) {
--- a/src/core/permit.ts
+++ b/src/core/permit.ts
@@ -1,6 +1,6 @@
 /**
- * Permits: the single-use, short-lived right to run one request that may not be
- * repeated. Carried in the Echo option of RFC 9175.
+ * Permits: single-use, short-lived tokens that allow one non-idempotent request to run.
+ * Carried in the Echo option of RFC 9175.
  *
  * A permit is bound to one agent incarnation and one caller. Layout, in bytes:
  * incarnation 6, serial 6, expiry 6 (milliseconds of the issuer's own monotonic
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,44 +1,44 @@
 /**
- * Which target receives a new flow: the one with the fewest flows per share.
+ * Placement of new flows: the target with the fewest flows per share.
  *
- * The owner of a bucket knows its peers' counts as of their last heartbeat, plus
- * what it placed since. In a burst the other owners place at the same time on the same
- * stale counts, so what this owner placed stands for a part of what they placed.
+ * The owner of a bucket knows its peers' counts as of their last heartbeat, plus its own
+ * placements since. In a burst the other owners place on the same stale counts at the same time,
+ * so their placements are estimated from this owner's.
  */
 
 import type { Endpoint } from '../environment';
 
-/** One target as the placing owner knows it. */
+/** State of one target as known to the placing owner. */
 export interface PlacementCandidate {
   readonly target: string;
   readonly address: Endpoint;
   readonly share: number;
-  /** Cap on flows. */
+  /** Maximum number of flows. */
   readonly connections: number;
   /** Flows the target last reported. */
   readonly reportedFlows: number;
   /** Flows this owner placed there since that report. */
   readonly placedSince: number;
-  /** Busy part of the target's slots, 0 to 1; only breaks near ties, since it lags and may lie. */
+  /** Fraction of busy slots; only breaks near ties, since it lags and may be wrong. */
   readonly reportedLoad: number;
   /** 0 just after a cold start, 1 once warm. */
   readonly warmth: number;
 }
 
 /**
- * Placements of an owner since the last reports at which half of what it placed is
- * taken to have been placed by every other owner too: one placement is chance, many
- * at once are a burst that all owners see. Chosen by `bench balance` (docs/DESIGN.md).
+ * Placements of an owner since the last reports at which every other owner is assumed to have
+ * placed half as many: one placement is chance, many at once are a burst that reaches all owners.
+ * `bench balance` compares values (docs/DESIGN.md).
  */
 const HALF_BURST_PLACEMENTS = 2;
 
-/** Among targets that are all cold the emptier one still goes first. */
+/** Among targets that are all cold, the one with fewer flows is still preferred. */
 const TIE_BREAK_WEIGHT = 1e-6;
 
-/** Load weighs less than one flow, so that a lying report cannot shift balance. */
+/** Load weighs less than one flow, so that a wrong report cannot shift the balance. */
 const LOAD_WEIGHT = 0.5;
 
-/** How many flows stand for one that this owner placed, from 1 up to the number of owners. */
+/** Estimated placements by all owners per placement by this one, from 1 to the number of owners. */
 function computePlacementWeight(candidates: readonly PlacementCandidate[], owners: number): number {
   const placed = candidates.reduce((sum, candidate) => sum + candidate.placedSince, 0);
   const burst = placed / (placed + HALF_BURST_PLACEMENTS);
@@ -59,8 +59,8 @@
 }
 
 /**
- * Chooses a target, or undefined when every candidate is at its cap.
- * @param owners how many owners place at once on the same counts
+ * Chooses a target; undefined when every candidate is at its maximum.
+ * @param owners number of owners that place concurrently on the same counts
  * @param tieBreak uniform in [0, 1)
  */
 export function chooseTarget(
@@ -92,7 +92,7 @@
   return best;
 }
 
-/** Flows per share; a cold target counts as fuller than it is, so that it is not rushed. */
+/** Flows per share; a cold target scores higher, so that it is not overloaded during warm-up. */
 function computeScore(candidate: PlacementCandidate, weight: number, mean: number): number {
   const flows = estimateFlows(candidate, weight) + LOAD_WEIGHT * candidate.reportedLoad;
   const perShare = flows / candidate.share;
--- a/src/core/table-cache.ts
+++ b/src/core/table-cache.ts
@@ -1,8 +1,8 @@
 /**
- * The tables one node knows, with the revision through which it knows all of them.
+ * The tables known to one node, and the revision through which they are complete.
  *
- * Pure state: a table is replaced only by one of a higher revision, so a late or
- * repeated delta can never take an accepted table back.
+ * Pure state: a table is replaced only by one of a higher revision, so a delayed or duplicate
+ * delta never reverts an accepted table.
  */
 import { hashText } from './hashing';
 import type { ServiceTable } from './table';
@@ -14,20 +14,20 @@
   readonly tables: readonly ServiceTable[];
 }
 
-/** What applying a delta did. */
+/** Result of applying a delta. */
 export interface AppliedDelta {
-  /** Tables that are new in force. */
+  /** Tables that became active. */
   readonly changed: readonly ServiceTable[];
-  /** True when the delta starts after what this node has, so older changes are missing. */
+  /** Whether the delta starts beyond the complete revision, so that earlier changes are missing. */
   readonly hasGap: boolean;
 }
 
 const DIGEST_RANGE = 2 ** 32;
 
-/** Deltas kept that arrived before the one they follow. */
+/** Deltas recorded that arrived before their predecessors. */
 const MAXIMUM_OUT_OF_ORDER_DELTAS = 256;
 
-/** A stretch of revisions whose tables are known. */
+/** A range of revisions whose tables are known. */
 interface RevisionRange {
   readonly fromRevision: number;
   readonly throughRevision: number;
@@ -38,7 +38,7 @@
   private readonly tables = new Map<string, ServiceTable>();
   private completeThrough = 0;
   private digest: number | undefined;
-  /** Stretches known beyond a gap: parts of one transfer overtake each other on the way. */
+  /** Ranges known beyond a gap: the parts of one transfer may be reordered in transit. */
   private outOfOrder: RevisionRange[] = [];
 
   /** The revision through which no table is missing; 0 before the first full delta. */
@@ -46,22 +46,22 @@
     return this.completeThrough;
   }
 
-  /** The table in force for a service. */
+  /** The active table of a service. */
   get(service: string): ServiceTable | undefined {
     return this.tables.get(service);
   }
 
   /**
-   * Sums up the tables held beyond {@link revision}, such as one just accepted while the
-   * store cannot tell what came before it; 0 when there are none. Two nodes with the
-   * same revision and different digests have tables to tell each other.
+   * Digest of the tables beyond {@link revision}, such as one just accepted while the store cannot
+   * provide the earlier ones; 0 without any. Two nodes with the same revision and different
+   * digests have tables to exchange.
    */
   get aheadDigest(): number {
     this.digest ??= this.computeDigest();
     return this.digest;
   }
 
-  /** All tables in force. */
+  /** All active tables. */
   listTables(): Iterable<ServiceTable> {
     return this.tables.values();
   }
@@ -79,16 +79,16 @@
     } else {
       this.advanceTo(delta.throughRevision);
     }
-    return { changed, hasGap: hasGap };
+    return { changed, hasGap };
   }
 
-  /** Everything a node with all through `revision` lacks. */
+  /** All tables that a node complete through `revision` lacks. */
   createDelta(revision: number): TableDelta {
     const tables = [...this.tables.values()].filter((table) => table.revision > revision);
     return { fromRevision: revision, throughRevision: this.completeThrough, tables };
   }
 
-  /** Moves the revision forward, over every early stretch that this reaches. */
+  /** Advances the complete revision, also over recorded ranges that are now contiguous. */
   private advanceTo(revision: number): void {
     this.completeThrough = Math.max(this.completeThrough, revision);
     const reached = this.outOfOrder.filter((one) => one.fromRevision <= this.completeThrough);
--- a/src/core/table.ts
+++ b/src/core/table.ts
@@ -1,30 +1,30 @@
-/** The table operators edit: rows of targets, one list per service. */
+/** The table that operators edit: a list of target rows per service. */
 import type { Endpoint } from '../environment';
 
-/** One row: a back end of a service and its limits. */
+/** A back end of a service and its limits. */
 export interface TableRow {
   readonly target: string;
-  /** Where the target's agent receives internal frames. */
+  /** Endpoint at which the target's agent receives internal frames. */
   readonly address: Endpoint;
   /** Relative weight for new flows; 0 drains the target. */
   readonly share: number;
-  /** Requests the target may run at once. */
+  /** Maximum concurrent requests of the target. */
   readonly slots: number;
-  /** Flows the target may hold. */
+  /** Maximum number of flows of the target. */
   readonly connections: number;
 }
 
 /** A service's rows at one revision of the store. */
 export interface ServiceTable {
   readonly service: string;
-  /** The store's global revision of the write that made this version; orders all tables. */
+  /** Global store revision of the write that created this version; orders all tables. */
   readonly revision: number;
-  /** Chosen by the writer, so that it can recognise its own write after a lost answer. */
+  /** Chosen by the writer to recognise its own write after a lost answer. */
   readonly writeId: string;
   readonly rows: readonly TableRow[];
 }
 
-/** A row that two operators changed at once. */
+/** A row that two operators changed concurrently. */
 export interface RowConflict {
   readonly target: string;
   readonly base: TableRow | undefined;
@@ -32,14 +32,14 @@
   readonly ours: TableRow | undefined;
 }
 
-/** How one row differs between two versions of a table. */
+/** A difference of one row between two versions of a table. */
 export interface RowChange {
   readonly target: string;
   readonly before: TableRow | undefined;
   readonly after: TableRow | undefined;
 }
 
-/** Whether two rows (or absences of one) say the same. */
+/** Whether two rows, or absences of one, are equal. */
 export function areRowsEqual(a: TableRow | undefined, b: TableRow | undefined): boolean {
   if (a === undefined || b === undefined) {
     return a === b;
@@ -57,7 +57,7 @@
   return new Map(rows.map((row) => [row.target, row]));
 }
 
-/** The rows that differ, in order of target name. */
+/** The rows that differ, ordered by target name. */
 export function findChangedRows(
   before: readonly TableRow[],
   after: readonly TableRow[],
@@ -70,7 +70,7 @@
     .filter((change) => !areRowsEqual(change.before, change.after));
 }
 
-/** The rows that both sides changed, and changed differently, since `base`. */
+/** The rows that both sides changed differently since `base`. */
 export function findConflictingRows(
   base: readonly TableRow[],
   theirs: readonly TableRow[],
--- a/src/environment.ts
+++ b/src/environment.ts
@@ -1,36 +1,35 @@
 /**
- * What a node needs from the world around it.
+ * Runtime services that are injected into nodes.
  *
- * Node classes hold no clock, timer, random source or socket of their own:
- * the real process and the simulator each inject an implementation of these
- * interfaces, and run the same node classes.
+ * Node classes own no clock, timer, random source or socket: the real process and the simulator
+ * each inject an implementation of these interfaces and run the same node classes.
  */
 import type { EventFields, EventKind } from './logging/events';
 
-/** Handle of a running timer. */
+/** A running timer. */
 export interface TimerHandle {
   cancel(): void;
 }
 
 /** Monotonic time, timers and randomness. */
 export interface Environment {
-  /** Monotonic milliseconds since an arbitrary start; never goes back. */
+  /** Monotonic time in milliseconds since an arbitrary start. */
   now(): number;
   /** Runs `action` once after `delayMilliseconds`. */
   startTimer(delayMilliseconds: number, action: () => void): TimerHandle;
   /** Uniform random number in [0, 1). */
   random(): number;
-  /** Writes a numbered event to the log. */
+  /** Logs an event. */
   report(event: EventKind, fields: EventFields): void;
 }
 
 /**
  * An IPv4 address and UDP port packed into one integer (address x 65,536 + port).
- * It fits a double exactly and keeps per-flow state small.
+ * A double represents it exactly, and it keeps per-flow state small.
  */
 export type Endpoint = number;
 
-/** Sends one internal frame, already encoded and authenticated. */
+/** Sends internal frames that are already encoded and authenticated. */
 export interface FrameTransport {
   send(to: Endpoint, frame: Buffer): void;
 }
--- a/src/packets/locality/candidate-order.ts
+++ b/src/packets/locality/candidate-order.ts
@@ -1,9 +1,9 @@
 /**
- * Orders of agents that belong to a flow: one for its placement, in which the balancer's zone
- * comes first, and one for the search for its holder, which is the same at every balancer.
+ * Per-flow orders of agents: one for placement, in which the balancer's zone comes first, and one
+ * for the search for the flow's holder, which is the same at every balancer.
  *
- * In both, agents of one zone stand by the same scores (rendezvous hashing), so that the few of a
- * zone where a flow may have been placed are the first of that zone in the search.
+ * In both, agents of one zone are ranked by the same scores (rendezvous hashing), so that the few
+ * agents of a zone where a flow may have been placed come first of that zone in the search.
  */
 import { hashText } from '../../core/hashing';
 import { CANDIDATE_COUNT, computeScore, type Candidate } from '../flow-candidates';
@@ -11,28 +11,28 @@
 import { GROUP_SIZE, type SearchOrder } from '../search-order';
 
 /**
- * Agents of the home zone among the candidates; the rest are the first of the other zones. With
- * a quarter of all slots busy all of seven are busy for one flow in sixteen thousand.
+ * Candidates taken from the home zone; the others come from the other zones. With a quarter of all
+ * slots busy, all seven are busy for one flow in sixteen thousand.
  */
 export const HOME_CANDIDATES = 7;
-/** Scores have 32 bits; with so many of an agent's index a number holds both exactly. */
+/** Range of an agent's index; a double holds it and a 32-bit score exactly. */
 const INDEX_RANGE = 2 ** 20;
 
-/** Milliseconds there and back to a zone. */
+/** Returns the round trip to a zone in milliseconds. */
 export type DistanceLookup = (zone: string) => number;
 
-/** What the order of a search depends on. */
+/** An agent's properties that determine the order of a search. */
 export interface SearchCandidate extends Candidate {
   readonly service: string;
 }
 
-/** Agents by zone; within a zone by their scores for a flow, the highest first. */
+/** Agents by zone; within a zone in descending order of their scores for a flow. */
 type AgentsByZone<T> = ReadonlyMap<string, readonly T[]>;
 
 /**
- * All agents in the order for placing a flow: the first few of the home zone, then one of each
- * other zone in turn until there are {@link CANDIDATE_COUNT}, the nearest zone first; then the rest of
- * the home zone, and all others. A home zone of few agents leaves more places to others.
+ * All agents in the order for placing a flow: the first few of the home zone, then the other zones
+ * in turn, nearest first, until there are {@link CANDIDATE_COUNT}; then the rest of the home zone,
+ * and all others. A home zone with few agents leaves more candidates to other zones.
  */
 export function orderForPlacement<T extends Candidate>(
   flow: FlowKey,
@@ -44,7 +44,7 @@
   const byZone = groupByScore(seed, agents);
   const own = byZone.get(home) ?? [];
   const zones = orderZones(seed, byZone).filter((zone) => zone !== home);
-  // Whole milliseconds: zones that differ by less take turns by the flow's hash.
+  // Whole milliseconds, so that zones that differ by less alternate by the flow's hash.
   const nearestFirst = zones.map((zone) => ({ zone, distance: Math.round(getDistance(zone)) }));
   nearestFirst.sort((one, other) => one.distance - other.distance);
   const others = interleave(nearestFirst.map(({ zone }) => byZone.get(zone)!));
@@ -58,10 +58,9 @@
 }
 
 /**
- * All agents in the order for the search for a flow's holder: the likely ones of each zone, one
- * zone after the other, so that a search crosses between zones once for each; then the rest. The
- * first search visits all likely ones: the first of each service, since a flow is placed among
- * the agents of one.
+ * All agents in the order for the search for a flow's holder: the likely ones zone by zone, so that
+ * a search enters each zone only once, then the rest. The first search visits all likely agents:
+ * the first few of each service, since a flow is placed among the agents of one service.
  */
 export function orderForSearch<T extends SearchCandidate>(
   flow: FlowKey,
@@ -87,13 +86,13 @@
   return services.size;
 }
 
-/** Likely agents of a service in a zone: all candidates in the only zone, fewer in each of many. */
+/** Likely agents per service and zone: all candidates of a single zone, fewer in each of many. */
 function computeLikelyPerService(zones: number, services: number): number {
   const wanted = zones <= 1 ? CANDIDATE_COUNT : HOME_CANDIDATES;
   return Math.max(1, Math.min(wanted, Math.floor(GROUP_SIZE / (zones * services))));
 }
 
-/** Adds the first few of each service to the likely agents and the others to the rest. */
+/** Adds the first `perService` agents of each service to `likely` and the others to `rest`. */
 function splitLikely<T extends SearchCandidate>(
   agents: readonly T[],
   perService: number,
@@ -112,14 +111,14 @@
   }
 }
 
-/** The zones in an order that belongs to a flow: by name, beginning with another for each hash. */
+/** The zones by name, rotated by the flow's hash. */
 function orderZones<T>(seed: number, byZone: AgentsByZone<T>): string[] {
   const names = [...byZone.keys()].sort();
   const start = names.length > 0 ? seed % names.length : 0;
   return [...names.slice(start), ...names.slice(0, start)];
 }
 
-/** Sorts numbers that hold score and index: each score is computed once, without a comparator. */
+/** Sorts numbers that combine score and index, which avoids a comparator and repeated scoring. */
 function groupByScore<T extends Candidate>(seed: number, agents: readonly T[]): AgentsByZone<T> {
   const keys = new Float64Array(agents.length);
   for (let index = 0; index < agents.length; index++) {
--- a/src/packets/locality/distance-probes.ts
+++ b/src/packets/locality/distance-probes.ts
@@ -1,4 +1,4 @@
-/** A balancer's probes of the distances between zones: one agent of each zone in turn. */
+/** Measures the round trip to each zone by probes, sent to the agents of the zone in turn. */
 import type { Endpoint } from '../../environment';
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
 import {
@@ -9,31 +9,31 @@
 } from '../packet-messages';
 import type { ZoneDistances } from './zone-distances';
 
-/** Milliseconds between two probes of a zone: distances change with routes, not with load. */
+/** Interval of probes of a zone; distances change with routes, not with load. */
 const PROBE_INTERVAL_MS = 2_000;
 /**
- * Milliseconds between two probes of a zone with few samples, and how often to call `run`: three
- * of them take less than a second of a balancer's start.
+ * Interval of probes of a zone with few samples, and of calls of `sendDueProbes`: three probes take
+ * less than a second after a balancer's start.
  */
 export const INITIAL_PROBE_INTERVAL_MS = 250;
-/** Timers fire a little early or late. */
+/** Allowance for timers that fire slightly early. */
 const TIMER_TOLERANCE_MS = 1;
 
 /** Sends a probe to an agent. */
 export type SendProbe = (agent: Endpoint, probe: DistanceProbeMessage) => void;
 
-/** The probing of one zone. */
+/** The latest probe of a zone. */
 interface ZoneProbe {
-  /** Probes sent; by it agents take turns. */
+  /** Probes sent to the zone so far; selects the next agent. */
   sentCount: number;
   agent: Endpoint;
   sentAt: number;
   isAnswered: boolean;
-  /** Probes in a row before this one that had no reply before the next went out. */
+  /** Consecutive earlier probes that were not answered before the next one was sent. */
   readonly unansweredInRow: number;
 }
 
-/** Probes of one balancer. */
+/** Distance probes of one balancer. */
 export class DistanceProbes {
   private readonly probes = new Map<string, ZoneProbe>();
 
@@ -43,7 +43,7 @@
     private readonly send: SendProbe,
   ) {}
 
-  /** Probes each zone where it is due; agents of an earlier version are left out. */
+  /** Probes each zone that is due; agents of earlier versions are skipped. */
   sendDueProbes(now: number): void {
     for (const [zone, agents] of this.groupProbeableAgents(now)) {
       const last = this.probes.get(zone);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Takes a reply. Only that to the latest probe of a zone counts: others may be of an earlier run. */
+  /** Handles a reply. Only one to a zone's latest probe counts; others may predate a restart. */
   handleReply(from: Endpoint, { sentAt }: DistanceReplyMessage, now: number): void {
     for (const [zone, last] of this.probes) {
       if (!last.isAnswered && last.agent === from && last.sentAt === sentAt) {
@@ -82,14 +82,14 @@
     this.send(address, { type: PacketMessageType.distanceProbe, sentAt: now });
   }
 
-  /** Doubled for each probe without a reply: a round trip may take longer than the first interval. */
-  private computeInterval({ unansweredInRow: unanswered }: ZoneProbe, zone: string): number {
+  /** Doubles per unanswered probe, since a round trip may exceed the initial interval. */
+  private computeInterval({ unansweredInRow }: ZoneProbe, zone: string): number {
     return this.distances.lacksSamples(zone)
-      ? Math.min(PROBE_INTERVAL_MS, INITIAL_PROBE_INTERVAL_MS * 2 ** unanswered)
+      ? Math.min(PROBE_INTERVAL_MS, INITIAL_PROBE_INTERVAL_MS * 2 ** unansweredInRow)
       : PROBE_INTERVAL_MS;
   }
 
-  /** The agents by zone that are heard and understand probes. */
+  /** The agents, by zone, that have reported recently and support probes. */
   private groupProbeableAgents(now: number): Map<string, AgentEntry[]> {
     const groups = new Map<string, AgentEntry[]>();
     for (const entry of this.directory.getAll()) {
--- a/src/packets/locality/locality.ts
+++ b/src/packets/locality/locality.ts
@@ -1,6 +1,6 @@
 /**
- * Locality of one balancer: how far zones are, what a flow in another zone costs, in which order
- * agents are considered, and how many flows leave the zone (docs/design/locality.md).
+ * Zone locality of one balancer: distances of zones, the cost of placing a flow in another zone,
+ * the order of agents, and counters of flows that spill over (docs/design/locality.md).
  */
 import type { Endpoint, Environment } from '../../environment';
 import { Events } from '../../logging/events';
@@ -20,13 +20,13 @@
 /** Settings of locality. */
 export interface LocalitySettings {
   readonly zone: string;
-  /** Without it the order has a fixed share of other zones, all at the same cost. */
+  /** When false, the order has a fixed share of other zones, all at the same cost. */
   readonly locality: boolean;
-  /** Milliseconds of waiting that a megabyte between zones is worth. */
+  /** Cost of a megabyte between zones, in milliseconds of waiting. */
   readonly transferCost: number;
 }
 
-/** Counters of where new flows went. */
+/** Counters of placed flows, by zone and reason. */
 export interface SpillCounters {
   flowsPlacedAtHome: number;
   flowsSpilledForWait: number;
@@ -34,15 +34,15 @@
   flowsSpilledHomeUnknown: number;
 }
 
-/** Figures of locality. */
+/** Statistics of locality. */
 export interface LocalityFigures {
-  /** Zones with a measured round trip, the own one included. */
+  /** Zones with a measured round trip, including the home zone. */
   readonly zonesMeasured: number;
-  /** Milliseconds there and back to the farthest zone measured. */
+  /** Round trip to the farthest zone measured, in milliseconds. */
   readonly largestZoneDistance: number;
 }
 
-/** Locality of one balancer. */
+/** Zone locality of one balancer. */
 export class Locality {
   private readonly distances: ZoneDistances;
   private readonly probes: DistanceProbes;
@@ -61,26 +61,26 @@
     this.costs = this.isEnabled ? this.createCosts(transferCost) : new ConstantCosts(zone);
   }
 
-  /** Measures distances where it is due; to be called at every `FIRST_PROBES_INTERVAL`. */
+  /** Probes the zones that are due; to be called every `INITIAL_PROBE_INTERVAL_MS`. */
   sendDueProbes(): void {
     if (this.isEnabled) {
       this.probes.sendDueProbes(this.environment.now());
     }
   }
 
-  /** Takes an agent's reply to a probe. */
+  /** Handles an agent's reply to a probe. */
   handleProbeReply(from: Endpoint, reply: DistanceReplyMessage): void {
     this.probes.handleReply(from, reply, this.environment.now());
   }
 
-  /** Milliseconds of waiting at home that a flow at an agent is worth. */
+  /** Cost of placing a flow at an agent, in milliseconds of waiting in the home zone. */
   computeCost(entry: AgentEntry, now: number): number {
     return this.costs.computeCost(entry, now);
   }
 
   /**
-   * Part of the other balancers that place among the same agents, 0 to 1: those of one zone of
-   * several, as far as flows stay in their zones.
+   * Fraction of the other balancers that compete for the same agents: those of one zone, as long
+   * as flows stay in their zones.
    */
   get rivalShare(): number {
     return this.isEnabled ? 1 / Math.max(1, this.distances.zonesMeasured) : 1;
@@ -105,15 +105,15 @@
     };
   }
 
-  /** The order for a second choice before a flow leaves the zone; undefined when none is needed. */
+  /** The order of a second choice before a flow leaves the zone; undefined when none is needed. */
   orderSecondChoice(chosen: AgentEntry, ordered: readonly AgentEntry[]): AgentEntry[] | undefined {
     return this.isEnabled ? orderSecondChoice(chosen, ordered, this.settings.zone) : undefined;
   }
 
   /**
-   * Counts a placed flow.
-   * @param candidates the agents that it could have gone to
-   * @returns why it has left the zone; undefined when it has not
+   * Records a placed flow.
+   * @param candidates the agents at which it could have been placed
+   * @returns why it left the zone; undefined when it did not
    */
   recordPlacement(
     chosen: AgentEntry,
@@ -133,8 +133,8 @@
   }
 
   get figures(): LocalityFigures {
-    const { largestDistance: largest, zonesMeasured } = this.distances;
-    return { zonesMeasured, largestZoneDistance: largest };
+    const { largestDistance, zonesMeasured } = this.distances;
+    return { zonesMeasured, largestZoneDistance: largestDistance };
   }
 
   private createCosts(transferCost: number): TransferCosts {
--- a/src/packets/locality/mean-flow-bytes.ts
+++ b/src/packets/locality/mean-flow-bytes.ts
@@ -1,22 +1,22 @@
-/** What a flow of an agent's target carries, both ways, as its agent sees it in passing. */
+/** Mean bytes per flow of an agent's target in both directions, from the packets forwarded. */
 import type { FlowPacket } from '../flow-packet';
 
-/** Flows below which the mean says little: the first ones have not had their answers yet. */
+/** Flows below which the mean is not significant: the first ones are not answered yet. */
 const MINIMUM_FLOWS = 4;
-/** Flows after which those before weigh half: some hundred follow a change of the work. */
+/** Flows after which earlier ones weigh half; the mean follows a change within about a hundred. */
 const HALVING_FLOWS = 64;
 
-/** Fading mean of one target. */
+/** Exponentially decaying mean of one target. */
 export class MeanFlowBytes {
   private bytes = 0;
   private flows = 0;
 
-  /** A client's packet goes to the target. */
+  /** Adds a client's packet that is delivered to the target. */
   addClientPacket({ bytes }: FlowPacket): void {
     this.bytes += bytes.length;
   }
 
-  /** The target has sent a packet; with its answer to an opening one a flow begins. */
+  /** Adds a packet that the target has sent; a SYN-ACK counts as the start of a flow. */
   addTargetPacket({ bytes, opens }: FlowPacket): void {
     this.bytes += bytes.length;
     if (opens) {
@@ -28,13 +28,13 @@
     }
   }
 
-  /** The target was replaced: nothing is known of the flows of the next one. */
+  /** Resets the mean, after the target was replaced. */
   clear(): void {
     this.bytes = 0;
     this.flows = 0;
   }
 
-  /** Mean bytes of a flow of late, heads of packets included; 0 while unknown. */
+  /** Recent mean bytes per flow, including packet headers; 0 while unknown. */
   get mean(): number {
     return this.flows < MINIMUM_FLOWS ? 0 : Math.round(this.bytes / this.flows);
   }
--- a/src/packets/locality/service-flow-bytes.ts
+++ b/src/packets/locality/service-flow-bytes.ts
@@ -1,19 +1,19 @@
-/** What a flow of each service carries, by the reports of the service's agents. */
+/** Mean bytes per flow of each service, from the reports of its agents. */
 import type { AgentDirectory } from '../agent-directory';
 
-/** Milliseconds for which a service's mean is kept: shorter than between two reports of an agent. */
+/** Time for which the means are cached: shorter than the report interval of an agent. */
 const REFRESH_INTERVAL_MS = 100;
-/** Bytes assumed of a flow whose service has not told: an answer of a few packets. */
+/** Bytes per flow assumed for a service without reports: an answer of a few packets. */
 export const DEFAULT_FLOW_BYTES = 5_000;
 
-/** Means of all services, all computed at a time. */
+/** Means of all services, computed together. */
 export class ServiceFlowBytes {
   private means: ReadonlyMap<string, number> = new Map();
   private computedAt = -Infinity;
 
   constructor(private readonly directory: AgentDirectory) {}
 
-  /** Mean bytes of a flow of a service; a default while no agent has told. */
+  /** Mean bytes per flow of a service; a default until an agent has reported it. */
   getMeanBytes(service: string, now: number): number {
     if (now - this.computedAt >= REFRESH_INTERVAL_MS) {
       this.computedAt = now;
--- a/src/packets/locality/spill-monitor.ts
+++ b/src/packets/locality/spill-monitor.ts
@@ -1,25 +1,25 @@
-/** Which services spill much of their new flows from a balancer's zone. */
+/** Detects services whose new flows spill over from a balancer's zone. */
 import type { SpillReasonValue } from './spill';
 
-/** Part of a service's new flows above which it counts as spilling. */
+/** Fraction of spilled flows above which a service counts as spilling over. */
 const SPILL_THRESHOLD = 0.1;
-/** Milliseconds between two looks at a service, and between two changes told at least. */
+/** Minimum time between two evaluations of a service, and between two reported changes. */
 const EVALUATION_INTERVAL_MS = 1_000;
-/** New flows below which a share says little. */
+/** Number of new flows below which the fraction is not significant. */
 const MINIMUM_FLOWS = 20;
 
-/** A service has begun or ended to spill. */
+/** A service has started or stopped spilling over. */
 export interface SpillChange {
   readonly service: string;
   readonly isSpilling: boolean;
-  /** New flows since the last look. */
+  /** New flows since the last evaluation. */
   readonly flows: number;
   readonly spilled: number;
-  /** Of the last flow that spilled; undefined when none did. */
+  /** Reason of the last flow that spilled over; undefined when none did. */
   readonly reason: SpillReasonValue | undefined;
 }
 
-/** What is counted of one service. */
+/** Counts of one service since its last evaluation. */
 interface SpillCounts {
   isSpilling: boolean;
   since: number;
@@ -28,15 +28,15 @@
   reason: SpillReasonValue | undefined;
 }
 
-/** The watch of one balancer. */
+/** Spill detection of one balancer. */
 export class SpillMonitor {
   private readonly services = new Map<string, SpillCounts>();
   private reportedAt = -Infinity;
 
   /**
-   * Counts a new flow.
+   * Records a new flow.
    * @param reason undefined when it stays in its zone
-   * @returns a change that is to be told
+   * @returns a change to report
    */
   recordFlow(
     service: string,
--- a/src/packets/locality/spill.ts
+++ b/src/packets/locality/spill.ts
@@ -1,15 +1,15 @@
-/** Whether a new flow stays in its balancer's zone, and why it does not. */
+/** Why new flows leave their balancer's zone, and the order that avoids it. */
 import type { AgentEntry } from '../agent-directory';
 import { acceptsNewFlows } from '../agent-selection';
 import { CANDIDATE_COUNT } from '../flow-candidates';
 
 /** Why a flow is placed in another zone. */
 export const SpillReason = {
-  /** A target there answers sooner, by more than the way and the bytes are worth. */
+  /** A target there answers sooner, by more than the transfer cost. */
   wait: 'wait',
   /** No target of the home zone takes new flows, or the zone is out of service. */
   noTarget: 'no-target',
-  /** None of the home zone's agents that would take flows is heard. */
+  /** None of the home zone's agents that accept flows has reported recently. */
   homeUnknown: 'home-unknown',
 } as const;
 export type SpillReasonValue = (typeof SpillReason)[keyof typeof SpillReason];
@@ -19,9 +19,9 @@
   { readonly kind: 'home' } | { readonly kind: 'spilled'; readonly reason: SpillReasonValue };
 
 /**
- * Where a flow goes with the agent chosen for it.
- * @param candidates the agents that it could have gone to; none of a zone out of service
- * @param isHeard whether an agent has been heard lately
+ * Classifies the placement of a flow at the chosen agent.
+ * @param candidates the agents at which it could have been placed; none of a zone out of service
+ * @param isHeard whether an agent has reported recently
  */
 export function classifyPlacement(
   chosen: AgentEntry,
@@ -43,10 +43,10 @@
 }
 
 /**
- * The order for a second choice when the first one leaves the home zone though agents of it have
- * not been looked at: the agent chosen, the rest of the home zone, then all others. Thus a flow
- * leaves only where the whole zone is worse off, as far as one choice looks at it, and two zones
- * with the same reports do not exchange flows that met busy candidates by chance.
+ * The order of a second choice when the first one leaves the home zone before all its agents were
+ * considered: the chosen agent, the rest of the home zone, then all others. So a flow leaves only
+ * if the whole home zone is worse, as far as one choice considers it, and two zones with the same
+ * reports do not exchange flows whose candidates were busy by chance.
  * @param ordered the agents in the order of the first choice
  * @returns undefined when the first choice stands
  */
--- a/src/packets/locality/transfer-costs.ts
+++ b/src/packets/locality/transfer-costs.ts
@@ -1,44 +1,44 @@
 /**
- * What it costs to place a flow in another zone, in milliseconds of waiting: the way there of all
- * that its client sends before it has the answer, and what the bytes between zones are worth.
+ * Cost of placing a flow in another zone, in milliseconds of waiting: the forward-path delay of all
+ * that its client sends until it has the answer, and the cost of the bytes between zones.
  */
 import type { AgentDirectory, AgentEntry } from '../agent-directory';
 import { DEFAULT_ANSWER_TIME_MS } from '../choice/service-statistics';
 import type { ServiceFlowBytes } from './service-flow-bytes';
 import { DEFAULT_DISTANCE_MS, type ZoneDistances } from './zone-distances';
 
-/** Round trips of a flow without data: the handshake. Those of request and answer come on top. */
+/** Round trips of the handshake; those of request and answer are added. */
 const HANDSHAKE_ROUND_TRIPS = 1;
-/** Bytes that a target sends before it waits for an acknowledgement: 16 packets of 1,200 bytes. */
+/** Bytes that a target sends before waiting for an acknowledgement: 16 packets of 1,200 bytes. */
 const INITIAL_WINDOW_BYTES = 16 * 1_200;
 const BYTES_PER_MEGABYTE = 1_000_000;
 /**
- * Part of a round trip that is longer for a flow in another zone: what a client sends
- * goes by way of its balancer to the agent; what the target sends goes straight to the client.
+ * Fraction of a round trip that is longer for a flow in another zone: a client's packets pass
+ * through its balancer to the agent, while the target's go directly to the client.
  */
 const FORWARD_PATH_SHARE = 0.5;
 /**
- * Part of an answer's time that another zone costs at least. Targets whose expected waits differ by
- * less count as equal and are told apart at random; two near zones would exchange flows by that.
+ * Minimum cost of another zone as a fraction of the answer time. Targets whose expected waits
+ * differ by less count as equal and are chosen at random, so two near zones would exchange flows.
  */
 const MINIMUM_COST_SHARE = 0.3;
-/** Part of an answer's time that another zone costs, however far, where locality is switched off. */
+/** Cost of any other zone as a fraction of the answer time, with locality disabled. */
 const CONSTANT_COST_SHARE = 0.15;
 
 function getAnswerTime({ report }: AgentEntry): number {
   return report?.answerTime || DEFAULT_ANSWER_TIME_MS;
 }
 
-/** Costs of one balancer. */
+/** Transfer costs as seen by one balancer. */
 export interface TransferCosts {
   /**
-   * Milliseconds of waiting at home that a flow at an agent is worth; 0 within the home zone, but
-   * for an agent in doubt ({@link PenalizedCosts}).
+   * Cost of placing a flow at an agent, in milliseconds of waiting in the home zone; 0 within the
+   * home zone, except for a penalized agent ({@link PenalizedCosts}).
    */
   computeCost(entry: AgentEntry, now: number): number;
 }
 
-/** The same share of an answer for all other zones. */
+/** The same fraction of the answer time for all other zones. */
 export class ConstantCosts implements TransferCosts {
   /** @param home the balancer's zone */
   constructor(private readonly home: string) {}
@@ -52,7 +52,7 @@
 export class MeasuredCosts implements TransferCosts {
   /**
    * @param home the balancer's zone
-   * @param transferCost milliseconds of waiting that a megabyte between zones is worth
+   * @param transferCost cost of a megabyte between zones, in milliseconds of waiting
    */
   constructor(
     private readonly home: string,
@@ -68,7 +68,7 @@
       : this.computeCostAt(this.distances.getDistance(zone), entry, now);
   }
 
-  /** As much as the farthest zone would cost, a zone not measured yet included. */
+  /** Cost in the farthest zone, or in a zone at the default distance if that is larger. */
   computeLargestCost(entry: AgentEntry, now: number): number {
     return this.computeCostAt(
       Math.max(this.distances.largestDistance, DEFAULT_DISTANCE_MS),
@@ -87,9 +87,9 @@
 }
 
 /**
- * Measured costs, and as much as the farthest zone would cost on top for an agent that is silent, or
- * so new that other balancers may not know it, and a part of it where a part of the requests
- * fails. However dear the way to other zones is, it thus never outweighs such a doubt at home.
+ * Measured costs, plus the cost of the farthest zone for an agent that is unresponsive or so
+ * recently added that other balancers may not know it, and a fraction of that for an agent whose
+ * requests partly fail. So the cost of other zones never outweighs such a fault at home.
  */
 export class PenalizedCosts implements TransferCosts {
   constructor(
@@ -103,7 +103,7 @@
     return penalty === 0 ? cost : cost + penalty * this.costs.computeLargestCost(entry, now);
   }
 
-  /** From 0 for none to 1. */
+  /** Penalty as a fraction of the largest cost, 0 to 1. */
   private computePenalty(entry: AgentEntry, now: number): number {
     if (!this.directory.isHeard(entry, now) || this.directory.isSettling(entry, now)) {
       return 1;
--- a/src/packets/locality/zone-distances.ts
+++ b/src/packets/locality/zone-distances.ts
@@ -1,67 +1,67 @@
 /**
- * How far zones are from a balancer's own, by the round trips of probes to their agents.
+ * Distances of zones from a balancer's home zone, from the round trips of probes to their agents.
  *
- * A round trip is the time on the wire plus what queues and slow processors add, and they only
- * add: the shortest of several is the nearest to the wire (the minimum filter of RFC 5905). The
- * same is measured within the balancer's own zone and taken off, so that what a probe costs both
- * ends in any case does not count as distance.
+ * A round trip is the network delay plus queueing and processing time, which only add to it, so the
+ * shortest of several is the closest to the network delay (the minimum filter of RFC 5905). The
+ * round trip within the home zone is subtracted, so that the processing of a probe at both ends
+ * does not count as distance.
  */
 
 /**
- * Milliseconds for which a sample counts: long enough for some fifteen of them at a probe every
- * two seconds, short enough that another route shows within half a minute.
+ * Age at which a sample expires: long enough for about fifteen samples at one probe every two
+ * seconds, short enough to detect a longer route within half a minute.
  */
 const SAMPLE_LIFETIME_MS = 30_000;
 /**
- * Milliseconds there and back to a zone that has not been measured: between zones of one site
- * (below 1 ms) and zones tens of kilometres apart (up to 10 ms).
+ * Round trip assumed for a zone that has not been measured: between that of zones of one site
+ * (below 1 ms) and of zones tens of kilometres apart (up to 10 ms).
  */
 export const DEFAULT_DISTANCE_MS = 5;
-/** Samples of a zone with which its shortest round trip is worth something. */
+/** Number of samples from which a zone's shortest round trip is reliable. */
 const MINIMUM_SAMPLES = 3;
 
 /** One measured round trip. */
 interface RoundTripSample {
-  readonly at: number;
+  readonly measuredAt: number;
   readonly roundTrip: number;
 }
 
-/** What is known of one zone. */
+/** Recent samples of one zone. */
 interface MeasuredZone {
   samples: readonly RoundTripSample[];
   shortestRoundTrip: number;
 }
 
-/** Distances of one balancer; lost with its process and measured anew. */
+/** Distances measured by one balancer; not persisted, measured again after a restart. */
 export class ZoneDistances {
   private readonly zones = new Map<string, MeasuredZone>();
 
-  /** @param home the balancer's own zone */
+  /** @param home the balancer's zone */
   constructor(private readonly home: string) {}
 
   /**
-   * Adds a round trip of so many milliseconds. Samples age only when another one comes: a zone
-   * that falls silent keeps the distance it had.
+   * Adds a round trip in milliseconds. Samples expire only when another one is added, so an
+   * unresponsive zone retains its last distance.
    */
   addSample(zone: string, roundTrip: number, now: number): void {
     const known = this.zones.get(zone)?.samples ?? [];
-    const recent = known.filter(({ at }) => now - at <= SAMPLE_LIFETIME_MS);
-    const samples = [...recent, { at: now, roundTrip }];
+    const recent = known.filter(({ measuredAt }) => now - measuredAt <= SAMPLE_LIFETIME_MS);
+    const samples = [...recent, { measuredAt: now, roundTrip }];
     this.zones.set(zone, {
       samples,
       shortestRoundTrip: Math.min(...samples.map((sample) => sample.roundTrip)),
     });
   }
 
-  /** Whether a zone has too few samples for its distance to be relied on. */
+  /** Whether a zone has too few samples for a reliable distance. */
   lacksSamples(zone: string): boolean {
     return (this.zones.get(zone)?.samples.length ?? 0) < MINIMUM_SAMPLES;
   }
 
   /**
-   * Milliseconds there and back that a zone lies further than the own one; 0 for that one. A
-   * default for a zone without samples. While no agent of the own zone has been measured, its
-   * round trip counts as 0.
+   * Round trip to a zone in milliseconds, less that within the home zone; 0 for the home zone, and
+   * a default for a zone without samples. While the home zone has not been measured, its round
+   * trip counts as 0.
    */
   getDistance(zone: string): number {
     if (zone === this.home) {
@@ -77,12 +77,12 @@
     );
   }
 
-  /** Number of zones with a sample, the own one included. */
+  /** Number of zones with a sample, including the home zone. */
   get zonesMeasured(): number {
     return this.zones.size;
   }
 
-  /** Milliseconds there and back to the farthest zone measured; 0 for none. */
+  /** Distance of the farthest zone measured, in milliseconds; 0 for none. */
   get largestDistance(): number {
     return Math.max(0, ...[...this.zones.keys()].map((zone) => this.getDistance(zone)));
   }
