--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -1,4 +1,4 @@
-/** Losses between a balancer and an agent, repaired by the two of them. */
+/** Hop repair: retransmission of messages lost between a balancer and an agent. */
 import test from 'ava';
 import { ResultCodes } from '../src/errors/result-codes';
 import { Events } from '../src/logging/events';
@@ -30,7 +30,7 @@
 const BALANCER = 1;
 const AGENT = 2;
 const { deliver, notHeld, numberedDeliver, numberedRefusal, received } = PacketMessageType;
-/** Milliseconds after which no message is under way or kept any more. */
+/** Time after which no message is in flight or buffered any more. */
 const SETTLED_MS = 1_000;
 
 interface Pair {
@@ -39,7 +39,7 @@
   readonly agent: HopNode;
 }
 
-/** A balancer and an agent that know of each other what they understand. */
+/** A balancer and an agent that know each other's protocol versions. */
 function startPair(balancerVersion = HOP_REPAIR_VERSION, agentVersion = HOP_REPAIR_VERSION): Pair {
   const network = new HopNetwork();
   const balancer = network.attach(new HopNode(BALANCER, network, () => 0.5));
@@ -61,7 +61,7 @@
   agent.accepted.length = 0;
 }
 
-test('a lost delivery is sent once more, long before the client would, and taken once', (t) => {
+test('a lost delivery is retransmitted long before the client would, and accepted once', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
@@ -81,7 +81,7 @@
   t.is(agent.hops.counters.hopDuplicates, 0);
 });
 
-test('a delivery whose acknowledgement is lost is acknowledged again and not taken again', (t) => {
+test('a delivery whose acknowledgement is lost is acknowledged again but not accepted again', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
@@ -95,7 +95,7 @@
   t.is(balancer.hops.counters.hopRepeats, 1);
 });
 
-test('a lost refusal is sent once more and taken once', (t) => {
+test('a lost refusal is retransmitted and accepted once', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
@@ -109,7 +109,7 @@
   );
 });
 
-test('a message is repeated three times within 150 ms, and then left to the client', (t) => {
+test('a message is retransmitted three times within 150 ms, then left to the client', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer } = pair;
@@ -123,7 +123,7 @@
   );
 });
 
-test('before the first acknowledgement a message waits longer, and is repeated twice', (t) => {
+test('before the first acknowledgement the timeout is longer, with two retransmissions', (t) => {
   const { network, balancer } = startPair();
   network.isLost = () => true;
   balancer.send(AGENT);
@@ -134,7 +134,7 @@
   );
 });
 
-test('openings, data and resets are numbered; ends, acknowledgements and searched ones are not', (t) => {
+test('SYN, data and RST are numbered; FIN, acknowledgements and searched packets are not', (t) => {
   const { network, balancer, agent } = startPair();
   balancer.send(AGENT, '', { flags: ModelFlag.opens, searchId: 9 });
   balancer.send(AGENT, '', { flags: ModelFlag.ends });
@@ -149,7 +149,7 @@
   t.is(agent.findSentFrames(received).length, 3);
 });
 
-test('an old agent gets deliveries, an old balancer refusals, as they were', (t) => {
+test('agents and balancers of earlier versions get plain deliveries and refusals', (t) => {
   const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION, CONCLUSIVE_SEARCH_VERSION);
   balancer.send(AGENT);
   agent.refuse(BALANCER);
@@ -160,7 +160,7 @@
   );
 });
 
-test('a balancer that numbers its packets understands numbered refusals', (t) => {
+test('a balancer that numbers its packets gets numbered refusals', (t) => {
   const { network, balancer, agent } = startPair(FIRST_FRAME_VERSION);
   balancer.send(AGENT);
   network.runFor(10);
@@ -170,7 +170,7 @@
   t.is(balancer.accepted.length, 1);
 });
 
-test('a balancer whose version is told late or never keeps its compact frames', (t) => {
+test('a balancer whose version is announced late or never still gets compact frames', (t) => {
   const { network, agent, balancer } = startPair(FIRST_FRAME_VERSION, CONCLUSIVE_SEARCH_VERSION);
   balancer.send(AGENT);
   network.runFor(10);
@@ -181,7 +181,7 @@
   t.true(agent.link.supportsHopRepair(BALANCER));
 });
 
-test('with the setting off nothing is numbered, and what others number is acknowledged', (t) => {
+test('with the setting off nothing is numbered, but numbered messages are acknowledged', (t) => {
   const { network, agent } = startPair();
   const silent = network.attach(new HopNode(BALANCER, network, () => 0.5, false));
   silent.link.recordVersion(AGENT, HOP_REPAIR_VERSION);
@@ -194,7 +194,7 @@
   t.is(silent.accepted.length, 1);
 });
 
-test('an agent that restarts has forgotten what came: each of its runs takes a message once', (t) => {
+test('a restarted agent has lost its windows: each incarnation accepts a message once', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
@@ -211,13 +211,13 @@
   t.is(next.accepted.length, 2);
 });
 
-test('the numbers of a balancer that restarts are not taken for repeats, wherever they begin', (t) => {
+test('numbers of a restarted balancer are not taken for duplicates, wherever they start', (t) => {
   for (const draws of [0.5000001, 0.4999999, 0.1, 0.9]) {
     const pair = startPair();
     warmUp(pair);
     const { network, agent } = pair;
     let drawn = 0;
-    // The session differs; the numbers begin close to those of the run before.
+    // The session differs; the numbers start close to those of the previous incarnation.
     const random = (): number => (drawn++ === 0 ? 0.3 : draws);
     const next = network.attach(new HopNode(BALANCER, network, random));
     next.link.recordVersion(AGENT, HOP_REPAIR_VERSION);
@@ -231,7 +231,7 @@
   }
 });
 
-test('a late repeat of the run before a restart is still known for what it is', (t) => {
+test('a delayed duplicate from before a restart is still detected', (t) => {
   const receiver = new HopReceiver();
   const before = { session: 1, sequence: 10 };
   t.true(receiver.recordReceived(BALANCER, before, 0));
@@ -241,7 +241,7 @@
   t.false(receiver.recordReceived(BALANCER, { session: 2, sequence: 10 }, 4));
 });
 
-test('an acknowledgement of the run before acknowledges nothing of the present one', (t) => {
+test('an acknowledgement of another session is ignored', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer } = pair;
@@ -258,7 +258,7 @@
   t.is(balancer.hops.counters.hopRepeats, 3);
 });
 
-test('nothing is repeated for an agent that is silent', (t) => {
+test('nothing is retransmitted to an unresponsive agent', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer } = pair;
@@ -270,7 +270,7 @@
   t.is(balancer.hops.counters.hopRepeatsSuppressed, 3);
 });
 
-test('on a cut link repeats stop after six timeouts, and begin again once it is healed', (t) => {
+test('on a cut link retransmissions stop after six timeouts and resume once it is healed', (t) => {
   const pair = startPair();
   warmUp(pair, 100);
   const { network, balancer, agent } = pair;
@@ -289,7 +289,7 @@
   t.is(balancer.hops.counters.hopRepeats, 7);
 });
 
-test('what was lost in a short cut is repeated after it', (t) => {
+test('messages lost during a short cut are retransmitted after it', (t) => {
   const pair = startPair();
   warmUp(pair, 200);
   const { network, balancer, agent } = pair;
@@ -304,11 +304,11 @@
   t.is(agent.accepted.length, 11);
 });
 
-test('repeats never go beyond the budget, which is told at most once a second', (t) => {
+test('retransmissions stay within the budget, which is logged at most once a second', (t) => {
   const pair = startPair();
   warmUp(pair, 200);
   const { network, balancer } = pair;
-  // Each agent is its own, so that none is taken to be silent.
+  // One agent per message, so that none reaches the limit of consecutive timeouts.
   network.isLost = ({ to }) => to !== BALANCER;
   const messages = 400;
   for (let count = 0; count < messages; count++) {
@@ -320,32 +320,32 @@
   network.runFor(SETTLED_MS);
   const { hopRepeats, hopRepeatsSuppressed } = balancer.hops.counters;
   const seconds = (messages * 2 + 200) / 1_000;
-  t.true(hopRepeats <= 20 + messages / 10 + 10 * seconds, `${hopRepeats} repeats`);
+  t.true(hopRepeats <= 20 + messages / 10 + 10 * seconds, `${hopRepeats} retransmissions`);
   t.true(hopRepeats >= messages / 10);
   t.true(hopRepeatsSuppressed > 0);
   const limited = balancer.events.filter((event) => event === Events.hopRepairsLimited);
   t.is(limited.length, 1);
 });
 
-test('a budget holds a burst, earns by what is sent and by time, and no more', (t) => {
+test('a budget allows a burst and is refilled by messages and time, up to the burst', (t) => {
   const budget = new RepairBudget();
-  const takeAll = (now: number): number => {
+  const takeAllTokens = (now: number): number => {
     let taken = 0;
     while (budget.takeToken(now)) {
       taken++;
     }
     return taken;
   };
-  t.is(takeAll(0), 20);
-  t.is(takeAll(500), 5);
+  t.is(takeAllTokens(0), 20);
+  t.is(takeAllTokens(500), 5);
   for (let count = 0; count < 35; count++) {
     budget.recordMessage();
   }
-  t.is(takeAll(500), 3);
-  t.is(takeAll(1_000_000), 20);
+  t.is(takeAllTokens(500), 3);
+  t.is(takeAllTokens(1_000_000), 20);
 });
 
-test('after a pause of its process acknowledgements are read before anything is repeated', (t) => {
+test('after a pause of the process acknowledgements are read before any retransmission', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer } = pair;
@@ -355,24 +355,24 @@
   t.is(balancer.findSentFrames(numberedDeliver).length, 1);
 });
 
-test('a process whose timers are always late repeats what is lost all the same', (t) => {
+test('a process whose timers are always late still retransmits lost messages', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
   network.isLost = dropFirst(numberedDeliver);
   balancer.send(AGENT);
   network.runFor(10);
-  // Longer than a timer may be late, from a time on that makes each timer late.
-  const turn = 20;
-  for (let elapsed = 0; elapsed < 100; elapsed += turn) {
-    balancer.pause(turn);
-    network.runFor(turn);
+  // Pauses longer than the timer tolerance, one after another, so that every timer is late.
+  const pauseMs = 20;
+  for (let elapsed = 0; elapsed < 100; elapsed += pauseMs) {
+    balancer.pause(pauseMs);
+    network.runFor(pauseMs);
   }
   t.is(balancer.findSentFrames(numberedDeliver).length, 2);
   t.is(agent.accepted.length, 1);
 });
 
-test('nothing is repeated for a node that has come back with an earlier version', (t) => {
+test('nothing is retransmitted to a node that restarted with an earlier version', (t) => {
   const pair = startPair();
   warmUp(pair);
   const { network, balancer, agent } = pair;
@@ -387,7 +387,7 @@
   t.is(agent.findSentFrames(numberedRefusal).length, 1);
 });
 
-test('timers end with the node', (t) => {
+test('timers are cancelled when the node stops', (t) => {
   const { network, balancer, agent } = startPair();
   network.isLost = () => true;
   balancer.send(AGENT);
@@ -399,7 +399,7 @@
   t.is(network.frames.length, 2);
 });
 
-test('a window tells repeats from numbers that come out of order', (t) => {
+test('a window distinguishes duplicates from reordered numbers', (t) => {
   const window = new SequenceWindow();
   const numbers = [100, 103, 101, 103, 102, 100, 101, 90, 90];
   t.deepEqual(
@@ -408,7 +408,7 @@
   );
 });
 
-test('a window goes on where 32 bits wrap, and forgets what lies far behind', (t) => {
+test('a window handles 32-bit wrap-around and drops numbers far below the highest', (t) => {
   const window = new SequenceWindow();
   t.true(window.add(0xffff_fffe));
   t.true(window.add(1));
@@ -421,13 +421,13 @@
   t.true(window.add(WINDOW_SIZE));
   t.false(window.add(1));
   t.true(window.add(2));
-  t.false(window.add(0), 'so far behind that nothing tells');
+  t.false(window.add(0), 'below the window');
   t.true(window.add(5 * WINDOW_SIZE));
   t.true(window.add(5 * WINDOW_SIZE - 1));
   t.false(window.add(WINDOW_SIZE));
 });
 
-test('a window agrees with a set of all numbers, in any order within its length', (t) => {
+test('a window agrees with a set of all numbers, in any order within its size', (t) => {
   const random = new SeededRandom(9);
   const window = new SequenceWindow();
   const seen = new Set<number>();
@@ -440,7 +440,7 @@
   }
 });
 
-test('the sender numbers on where 32 bits wrap', (t) => {
+test('the sequence numbers of a sender wrap around at 32 bits', (t) => {
   const network = new HopNetwork();
   const draws = [0.25, 1 - 2 ** -32];
   const balancer = network.attach(new HopNode(BALANCER, network, () => draws.shift() ?? 0));
@@ -456,21 +456,21 @@
   t.is(agent.accepted.length, 3);
 });
 
-test('windows are bounded in number and dropped after a while', (t) => {
+test('windows are limited in number and dropped when idle', (t) => {
   const receiver = new HopReceiver();
   const number = { session: 1, sequence: 1 };
   for (let peer = 0; peer < 20_001; peer++) {
     receiver.recordReceived(peer, number, 0);
   }
   t.false(receiver.recordReceived(20_000, number, 1));
-  t.true(receiver.recordReceived(0, number, 1), 'the one noted first is forgotten');
+  t.true(receiver.recordReceived(0, number, 1), 'the oldest peer is evicted');
   receiver.expire(29_000);
   t.false(receiver.recordReceived(20_000, number, 29_000));
   receiver.expire(59_001);
   t.true(receiver.recordReceived(20_000, number, 59_001));
 });
 
-test('round trips are estimated as RFC 6298 says, within bounds', (t) => {
+test('timeouts follow RFC 6298, within bounds', (t) => {
   const estimator = new RoundTripEstimator({ initial: 30, minimum: 5, maximum: 100 });
   t.is(estimator.smoothed, undefined);
   t.is(estimator.timeout, 30);
@@ -488,14 +488,14 @@
   t.is(estimator.timeout, 100);
 });
 
-test('a repeated message gives no sample, and the timeout stays doubled until one comes', (t) => {
+test('a retransmitted message gives no sample; the timeout stays doubled until the next one', (t) => {
   const pair = startPair();
   warmUp(pair, 50);
   const { network, balancer } = pair;
   const before = balancer.hops.getRoundTrip(AGENT)!;
   t.true(Math.abs(before - 2 * ONE_WAY_MS) < 0.5, `${before} ms`);
   t.is(balancer.hops.getRoundTrip(AGENT + 1), undefined);
-  // The way becomes slower than the timeout at once.
+  // The round trip now exceeds the timeout.
   network.delay = 13;
   const sentAt = network.clock.now;
   balancer.send(AGENT);
@@ -508,7 +508,7 @@
   t.true(balancer.hops.getRoundTrip(AGENT)! > before);
 });
 
-/** Signs any body, as a faulty program with the right key would. */
+/** Signs any body, as a faulty implementation with a valid key would. */
 class BodySigner extends PacketFrameCodec {
   sign(body: Buffer): Buffer {
     const frame = Buffer.concat([Buffer.alloc(18), body]);
@@ -526,7 +526,7 @@
   { type: received, session: 0xffff_ffff, sequences: [0xffff_ffff, 0, 1] },
 ] as const;
 
-test('numbered messages and acknowledgements survive their frames, and no damage does', (t) => {
+test('numbered messages and acknowledgements survive encoding; damaged frames are rejected', (t) => {
   const codec = new PacketFrameCodec([KEY]);
   for (const message of HOP_MESSAGES) {
     const frame = codec.encodeCompact(message);
@@ -542,7 +542,7 @@
   }
 });
 
-test('an authentic body of hop repair that is cut or too long is malformed', (t) => {
+test('an authentic hop repair body that is truncated or too long is malformed', (t) => {
   const signer = new BodySigner([KEY]);
   const isMalformed = (body: Buffer): boolean => {
     const decoded = signer.decode(signer.sign(body));
@@ -570,7 +570,7 @@
   t.true(isMalformed(refused));
 });
 
-test('a router numbers packets for agents that are heard, and only for those', (t) => {
+test('a router numbers packets only for agents that have reported recently', (t) => {
   const harness = new RouterHarness([HOP_REPAIR_VERSION]);
   const [agent] = harness.agents;
   harness.router.route(harness.createOpening(5));
@@ -583,7 +583,7 @@
   harness.runFor(1);
   t.is(harness.sent.length, 2);
   t.deepEqual(harness.sent[1]!.message, harness.sent[0]!.message);
-  // The agent falls silent: packets go out as they did before, and wait for it.
+  // The agent becomes unresponsive: packets are sent plain, without waiting for acknowledgement.
   harness.runFor(10_000);
   harness.sent.length = 0;
   harness.router.confirmHolder(harness.createData(6).toString('latin1', 1, 13), agent!);
@@ -594,7 +594,7 @@
   );
 });
 
-test('a router acts on a refusal once', (t) => {
+test('a router handles a duplicate refusal once', (t) => {
   const harness = new RouterHarness([HOP_REPAIR_VERSION, HOP_REPAIR_VERSION]);
   harness.router.route(harness.createOpening(5));
   const [first] = harness.sent;
@@ -603,9 +603,9 @@
     const { searchId, payload } = message;
     const refusal = { type: numberedRefusal, ...NUMBER, searchId, reason: 1, payload } as const;
     for (let copy = 0; copy < 2; copy++) {
-      const unpacked = harness.hops.receive(to, refusal);
-      if (unpacked?.type === notHeld) {
-        harness.router.handleRefusal(to, unpacked);
+      const plain = harness.hops.receive(to, refusal);
+      if (plain?.type === notHeld) {
+        harness.router.handleRefusal(to, plain);
       }
     }
   }
@@ -615,75 +615,83 @@
   t.is(harness.sent.filter(({ message: { type } }) => type === received).length, 2);
 });
 
-function sumCounter(world: PacketWorld, counter: 'hopRepeats' | 'hopDuplicates'): number {
-  const nodes = [...world.balancers, ...world.agents];
+function sumCounter(simulation: PacketWorld, counter: 'hopRepeats' | 'hopDuplicates'): number {
+  const nodes = [...simulation.balancers, ...simulation.agents];
   return nodes.reduce((sum, { node }) => sum + node.figures[counter], 0);
 }
 
-test('flows open without the client copy where links between balancers and agents lose much', (t) => {
-  const openingsLate = (repairHops: boolean): number => {
-    const world = new PacketWorld(31);
-    world.repairHops = repairHops;
-    startModelDeployment(world);
-    const lossy = world.agents.map(({ name }) => name);
-    addLossBetween(world, new Set([...lossy, ...world.balancers.map(({ name }) => name)]), 0.03);
+test('flows open without client retransmission over lossy links between balancers and agents', (t) => {
+  const countLateOpenings = (repairHops: boolean): number => {
+    const simulation = new PacketWorld(31);
+    simulation.repairHops = repairHops;
+    startModelDeployment(simulation);
+    const lossy = simulation.agents.map(({ name }) => name);
+    addLossBetween(
+      simulation,
+      new Set([...lossy, ...simulation.balancers.map(({ name }) => name)]),
+      0.03,
+    );
     const flows = Array.from({ length: 300 }, () => {
-      const flow = world.openFlow(MAP_DESTINATION, 1, 0);
-      world.runFor(20);
+      const flow = simulation.openFlow(MAP_DESTINATION, 1, 0);
+      simulation.runFor(20);
       return flow;
     });
-    world.runFor(5_000);
-    t.is(countViolations(world), 0);
-    t.is(sumCounter(world, 'hopRepeats') > 0, repairHops);
+    simulation.runFor(5_000);
+    t.is(countViolations(simulation), 0);
+    t.is(sumCounter(simulation, 'hopRepeats') > 0, repairHops);
     return flows.filter(({ answeredAt, startedAt }) => !(answeredAt[0]! - startedAt < 190)).length;
   };
-  const without = openingsLate(false);
-  const repaired = openingsLate(true);
-  t.true(without > 20, `${without} late without`);
-  t.true(repaired <= without / 10, `${repaired} late with, ${without} without`);
-});
-
-/** Loses a part of the datagrams among some processes. */
-function addLossBetween(world: PacketWorld, names: ReadonlySet<string>, part: number): void {
-  const { network, random } = world;
+  const without = countLateOpenings(false);
+  const repaired = countLateOpenings(true);
+  t.true(without > 20, `${without} late without hop repair`);
+  t.true(repaired <= without / 10, `${repaired} late with hop repair, ${without} without`);
+});
+
+/** Drops a fraction of the datagrams between the named processes. */
+function addLossBetween(
+  simulation: PacketWorld,
+  names: ReadonlySet<string>,
+  fraction: number,
+): void {
+  const { network, random } = simulation;
   const isCut = network.isCut.bind(network);
   network.isCut = (sender, receiver) => {
     const isLossy = names.has(sender.name) && names.has(receiver.name);
-    return (isLossy && random.next() < part) || isCut(sender, receiver);
+    return (isLossy && random.next() < fraction) || isCut(sender, receiver);
   };
 }
 
-test('loss, duplication and reordering together break no promise', (t) => {
+test('loss, duplication and reordering together violate no invariant', (t) => {
   for (const seed of [41, 42, 43]) {
-    const world = new PacketWorld(seed);
-    startModelDeployment(world);
-    Object.assign(world.network.quality, {
+    const simulation = new PacketWorld(seed);
+    startModelDeployment(simulation);
+    Object.assign(simulation.network.quality, {
       loss: 0.02,
       duplication: 0.02,
       reordering: 0.05,
       reorderDelay: 60,
     });
-    openModelFlows(world, 60, 12, 250);
-    world.runFor(1_500);
-    world.startAgent(world.agents[0]!);
-    world.startBalancer(world.balancers[0]!);
-    world.runFor(20_000);
-    t.is(countViolations(world), 0);
-    t.true(sumCounter(world, 'hopRepeats') > 0);
-    t.true(sumCounter(world, 'hopDuplicates') > 0);
-    const done = world.clients.filter(({ state }) => state === 'done').length;
+    openModelFlows(simulation, 60, 12, 250);
+    simulation.runFor(1_500);
+    simulation.startAgent(simulation.agents[0]!);
+    simulation.startBalancer(simulation.balancers[0]!);
+    simulation.runFor(20_000);
+    t.is(countViolations(simulation), 0);
+    t.true(sumCounter(simulation, 'hopRepeats') > 0);
+    t.true(sumCounter(simulation, 'hopDuplicates') > 0);
+    const done = simulation.clients.filter(({ state }) => state === 'done').length;
     t.true(done >= 55, `${done} of 60 flows done`);
   }
 });
 
-test('agents and balancers tell each other that they repair losses', (t) => {
-  const world = new PacketWorld(44);
-  startModelDeployment(world, 1);
-  const [balancer] = world.balancers;
-  openModelFlows(world, 20, 2, 50);
-  world.runFor(3_000);
-  const acknowledged = world.agents.map(({ node }) => node.figures.hopAcknowledgements);
+test('agents and balancers announce hop repair to each other', (t) => {
+  const simulation = new PacketWorld(44);
+  startModelDeployment(simulation, 1);
+  const [balancer] = simulation.balancers;
+  openModelFlows(simulation, 20, 2, 50);
+  simulation.runFor(3_000);
+  const acknowledged = simulation.agents.map(({ node }) => node.figures.hopAcknowledgements);
   t.true(acknowledged.every((count) => count > 0));
   t.is(balancer!.node.figures.hopRepeats, 0);
-  t.true(balancer!.node.getRoundTrip(world.agents[0]!.address)! > 0);
+  t.true(balancer!.node.getRoundTrip(simulation.agents[0]!.address)! > 0);
 });
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -1,4 +1,4 @@
-/** Locality: distances of zones, what another zone costs, the orders of agents, and spilled flows. */
+/** Locality: distances of zones, transfer costs, orders of agents, and flows that spill over. */
 import test from 'ava';
 import { Events, type EventFields, type EventKind } from '../src/logging/events';
 import { AgentDirectory, type AgentEntry } from '../src/packets/agent-directory';
@@ -35,7 +35,7 @@
 const CLIENT = 0x6440_0007_9c41;
 const ZONES = ['north', 'south', 'east', 'west'] as const;
 
-/** Agents of zones in turn. */
+/** Agents assigned to the zones in turn. */
 function createAgents(zones: readonly string[], each: number): SearchCandidate[] {
   return Array.from({ length: zones.length * each }, (_, index) => ({
     address: FIRST_AGENT + index * NEXT_MACHINE,
@@ -48,7 +48,7 @@
   return new AgentDirectory().recordReport(address, createReport(fields), 0)!;
 }
 
-test('the distance of a zone is the shortest round trip beyond that of the own zone', (t) => {
+test('the distance of a zone is its shortest round trip less that of the home zone', (t) => {
   const random = new SeededRandom(3);
   const distances = new ZoneDistances('north');
   for (let sample = 0; sample < 15; sample++) {
@@ -60,17 +60,17 @@
   t.is(distances.largestDistance, distances.getDistance('south'));
 });
 
-test('a zone is at a default distance until sampled, and never nearer than the own one', (t) => {
+test('a zone has the default distance until sampled, and never a negative one', (t) => {
   const distances = new ZoneDistances('north');
   t.is(distances.getDistance('south'), DEFAULT_DISTANCE_MS);
   t.is(distances.largestDistance, 0);
   distances.addSample('south', 0.3, 0);
-  t.is(distances.getDistance('south'), 0.3, 'no agent of the own zone has answered');
+  t.is(distances.getDistance('south'), 0.3, 'no agent of the home zone has answered');
   distances.addSample('north', 0.5, 0);
   t.is(distances.getDistance('south'), 0);
 });
 
-test('a longer route shows once the samples before have aged; a silent zone stays as it was', (t) => {
+test('a longer route is detected once earlier samples expire; an unresponsive zone is unchanged', (t) => {
   const distances = new ZoneDistances('north');
   distances.addSample('south', 2, 0);
   distances.addSample('east', 3, 0);
@@ -81,8 +81,8 @@
   t.is(distances.getDistance('east'), 3);
 });
 
-/** Probes of a directory, with what has been sent. */
-function startProbes(reports: readonly Partial<ReportMessage>[]): {
+/** Distance probes of a directory, and the probes sent. */
+function createProbes(reports: readonly Partial<ReportMessage>[]): {
   readonly directory: AgentDirectory;
   readonly distances: ZoneDistances;
   readonly probes: DistanceProbes;
@@ -98,8 +98,8 @@
   return { directory, distances, probes, sent };
 }
 
-test('agents of a zone are probed in turn, often until the zone is known, then seldom', (t) => {
-  const { directory, distances, probes, sent } = startProbes([
+test('agents of a zone are probed in turn, frequently until it has enough samples', (t) => {
+  const { directory, distances, probes, sent } = createProbes([
     { frameVersion: 5 },
     { frameVersion: 5 },
     { frameVersion: 5, zone: 'south' },
@@ -130,8 +130,8 @@
   t.is(distances.getDistance('south'), 8);
 });
 
-test('lost probes are followed by others; replies to earlier ones or of others say nothing', (t) => {
-  const { distances, probes, sent } = startProbes([{ frameVersion: 5, zone: 'south' }]);
+test('lost probes are followed by others; replies to earlier probes or of others are ignored', (t) => {
+  const { distances, probes, sent } = createProbes([{ frameVersion: 5, zone: 'south' }]);
   probes.sendDueProbes(0);
   probes.sendDueProbes(250);
   t.is(sent.length, 2);
@@ -144,8 +144,8 @@
   t.is(distances.getDistance('south'), 9, 'a reply counts once');
 });
 
-test('a zone whose replies take long is measured, by probes that grow rarer', (t) => {
-  const { directory, distances, probes, sent } = startProbes([{ frameVersion: 5, zone: 'south' }]);
+test('a zone with long round trips is measured, by probes that back off', (t) => {
+  const { directory, distances, probes, sent } = createProbes([{ frameVersion: 5, zone: 'south' }]);
   const type = PacketMessageType.distanceReply;
   for (let now = 0; now <= 4_000; now += 250) {
     const { report } = directory.find(1)!;
@@ -162,8 +162,8 @@
   );
 });
 
-test('agents of an earlier version and silent ones are not probed', (t) => {
-  const { probes, sent } = startProbes([
+test('agents of earlier versions and unresponsive ones are not probed', (t) => {
+  const { probes, sent } = createProbes([
     { frameVersion: 4 },
     { frameVersion: 1, zone: 'south' },
     { frameVersion: 5, zone: 'east', state: TargetState.agentRestarting },
@@ -173,7 +173,7 @@
   t.deepEqual(sent, []);
 });
 
-test('a probe and its reply survive their frames; a report without bytes of flows has none', (t) => {
+test('a probe and its reply survive encoding; a report without flow bytes decodes to 0', (t) => {
   const codec = new PacketFrameCodec([{ id: 1, secret: Buffer.from('a-test-key-of-the-cluster') }]);
   const probe = { type: PacketMessageType.distanceProbe, sentAt: 12.625 };
   const reply = { type: PacketMessageType.distanceReply, sentAt: 12.625 };
@@ -185,69 +185,69 @@
   t.deepEqual(decoded, createReport({ flowBytes: 0 }));
 });
 
-test('balancers measure zones by their agents, also after a restart, and keep them in a cut', (t) => {
-  const world = new PacketWorld(31);
-  startModelDeployment(world, 3);
-  const [first] = world.balancers as [(typeof world.balancers)[number]];
+test('balancers measure zones, also after a restart, and retain distances during a cut', (t) => {
+  const simulation = new PacketWorld(31);
+  startModelDeployment(simulation, 3);
+  const [first] = simulation.balancers as [(typeof simulation.balancers)[number]];
   t.is(first.node.figures.zonesMeasured, 3);
   const distance = first.node.figures.largestZoneDistance;
-  t.true(distance > 1.5 && distance < 4, `${distance} ms there and back at 1.4 ms a way`);
-  const far = world.agents.filter(({ zone }) => zone !== first.zone);
+  t.true(distance > 1.5 && distance < 4, `${distance} ms of round trip at 1.4 ms each way`);
+  const far = simulation.agents.filter(({ zone }) => zone !== first.zone);
   const cuts = far.map(({ name }) => ({ from: name, to: first.name }));
-  cuts.forEach((cut) => world.network.cut(cut));
-  world.runFor(40_000);
+  cuts.forEach((cut) => simulation.network.cut(cut));
+  simulation.runFor(40_000);
   t.is(first.node.figures.zonesMeasured, 3);
   t.true(Math.abs(first.node.figures.largestZoneDistance - distance) < 1);
-  cuts.forEach((cut) => world.network.heal(cut));
-  world.startBalancer(first);
+  cuts.forEach((cut) => simulation.network.heal(cut));
+  simulation.startBalancer(first);
   t.is(first.node.figures.zonesMeasured, 0);
-  world.runFor(3_000);
+  simulation.runFor(3_000);
   t.is(first.node.figures.zonesMeasured, 3);
 });
 
-test('a balancer without locality sends no probes', (t) => {
-  const world = new PacketWorld(32);
-  startModelDeployment(world, 2);
-  world.balancers.forEach((balancer) => {
+test('a balancer with locality disabled sends no probes', (t) => {
+  const simulation = new PacketWorld(32);
+  startModelDeployment(simulation, 2);
+  simulation.balancers.forEach((balancer) => {
     balancer.locality = false;
-    world.startBalancer(balancer);
+    simulation.startBalancer(balancer);
   });
-  world.runFor(3_000);
-  world.balancers.forEach(({ node }) => t.is(node.figures.zonesMeasured, 0));
+  simulation.runFor(3_000);
+  simulation.balancers.forEach(({ node }) => t.is(node.figures.zonesMeasured, 0));
 });
 
-for (const placesBy of [false, true]) {
-  test(`balancers of the other rule find flows that were placed with locality ${placesBy}`, (t) => {
-    const world = new PacketWorld(placesBy ? 34 : 33);
-    startModelDeployment(world, 4);
+for (const isEnabled of [false, true]) {
+  test(`balancers with the other setting find flows placed with locality ${isEnabled}`, (t) => {
+    const simulation = new PacketWorld(isEnabled ? 34 : 33);
+    startModelDeployment(simulation, 4);
     for (let index = 0; index < 24; index++) {
-      world.addAgent('map', ZONES[index % 3]!);
+      simulation.addAgent('map', ZONES[index % 3]!);
     }
-    const [first, second, ...others] = world.balancers as [
+    const [first, second, ...others] = simulation.balancers as [
       WorldBalancer,
       WorldBalancer,
       ...WorldBalancer[],
     ];
     others.forEach((balancer) => {
-      balancer.locality = !placesBy;
-      world.startBalancer(balancer);
+      balancer.locality = !isEnabled;
+      simulation.startBalancer(balancer);
     });
     [first, second].forEach((balancer) => {
-      balancer.locality = placesBy;
-      world.startBalancer(balancer);
+      balancer.locality = isEnabled;
+      simulation.startBalancer(balancer);
     });
-    world.runFor(3_000);
+    simulation.runFor(3_000);
     others.forEach(({ process }) => process.freeze());
-    world.runFor(2_000);
-    openModelFlows(world, 40, 15, 200);
-    world.runFor(600);
+    simulation.runFor(2_000);
+    openModelFlows(simulation, 40, 15, 200);
+    simulation.runFor(600);
     others.forEach(({ node }) => t.is(node.router.counters.flowsPlaced, 0));
     others.forEach(({ process }) => process.wake());
     [first, second].forEach(({ process }) => process.kill());
-    world.runFor(20_000);
-    t.deepEqual(world.violations.flowsReset, []);
-    t.deepEqual(world.violations.strayed, []);
-    t.is(world.clients.filter(({ state }) => state === 'done').length, 40);
+    simulation.runFor(20_000);
+    t.deepEqual(simulation.violations.flowsReset, []);
+    t.deepEqual(simulation.violations.strayed, []);
+    t.is(simulation.clients.filter(({ state }) => state === 'done').length, 40);
   });
 }
 
@@ -255,40 +255,40 @@
   return { bytes: Buffer.alloc(length), opens } as FlowPacket;
 }
 
-test('an agent tells the mean bytes of its flows of late', (t) => {
-  const traffic = new MeanFlowBytes();
+test('an agent measures the recent mean bytes of its flows', (t) => {
+  const flowBytes = new MeanFlowBytes();
   const carry = (flows: number, answer: number): void => {
     for (let flow = 0; flow < flows; flow++) {
-      traffic.addClientPacket(createPacket(31, true));
-      traffic.addTargetPacket(createPacket(31, true));
-      traffic.addClientPacket(createPacket(100));
-      traffic.addTargetPacket(createPacket(answer));
+      flowBytes.addClientPacket(createPacket(31, true));
+      flowBytes.addTargetPacket(createPacket(31, true));
+      flowBytes.addClientPacket(createPacket(100));
+      flowBytes.addTargetPacket(createPacket(answer));
     }
   };
   carry(3, 838);
-  t.is(traffic.mean, 0, 'too few');
+  t.is(flowBytes.mean, 0, 'too few flows');
   carry(20, 838);
-  t.is(traffic.mean, 1_000);
+  t.is(flowBytes.mean, 1_000);
   carry(1_000, 79_838);
-  t.true(Math.abs(traffic.mean - 80_000) < 1_000, `${traffic.mean}`);
-  traffic.clear();
-  t.is(traffic.mean, 0);
+  t.true(Math.abs(flowBytes.mean - 80_000) < 1_000, `${flowBytes.mean}`);
+  flowBytes.clear();
+  t.is(flowBytes.mean, 0);
 });
 
-test('bytes of a service are the mean of its agents that tell them, kept for a moment', (t) => {
+test('flow bytes of a service are the cached mean over its agents that report them', (t) => {
   const directory = new AgentDirectory();
-  const traffic = new ServiceFlowBytes(directory);
+  const flowBytes = new ServiceFlowBytes(directory);
   directory.recordReport(1, createReport(), 0);
-  t.is(traffic.getMeanBytes('map', 0), DEFAULT_FLOW_BYTES);
+  t.is(flowBytes.getMeanBytes('map', 0), DEFAULT_FLOW_BYTES);
   directory.recordReport(2, createReport({ flowBytes: 4_000 }), 0);
   directory.recordReport(3, createReport({ flowBytes: 6_000 }), 0);
   directory.recordReport(4, createReport({ flowBytes: 80_000, service: 'files' }), 0);
-  t.is(traffic.getMeanBytes('map', 50), DEFAULT_FLOW_BYTES);
-  t.is(traffic.getMeanBytes('map', 100), 5_000);
-  t.is(traffic.getMeanBytes('files', 100), 80_000);
+  t.is(flowBytes.getMeanBytes('map', 50), DEFAULT_FLOW_BYTES);
+  t.is(flowBytes.getMeanBytes('map', 100), 5_000);
+  t.is(flowBytes.getMeanBytes('files', 100), 80_000);
 });
 
-/** Costs in a world of one service with flows of some bytes and a zone at some distance. */
+/** Costs with one service of the given flow size and one other zone at the given distance. */
 function createCosts(flowBytes: number, distance: number, transferCost: number): MeasuredCosts {
   const directory = new AgentDirectory();
   directory.recordReport(1, createReport({ flowBytes }), 0);
@@ -297,25 +297,25 @@
   return new MeasuredCosts('north', transferCost, distances, new ServiceFlowBytes(directory));
 }
 
-test('another zone costs the way there and what the bytes are worth', (t) => {
+test('another zone costs the forward path and the transferred bytes', (t) => {
   const south = createEntry(1, { zone: 'south', answerTime: 10 });
   const costOf = (bytes: number, distance: number, transferCost: number): number =>
     Math.round(10 * createCosts(bytes, distance, transferCost).computeCost(south, 0)) / 10;
-  t.is(costOf(5_000, 8.8, 400), 10.8, 'handshake and request each go one way');
-  t.is(costOf(80_000, 8.8, 400), 58.4, 'with acknowledgements of four windows');
+  t.is(costOf(5_000, 8.8, 400), 10.8, 'one forward path each for handshake and request');
+  t.is(costOf(80_000, 8.8, 400), 58.4, 'plus the acknowledgements of four windows');
   t.is(costOf(80_000, 8.8, 0.001), 26.4);
-  t.is(costOf(600, 0.4, 0.001), 3, 'never less than what tells equal targets apart');
+  t.is(costOf(600, 0.4, 0.001), 3, 'never less than the minimum cost');
   t.is(createCosts(5_000, 8.8, 400).computeCost(createEntry(1, {}), 0), 0);
 });
 
-test('without locality each other zone costs the same part of an answer', (t) => {
+test('with locality disabled each other zone costs the same fraction of an answer', (t) => {
   const costs = new ConstantCosts('north');
   t.is(costs.computeCost(createEntry(1, { zone: 'south', answerTime: 20 })), 3);
   t.is(costs.computeCost(createEntry(1, { zone: 'south', answerTime: 0 })), 7.5);
   t.is(costs.computeCost(createEntry(1, {})), 0);
 });
 
-test('a placement considers the home zone first, then the first of each other, nearest first', (t) => {
+test('placement considers the home zone first, then the first agents of others, nearest first', (t) => {
   const agents = createAgents(ZONES, 12);
   const distances: Record<string, number> = { south: 8.8, east: 0.4, west: 9.1 };
   const nearestFirst = new Set<string>();
@@ -328,10 +328,10 @@
     nearestFirst.add(zones[HOME_CANDIDATES + 1]!);
     t.true(order.slice(CANDIDATE_COUNT, 15).every(({ zone }) => zone === 'north'));
   }
-  t.deepEqual([...nearestFirst].sort(), ['south', 'west'], 'equal distances take turns');
+  t.deepEqual([...nearestFirst].sort(), ['south', 'west'], 'equal distances alternate');
 });
 
-test('where the home zone has few agents others come early; without any there are others only', (t) => {
+test('a home zone with few agents is followed early by others; without any only others remain', (t) => {
   const others = createAgents(['south', 'east'], 12);
   const home = [1, 2].map((address) => ({ address, zone: 'north', service: 'map' }));
   const order = orderForPlacement('f', [...others, ...home], 'north', () => 5);
@@ -348,7 +348,7 @@
   t.deepEqual(orderForSearch('f', []), { agents: [], likelyCount: 0 });
 });
 
-test('in a fleet of one zone both orders are as ever', (t) => {
+test('with a single zone both orders equal the order without locality', (t) => {
   const agents = createAgents(['north'], 40);
   for (let flow = 0; flow < 20; flow++) {
     const before = orderCandidates(`f${flow}`, agents, 'north');
@@ -363,32 +363,32 @@
   }
 });
 
-test('a search has the same order everywhere, and begins where any zone places a flow', (t) => {
+test('a search has the same order everywhere and starts where any zone places a flow', (t) => {
   const agents = createAgents(ZONES, 12);
   const reversed = [...agents].reverse();
-  const begins = new Set<string>();
+  const firstZones = new Set<string>();
   for (let flow = 0; flow < 50; flow++) {
-    const { agents: order, likelyCount: likely } = orderForSearch(`f${flow}`, agents);
+    const { agents: order, likelyCount } = orderForSearch(`f${flow}`, agents);
     t.deepEqual(orderForSearch(`f${flow}`, reversed).agents, order);
     t.is(new Set(order).size, agents.length);
-    t.true(likely <= 25);
-    begins.add(order[0]!.zone);
-    const first = order.slice(0, likely);
+    t.true(likelyCount <= 25);
+    firstZones.add(order[0]!.zone);
+    const first = order.slice(0, likelyCount);
     for (const zone of ZONES) {
       const placed = orderForPlacement(`f${flow}`, agents, zone, () => 5).slice(0, CANDIDATE_COUNT);
       const found = placed.filter((agent) => first.includes(agent));
-      t.true(found.length >= CANDIDATE_COUNT - 1, `${found.length} of those of ${zone}`);
+      t.true(found.length >= CANDIDATE_COUNT - 1, `${found.length} candidates of ${zone}`);
       const old = orderCandidates(`f${flow}`, agents, zone).slice(0, CANDIDATE_COUNT);
       t.true(
         old.every((agent) => first.includes(agent)),
-        'placed by the version before',
+        'placed without locality',
       );
     }
   }
-  t.is(begins.size, ZONES.length);
+  t.is(firstZones.size, ZONES.length);
 });
 
-test('a search for a flow of either of two services begins where each may be placed', (t) => {
+test('a search for a flow of either of two services starts where each may be placed', (t) => {
   const missedOfTen = [1, 2, 3].map((zones) => {
     const ofEach = createAgents(ZONES.slice(0, zones), 24);
     const agents = ofEach.map((agent, index) =>
@@ -396,10 +396,10 @@
     );
     let most = 0;
     for (let flow = 0; flow < 50; flow++) {
-      const { agents: order, likelyCount: likely } = orderForSearch(`f${flow}`, agents);
+      const { agents: order, likelyCount } = orderForSearch(`f${flow}`, agents);
       t.is(new Set(order).size, agents.length);
-      t.true(likely <= 25);
-      const first = new Set(order.slice(0, likely));
+      t.true(likelyCount <= 25);
+      const first = new Set(order.slice(0, likelyCount));
       for (const service of ['map', 'tiles']) {
         const ofService = agents.filter((agent) => agent.service === service);
         const placed = orderForPlacement(`f${flow}`, ofService, 'north', () => 5);
@@ -409,11 +409,11 @@
     }
     return most;
   });
-  // Of 25 places each service has ten, six in each of two zones, and four in each of three.
+  // Of 25 likely agents each service has ten, six in each of two zones, four in each of three.
   t.deepEqual(missedOfTen, [0, 1, 3]);
 });
 
-/** Two zones of one-slot targets, all in one order at both balancers. */
+/** Two zones of one-slot targets; both balancers have the same reports. */
 function createPair(busy: (index: number) => number, fields: Partial<ReportMessage> = {}) {
   const reports = Array.from({ length: 16 }, (_, index) => ({
     zone: index % 2 === 0 ? 'north' : 'south',
@@ -428,7 +428,7 @@
   };
 }
 
-test('a flow placed by the balancer of one zone is found at once by that of another', (t) => {
+test('a flow placed by a balancer of one zone is found at once by one of another', (t) => {
   const create = createPair(() => 0);
   for (let client = CLIENT; client < CLIENT + 50; client++) {
     const opening = create('north');
@@ -444,7 +444,7 @@
   }
 });
 
-test('a flow stays in its zone while a target there is as good, and leaves when none is', (t) => {
+test('a flow stays in its zone while a target there is as good, and spills over when none is', (t) => {
   const idle = createPair(() => 0)('north');
   const partly = createPair((index) => (index === 14 ? 0 : 2))('north');
   const busy = createPair((index) => (index % 2 === 0 ? 3 : 0))('north');
@@ -459,7 +459,7 @@
   t.like(equal.router.counters, { flowsPlacedAtHome: 1, flowsSpilledForWait: 0 });
 });
 
-test('without targets at home, or without word of them, flows go elsewhere, by reason', (t) => {
+test('without available or known targets at home, flows spill over with the reason', (t) => {
   const draining = createPair(() => 0)('north');
   draining.agents.forEach((agent, index) => {
     const zone = index % 2 === 0 ? 'north' : 'south';
@@ -488,8 +488,8 @@
   t.is(silent.router.counters.flowsSpilledHomeUnknown, 1);
 });
 
-test('flows leave silent, failing and settling targets, however dear the way is', (t) => {
-  // The way to the south and 83,000 bytes are worth more answers of 8 ms than any penalty.
+test('flows avoid unresponsive, failing and recently added targets at any transfer cost', (t) => {
+  // The path to the south and 83,000 bytes cost more than any other penalty on answers of 8 ms.
   const create = createPair(() => 0, { answerTime: 8, flowBytes: 83_000 });
   const [silent, failing, settling] = [create('north'), create('north'), create('north')];
   for (const harness of [silent, failing, settling]) {
@@ -511,7 +511,7 @@
   }
 });
 
-test('a silent zone gets no flow, however busy the own one is', (t) => {
+test('an unresponsive zone gets no flow, however busy the home zone is', (t) => {
   const harness = createPair(() => 4)('north');
   harness.now += 20_000;
   harness.agents.forEach((agent, index) => {
@@ -524,7 +524,7 @@
   t.is(harness.router.counters.flowsPlacedAtHome, 1);
 });
 
-test('two zones with the same reports never spill at each other', (t) => {
+test('two zones with the same reports never spill over to each other', (t) => {
   const random = new SeededRandom(11);
   let spilled = 0;
   for (let trial = 0; trial < 300; trial++) {
@@ -546,8 +546,8 @@
   t.true(spilled > 0);
 });
 
-test('a service with heavy flows spills later than one with light ones', (t) => {
-  const spillsFrom = (flowBytes: number): number => {
+test('a service with large flows spills over later than one with small ones', (t) => {
+  const findSpillThreshold = (flowBytes: number): number => {
     for (let busy = 1; ; busy++) {
       const create = createPair((index) => (index % 2 === 0 ? busy : 0), { flowBytes });
       const harness = create('north');
@@ -557,11 +557,11 @@
       }
     }
   };
-  t.is(spillsFrom(4_700), 1);
-  t.true(spillsFrom(83_000) >= 3, `${spillsFrom(83_000)}`);
+  t.is(findSpillThreshold(4_700), 1);
+  t.true(findSpillThreshold(83_000) >= 3, `${findSpillThreshold(83_000)}`);
 });
 
-/** Two zones of equal targets with so many flows in 4 ms; the mean wait of each one's in ms. */
+/** Simulates two zones of equal targets with the given flows per 4 ms; mean wait of each in ms. */
 function simulateDemand(flowsEach: readonly number[]): number[] {
   const work = 16;
   const reports = Array.from({ length: 16 }, (_, index) => ({
@@ -602,15 +602,15 @@
   return waits.map((wait, zone) => wait / counts[zone]!);
 }
 
-test('the callers of a zone with twice the demand wait little longer than others', (t) => {
-  // Eight targets of 16 ms bear two flows in 4 ms: the first zone has more than they can serve.
+test('callers of a zone with twice the demand wait little longer than others', (t) => {
+  // Eight targets of 16 ms serve two flows per 4 ms: the demand of the first zone exceeds that.
   const [north, south] = simulateDemand([2.2, 1.1]) as [number, number];
   const cost = 16;
   t.true(north - south < cost, `${north} and ${south} ms`);
   t.true(north < 2 * cost, `${north} ms`);
 });
 
-test('a spilled flow is logged with its reason, and a service that spills once', (t) => {
+test('a spilled flow is logged with its reason, and the state change of the service once', (t) => {
   const harness = createPair((index) => (index % 2 === 0 ? 3 : 0))('north');
   for (let client = CLIENT; client < CLIENT + 30; client++) {
     harness.router.route(harness.createOpening(client));
@@ -629,20 +629,20 @@
   t.like(changes[0], { service: 'map', isSpilling: true, reason: SpillReason.wait });
 });
 
-test('a service that begins or ends to spill is told, at most once a second', (t) => {
-  const watch = new SpillMonitor();
-  const told: { at: number; service: string; isSpilling: boolean }[] = [];
+test('the start and end of a service spilling over are reported, at most once a second', (t) => {
+  const monitor = new SpillMonitor();
+  const reported: { at: number; service: string; isSpilling: boolean }[] = [];
   for (let now = 0; now < 10_000; now += 10) {
     for (const service of ['map', 'tiles']) {
       const spills = now >= 3_000 && now < 6_000 && now % 50 === 0;
-      const change = watch.recordFlow(service, spills ? SpillReason.wait : undefined, now);
+      const change = monitor.recordFlow(service, spills ? SpillReason.wait : undefined, now);
       if (change) {
-        told.push({ at: now, service: change.service, isSpilling: change.isSpilling });
+        reported.push({ at: now, service: change.service, isSpilling: change.isSpilling });
       }
     }
   }
   t.deepEqual(
-    told.map(({ service, isSpilling }) => [service, isSpilling]),
+    reported.map(({ service, isSpilling }) => [service, isSpilling]),
     [
       ['map', true],
       ['tiles', true],
@@ -650,10 +650,10 @@
       ['tiles', false],
     ],
   );
-  told.slice(1).forEach(({ at }, index) => t.true(at - told[index]!.at >= 1_000));
+  reported.slice(1).forEach(({ at }, index) => t.true(at - reported[index]!.at >= 1_000));
 });
 
-test('locality is on unless switched off, and its settings are checked', (t) => {
+test('locality is on by default, and its settings are validated', (t) => {
   const document = {
     name: 'n',
     zone: 'z',
--- a/test/support/hop-pair.ts
+++ b/test/support/hop-pair.ts
@@ -1,4 +1,4 @@
-/** Nodes with hop repair and nothing else, on a network whose losses the test decides. */
+/** Nodes that run only hop repair, on a network whose losses the test controls. */
 import type { Endpoint } from '../../src/environment';
 import type { EventKind } from '../../src/logging/events';
 import { PacketFrameCodec } from '../../src/packets/packet-frames';
@@ -13,10 +13,10 @@
 import { VirtualClock } from '../../src/simulation/virtual-clock';
 
 const KEY = { id: 1, secret: Buffer.from('a-test-key-of-the-cluster') };
-/** Milliseconds from one node to another. */
+/** One-way delay between nodes. */
 export const ONE_WAY_MS = 1;
 
-/** A frame on its way. */
+/** A frame in transit. */
 export interface SentFrame {
   readonly from: Endpoint;
   readonly to: Endpoint;
@@ -24,17 +24,17 @@
   readonly message: PacketMessage;
 }
 
-/** One run of one node. */
+/** One incarnation of one node. */
 export class HopNode {
   readonly accepted: PlainMessage[] = [];
   readonly events: EventKind[] = [];
   readonly link: PacketLink;
   readonly hops: HopRepair;
   isReachable = true;
-  /** What has come while its process pauses; undefined while it runs. */
+  /** Timers and frames deferred while the process is paused; undefined while it runs. */
   private paused: { readonly timers: (() => void)[]; readonly frames: (() => void)[] } | undefined;
 
-  /** @param random the numbers that its run draws */
+  /** @param random the source of random numbers of this incarnation */
   constructor(
     readonly address: Endpoint,
     private readonly network: HopNetwork,
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Sends a packet with some data, or one that the fields make. */
+  /** Sends a packet with the given data, flags and search id. */
   send(
     to: Endpoint,
     data = 'request',
@@ -73,7 +73,7 @@
     this.hops.send(to, message, packet);
   }
 
-  /** Refuses a packet with some data. */
+  /** Sends a refusal of a packet with the given data. */
   refuse(to: Endpoint, data = 'request'): void {
     const payload = createPacket(data, 0);
     const packet = modelPacketFormat.decodeFromClient(payload)!;
@@ -81,7 +81,7 @@
     this.hops.send(to, message, packet);
   }
 
-  /** Its process gets no processor for a while; then timers run first, and frames are read after. */
+  /** Pauses the process; afterwards deferred timers run first, then deferred frames are read. */
   pause(milliseconds: number): void {
     const paused = { timers: [], frames: [] };
     this.paused = paused;
@@ -97,9 +97,9 @@
       return;
     }
     const message = this.link.receiveFrom(from, frame);
-    const unpacked = message && this.hops.receive(from, message);
-    if (unpacked) {
-      this.accepted.push(unpacked);
+    const plain = message && this.hops.receive(from, message);
+    if (plain) {
+      this.accepted.push(plain);
     }
   }
 
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Frames of one type that this node's address has sent. */
+  /** Frames of one type that were sent from this node's address. */
   findSentFrames(type: PacketMessage['type']): SentFrame[] {
     return this.network.frames.filter(
       ({ from, message }) => from === this.address && message.type === type,
@@ -119,18 +119,18 @@
   }
 }
 
-/** Carries the frames of the nodes that are attached to it. */
+/** Transmits frames between the attached nodes. */
 export class HopNetwork {
   readonly clock = new VirtualClock();
   readonly codec = new PacketFrameCodec([KEY]);
   readonly frames: SentFrame[] = [];
-  /** Whether a frame is lost; decided as it is sent. */
+  /** Whether a frame is lost; evaluated when it is sent. */
   isLost: (frame: SentFrame) => boolean = () => false;
-  /** Milliseconds from one node to another. */
+  /** One-way delay in milliseconds. */
   delay = ONE_WAY_MS;
   private readonly nodes = new Map<Endpoint, HopNode>();
 
-  /** Puts a node at its address, in place of an earlier run of it. */
+  /** Attaches a node at its address, replacing an earlier incarnation. */
   attach(node: HopNode): HopNode {
     this.nodes.set(node.address, node);
     return node;
@@ -151,7 +151,7 @@
   }
 }
 
-/** Loses the first frames of a type, as many as given. */
+/** Drops the first `count` frames of a type. */
 export function dropFirst(type: PacketMessage['type'], count = 1): (frame: SentFrame) => boolean {
   let remaining = count;
   return ({ message }) => message.type === type && remaining-- > 0;
--- a/test/table-cache.test.ts
+++ b/test/table-cache.test.ts
@@ -1,4 +1,4 @@
-/** Tables by revision: nothing goes back, nothing is skipped, order on the way does not matter. */
+/** Table cache: no table is reverted, no revision is skipped, and deltas may be reordered. */
 import fc from 'fast-check';
 import test from 'ava';
 import { splitDelta } from '../src/balancer/table-distribution';
@@ -25,9 +25,9 @@
 const tables = Array.from({ length: 200 }, (_, index) => createTable(index, 6));
 const parts = splitDelta({ fromRevision: 0, throughRevision: 300, tables });
 
-test('parts of a delta may come in any order and more than once', (t) => {
-  // Found by the storm "rack" at the planned size: parts that overtook each other made a
-  // joining balancer fetch all tables about ten times.
+test('parts of a delta may arrive in any order and more than once', (t) => {
+  // Guards against reordered parts making a joining balancer fetch all tables about ten times,
+  // as the failure scenario "rack" showed at the planned size.
   t.true(parts.length > 3);
   const order = fc.array(fc.nat(parts.length - 1), { maxLength: 20 });
   fc.assert(
@@ -40,7 +40,7 @@
   );
 });
 
-test('a missing part keeps the revision before the gap', (t) => {
+test('the revision stays before a missing part', (t) => {
   const cache = new TableCache();
   parts.filter((_, index) => index !== 1).forEach((part) => cache.apply(part));
   t.is(cache.revision, parts[0]!.throughRevision);
