--- a/src/packets/locality/spill.ts
+++ b/src/packets/locality/spill.ts
@@ -7,7 +7,7 @@
 export const SpillReason = {
   /** A target there answers sooner, by more than the transfer cost. */
   wait: 'wait',
-  /** No target of the home zone takes new flows, or the zone is out of service. */
+  /** No target of the home zone accepts new flows, or the zone is out of service. */
   noTarget: 'no-target',
   /** None of the home zone's agents that accept flows has reported recently. */
   homeUnknown: 'home-unknown',
--- a/src/packets/repair/hop-repair.ts
+++ b/src/packets/repair/hop-repair.ts
@@ -144,7 +144,7 @@
 
   /**
    * Records a number and acknowledges it at once: batching acknowledgements would need a timer,
-   * which wakes the process once more for every packet of a flow.
+   * which causes an additional wake-up for every packet of a flow.
    * @returns whether the number is received for the first time
    */
   private acknowledge(from: Endpoint, { session, sequence }: HopNumber): boolean {
