--- a/src/packets/packet-agent-contracts.ts
+++ b/src/packets/packet-agent-contracts.ts
@@ -1,4 +1,4 @@
-/** Settings, needs and counters of a packet agent. */
+/** Settings, dependencies and counters of a packet agent. */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import type { ColdStartLimitSettings } from './cold-start-limiter';
 import type { AgentRegistryPort } from './collection-port';
@@ -14,33 +14,33 @@
   /** Where other nodes reach this agent. */
   readonly address: Endpoint;
   readonly service: string;
-  /** Balancers that may be running; may be out of date. */
+  /** Balancers to contact first; the list may be out of date. */
   readonly seeds: readonly Endpoint[];
   /** Milliseconds between two heartbeats of the target. */
   readonly heartbeatInterval: number;
-  /** Limits of cold targets; undefined in a deployment without them. */
+  /** Cold-start limits; undefined in a deployment without them. */
   readonly coldLimit: ColdStartLimitSettings | undefined;
-  /** Milliseconds for which a flow may rest. */
+  /** Milliseconds after which an idle flow expires. */
   readonly flowLifetime: number;
-  /** Whether refusals lost on the way to a balancer are sent once more. */
+  /** Whether refusals lost on the way to a balancer are retransmitted. */
   readonly repairHops: boolean;
-  /** Whether the agent repeats packets of its target that a client does not acknowledge. */
+  /** Whether the agent retransmits packets of its target that a client does not acknowledge. */
   readonly repairAnswers: boolean;
-  /** Whether more urgent requests go first where requests wait (docs/design/request-order.md). */
+  /** Whether queued requests are served by priority (docs/design/request-order.md). */
   readonly priorityQueue: boolean;
-  /** Turns in a hundred that each lower priority keeps meanwhile. */
+  /** Percentage of turns that each lower priority keeps then. */
   readonly lowerPriorityShare: number;
   /**
-   * Whether flows that have just opened are found by their handshake, and an agent without a target
-   * takes itself out of the registry (docs/design/restart.md).
+   * Whether new flows are found by their handshake, and an agent without a target withdraws from the
+   * registry (docs/design/restart.md).
    */
   readonly earlyStart: boolean;
 }
 
-/** What a packet agent needs from its process. */
+/** Dependencies of a packet agent, provided by its process. */
 export interface PacketAgentDependencies {
   readonly environment: Environment;
-  /** Time at which this process began, by the environment's clock; before its program was loaded. */
+  /** Start time of this process by the environment's clock, before its program was loaded. */
   readonly startedAt: number;
   readonly codec: PacketFrameCodec;
   readonly transport: FrameTransport;
@@ -59,18 +59,18 @@
   packetsRefused: number;
   packetsMalformed: number;
   requestsQueued: number;
-  /** Those that waited until their clients had left or their callers had given up. */
+  /** Queued requests dropped because their clients had left or their callers had timed out. */
   requestsGivenUp: number;
   heartbeats: number;
   heartbeatsRefused: number;
 }
 
-/** Figures of a packet agent. */
+/** Metrics of a packet agent. */
 export interface PacketAgentFigures extends HopCounters, AnswerRepairFigures {
   readonly busyRequests: number;
   readonly openFlows: number;
-  /** Calls made to keep the agent in the registry. */
+  /** Calls made to the registry for this agent. */
   readonly registrations: number;
-  /** Looks taken at the address of a target that has not been heard. */
+  /** Probes of the address of a target that has sent nothing yet. */
   readonly targetLooks: number;
 }
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -1,8 +1,8 @@
 /**
- * An agent of the packet interface: the only process that hands packets to its target.
+ * Agent of the packet interface: the only process that forwards packets to its target.
  *
- * It therefore has the last word on what the target receives: it checks the service and
- * refuses new flows once its target drains. Answers go from here straight to the client.
+ * It therefore makes the final decision on what the target receives: it checks the service and
+ * refuses new flows while the target drains. Answers go from the agent directly to the client.
  */
 import type { Endpoint } from '../environment';
 import { Events } from '../logging/events';
@@ -44,10 +44,11 @@
 import { TargetLifecycle, type TargetHeartbeat } from './target-lifecycle';
 import { RouteTermsCache } from './terms/route-terms-cache';
 
-/** Milliseconds after a change of state at which the report is repeated, against loss. */
+/** Delays after a state change at which the report is repeated, in case it was lost. */
 const REPORT_REPEAT_DELAYS_MS = [15, 60] as const;
 const EXPIRY_INTERVAL_MS = 1_000;
-/** One packet agent. */
+
+/** Packet agent of one target. */
 export class PacketAgent {
   readonly counters: PacketAgentCounters = {
     packetsDelivered: 0,
@@ -67,7 +68,7 @@
   private readonly health = new TargetHealth();
   private readonly flowBytes = new MeanFlowBytes();
   private readonly admission: TargetAdmission;
-  private readonly intake: ClientPacketHandler;
+  private readonly packetHandler: ClientPacketHandler;
   private readonly reporter: LoadReporter;
   private readonly timers: NodeTimers;
   private readonly registration: AgentRegistration;
@@ -77,9 +78,9 @@
   private readonly terms = new RouteTermsCache();
   private readonly liveness: TargetLiveness;
   private isRestarting = false;
-  /** The target has sent a packet of its own in this run. */
+  /** Whether the target has sent a packet in this incarnation of the agent, other than rejections. */
   private hasTargetSent = false;
-  /** The earliest era of the store that this run has heard of; 0 before any. */
+  /** First store era that a balancer has announced to this agent process; 0 before any. */
   private firstStoreEra = 0;
   private seeds: readonly Endpoint[];
 
@@ -103,7 +104,7 @@
       environment,
       link: this.link,
       isEnabled: settings.repairHops,
-      // Which balancers are there, an agent does not know; acknowledgements alone tell.
+      // An agent has no list of running balancers; only acknowledgements show one is reachable.
       isReachable: () => true,
     });
     this.target = new TargetLifecycle(
@@ -114,8 +115,8 @@
     const { coldLimit, zone } = settings;
     const { health, target } = this;
     this.liveness = new TargetLiveness(dependencies.targetProbe, () => this.handleTargetDeath());
-    const { liveness: death } = this;
-    this.guard = new TargetGuard({ environment, zone, coldLimit, target, health, liveness: death });
+    const { liveness } = this;
+    this.guard = new TargetGuard({ environment, zone, coldLimit, target, health, liveness });
     this.admission = this.createAdmission();
     this.reporter = new LoadReporter({
       environment,
@@ -137,7 +138,7 @@
       flowLifetime: settings.flowLifetime,
       sendToClient: (client, packet) => dependencies.sendToClient(client, packet),
     });
-    this.intake = this.createIntake();
+    this.packetHandler = this.createPacketHandler();
   }
 
   start(): void {
@@ -154,13 +155,13 @@
     }
   }
 
-  /** Takes other seeds, which the settings name now, and makes itself known there. */
+  /** Replaces the seed balancers after a change of settings and reports to the new ones. */
   replaceSeeds(seeds: readonly Endpoint[]): void {
     this.seeds = seeds;
     this.reporter.reportTo(seeds);
   }
 
-  /** Ends all timers. */
+  /** Cancels all timers. */
   stop(): void {
     this.registration.stop();
     this.hops.stop();
@@ -171,9 +172,9 @@
   }
 
   /**
-   * Prepares a planned end: balancers learn at once that this agent goes, and the
-   * registry entry of a target that has ended, or of none, is removed.
-   * @param done called when nothing is left to do
+   * Prepares a planned shutdown: notifies balancers at once, and removes the registry entry if the
+   * target has ended or there is none.
+   * @param done called when the process may exit
    */
   beginStop(done: () => void): void {
     this.isRestarting = true;
@@ -210,14 +211,14 @@
     };
   }
 
-  /** Requests that wait here or are under way at the target. */
+  /** Requests queued here or in flight at the target. */
   private get busyRequests(): number {
     return this.tracker.busyRequests + this.admission.waitingRequests;
   }
 
   /**
-   * A heartbeat of the target; its acknowledgement is up to the caller, and due at once.
-   * @returns false for one of a service that there is not: another program wrote it
+   * Handles a heartbeat of the target; the caller must acknowledge it immediately.
+   * @returns false if its service does not exist: another program sent it
    */
   heartbeat(heartbeat: TargetHeartbeat): boolean {
     const { service } = heartbeat;
@@ -228,7 +229,7 @@
     return true;
   }
 
-  /** A heartbeat was not of the target, or of no form that is known. */
+  /** Counts a heartbeat that is malformed or not from the target. */
   heartbeatRefused(): void {
     const refused = ++this.counters.heartbeatsRefused;
     this.dependencies.environment.report(Events.heartbeatRefused, { refused });
@@ -252,14 +253,14 @@
       this.announceState();
     }
     if (wasMissing && !this.presence.isMissing) {
-      // Balancers forget an agent without a target, and the store may be out of reach.
+      // Balancers drop agents without a target, and the store may be unreachable.
       this.reporter.reportTo(this.seeds);
     }
     this.registration.handleTargetHeard();
   }
 
   /**
-   * The target says that it leaves.
+   * Handles the target's announcement that it shuts down.
    * @param born as in its heartbeats
    */
   targetLeaves(incarnation: string, born: number | undefined): void {
@@ -269,7 +270,7 @@
     }
   }
 
-  /** A frame of another node. */
+  /** Handles a frame from another node. */
   handleFrame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
     const unpacked = message && this.hops.receive(from, message);
@@ -281,13 +282,13 @@
   private handleMessage(message: PlainMessage, from: Endpoint): void {
     switch (message.type) {
       case PacketMessageType.deliver:
-        this.intake.handleDelivery(message, from);
+        this.packetHandler.handleDelivery(message, from);
         return;
       case PacketMessageType.search:
-        this.intake.handleSearch(message);
+        this.packetHandler.handleSearch(message);
         return;
       case PacketMessageType.locate:
-        this.intake.confirmIfHeld(message.flow, from);
+        this.packetHandler.confirmIfHeld(message.flow, from);
         return;
       case PacketMessageType.subscribe:
         this.link.recordHopRepair(from, message.frameVersion);
@@ -307,7 +308,7 @@
     }
   }
 
-  /** Without the setting all requests are served alike, as of routes of which nothing is known. */
+  /** Without the setting the terms of all routes stay unknown, so requests have equal priority. */
   private learnRouteTerms(message: RouteTermsMessage): void {
     if (this.settings.priorityQueue) {
       this.terms.learn(message);
@@ -318,7 +319,7 @@
     this.dependencies.environment.report(Events.frameUnexpected, { type });
   }
 
-  /** Balancers are told at once if the agent knows its target from its start, by what it learns. */
+  /** Reports at once if the agent now knows its target from its start, or no longer does. */
   private learnDeploymentState(message: SubscribeMessage, balancer: Endpoint): void {
     const wasKnown = this.target.isKnownFromStart;
     this.guard.learn(message, balancer);
@@ -327,7 +328,7 @@
     }
   }
 
-  /** A balancer that starts learns whether the store has come back from a copy in this run's time. */
+  /** Tells a starting balancer whether the store was restored from a backup since this agent started. */
   private sendFirstStoreEra({ asksEra, storeEra }: SubscribeMessage, balancer: Endpoint): void {
     this.firstStoreEra = this.firstStoreEra === 0 ? storeEra : this.firstStoreEra;
     if (asksEra === 1 && this.firstStoreEra < storeEra) {
@@ -335,14 +336,14 @@
     }
   }
 
-  /** A target that leaves takes its entry with it. */
+  /** The registry entry of a target that is gone is not renewed. */
   private applyListingState(listing: ListingStateValue): void {
     if (this.target.state !== TargetState.gone) {
       this.registration.applyListingState(listing);
     }
   }
 
-  /** A datagram that the target sent or returned. */
+  /** Handles a datagram that the target sent or rejected. */
   handleTargetDatagram(bytes: Buffer): void {
     const { environment, format, sendToClient } = this.dependencies;
     const packet = format.decodeFromTarget(bytes);
@@ -354,7 +355,7 @@
     this.health.recordActivity();
     this.liveness.recordActivity();
     if (packet.refused) {
-      this.intake.handleReturned(packet);
+      this.packetHandler.handleReturned(packet);
       return;
     }
     this.counters.packetsSent++;
@@ -395,7 +396,7 @@
     return { address, zone, service: this.target.service };
   }
 
-  /** Whether there is nobody to hand a packet to; where nobody was heard yet, it is looked for. */
+  /** Whether there is no target to forward to; probes for one that has sent nothing yet. */
   private isTargetAbsent(): boolean {
     if (this.settings.earlyStart) {
       this.presence.probeForPacket();
@@ -411,11 +412,11 @@
       getTerms: (destination) => this.terms.getTerms(destination),
       getLatencyGoal: () => this.guard.latencyGoal,
       handOver: (packet, balancer, searchId) =>
-        this.intake.deliverAdmitted(packet, balancer, searchId),
+        this.packetHandler.deliverAdmitted(packet, balancer, searchId),
     });
   }
 
-  private createIntake(): ClientPacketHandler {
+  private createPacketHandler(): ClientPacketHandler {
     const { settings, dependencies, admission, answers, counters, flowBytes } = this;
     const { guard, health, hops, link, target, tracker } = this;
     return new ClientPacketHandler({
@@ -440,7 +441,7 @@
     });
   }
 
-  /** An agent without a target is none: it takes itself out, and is back with the target. */
+  /** An agent without a target withdraws from the registry until a target sends something. */
   private createPresence(): TargetPresence {
     const { environment, targetProbe } = this.dependencies;
     return new TargetPresence({
@@ -455,7 +456,7 @@
     });
   }
 
-  /** Notes how a request ended when the target's packet begins its answer or breaks it off. */
+  /** Records the outcome of a request when the target starts its answer or resets the flow. */
   private recordRequestOutcome(packet: FlowPacket): void {
     const { environment, format } = this.dependencies;
     const endsRequest = packet.payloadLength > 0 || packet.resets;
@@ -471,12 +472,12 @@
     }
   }
 
-  /** Tells the balancers of the target's load and health, and looks at the clock for both. */
+  /** Runs the time-based checks of load and health, then sends the reports that are due. */
   private runPeriodicChecks(): void {
     const now = this.dependencies.environment.now();
     const wasDown = this.health.isDown(now);
     this.health.recordTick();
-    for (let left = this.tracker.timeOutRequests(now); left > 0; left--) {
+    for (let count = this.tracker.timeOutRequests(now); count > 0; count--) {
       this.health.recordTimeout(now);
     }
     const isDown = this.health.isDown(now);
@@ -490,28 +491,28 @@
     this.reporter.sendDueReports();
   }
 
-  /** Nobody awaits the answers of these any more. */
+  /** Drops queued requests whose clients have left or whose callers have timed out. */
   private dropAbandonedRequests(now: number): void {
     const dropped = this.admission.expire(now);
     if (dropped.length === 0) {
       return;
     }
     this.counters.requestsGivenUp += dropped.length;
-    const longest = Math.min(...dropped.map(({ since }) => since));
+    const oldest = Math.min(...dropped.map(({ since }) => since));
     this.dependencies.environment.report(Events.requestsGivenUp, {
       dropped: dropped.length,
       waiting: this.admission.waitingRequests,
-      longestWait: Math.round(now - longest),
+      longestWait: Math.round(now - oldest),
     });
   }
 
-  /** Clients of its flows are told now, those whose requests wait here among them. */
+  /** Refuses queued requests at once, so that their clients are notified too. */
   private handleTargetDeath(): void {
     this.logTargetState();
-    this.intake.refuseQueued();
+    this.packetHandler.refuseQueued();
   }
 
-  /** Tells every balancer of a change at once, and again shortly after. */
+  /** Reports a state change to all balancers at once, and again shortly after. */
   private announceState(): void {
     this.reporter.reportToAll();
     REPORT_REPEAT_DELAYS_MS.forEach((delay) =>
--- a/src/packets/target-admission.ts
+++ b/src/packets/target-admission.ts
@@ -1,4 +1,4 @@
-/** How many requests a target has at a time: the agent's side of its queue. */
+/** Limits the concurrent requests of a target; the agent queues the rest. */
 import type { Endpoint } from '../environment';
 import type { FlowPacket } from './flow-packet';
 import type { FlowTracker } from './flow-tracker';
@@ -8,27 +8,27 @@
 import { UNKNOWN_TERMS, type RouteTerms } from './terms/route-terms';
 
 /**
- * Part of its slots that a target may have waiting, so that it goes on working while its agent
- * is held up for a moment.
+ * Requests that may be queued at the target, as a share of its slots, so that it stays busy during
+ * a short pause of its agent.
  */
 const QUEUED_SLOT_SHARE = 0.5;
 /**
- * Slots assumed of a target that has not told them, as balancers do: targets work on a few requests
- * and queue a few more, and turn away what comes beyond that.
+ * Slots assumed for a target that has not reported them, as balancers do: targets process a few
+ * requests, queue a few more and reject the rest.
  */
 const DEFAULT_SLOTS = 4;
 
-/** What the admission works with. */
+/** Dependencies of the admission. */
 export interface TargetAdmissionDependencies {
   readonly target: TargetLifecycle;
   readonly tracker: FlowTracker;
-  /** Turns in a hundred that each lower priority keeps where more urgent requests wait as well. */
+  /** Percentage of turns that each lower priority keeps while requests of a higher one wait. */
   readonly lowerShare: number;
-  /** Milliseconds from a request to its answer that are aimed at; 0 while unknown. */
+  /** Latency goal from a request to its answer in milliseconds; 0 while unknown. */
   getLatencyGoal(): number;
-  /** What the callers of a route expect; undefined while unknown. */
+  /** Terms that the callers of a route expect; undefined while unknown. */
   getTerms(destination: Endpoint): RouteTerms | undefined;
-  /** Hands a packet to the target. */
+  /** Forwards a packet to the target. */
   handOver(packet: FlowPacket, balancer: Endpoint, searchId: number): void;
 }
 
@@ -41,14 +41,14 @@
     this.queue = new RequestQueue(dependencies.lowerShare);
   }
 
-  /** Requests that wait here. */
+  /** Requests queued here. */
   get waitingRequests(): number {
     return this.queue.size;
   }
 
   /**
-   * Hands a packet to the target, or lets its request wait while the target is at its limit.
-   * @returns whether it waits
+   * Forwards a packet to the target, or queues its request while the target is at its limit.
+   * @returns whether it was queued
    */
   admit(packet: FlowPacket, balancer: Endpoint, searchId: number, now: number): boolean {
     const { handOver, tracker } = this.dependencies;
@@ -65,7 +65,7 @@
     return false;
   }
 
-  /** Milliseconds that the target takes for an answer of late, by what is under way as well. */
+  /** Recent answer time of the target in milliseconds, including requests in flight. */
   computeAnswerTime(now: number): number {
     return this.serviceTime.computeExpectedTime(
       this.dependencies.tracker.getLongestServiceTime(now),
@@ -73,28 +73,28 @@
     );
   }
 
-  /** Answers of late that this time rests on, fading. */
+  /** Number of recent answers behind this time, with exponential decay. */
   countRecentAnswers(now: number): number {
     return this.serviceTime.countRecentAnswers(now);
   }
 
-  /** The target has answered a request well, by so many milliseconds of work. */
+  /** Records a successful answer and its service time in milliseconds. */
   recordAnswer(milliseconds: number, now: number): void {
     this.serviceTime.recordAnswer(milliseconds, now);
   }
 
-  /** Another target has taken its place: it gets all that waits, and nothing is known of it. */
+  /** Forwards all queued requests to a new target and discards the statistics of the old one. */
   handleTargetReplaced(): void {
     this.serviceTime.clear();
     this.releaseAll();
   }
 
-  /** The target has returned a packet: no request of its flow can be served here. */
+  /** Drops the queued request of a flow whose packet the target rejected: it cannot be served. */
   dropReturnedRequest(packet: FlowPacket): void {
     this.queue.remove(packet.flow);
   }
 
-  /** Hands over waiting requests as far as the target has room. */
+  /** Forwards queued requests while the target has capacity. */
   releaseWaiting(now: number): void {
     while (this.queue.size > 0 && this.hasCapacity) {
       const next = this.queue.take(now, (terms) => this.computeWaitLimit(terms));
@@ -105,19 +105,19 @@
     }
   }
 
-  /** Hands over all that waits: the target is another one, or this agent goes. */
+  /** Forwards all queued requests, because the target was replaced or this agent stops. */
   releaseAll(): void {
     this.queue.takeAll().forEach((request) => this.release(request));
   }
 
-  /** Takes out all that waits, for a target that cannot serve it. */
+  /** Removes and returns all queued requests, for a target that cannot serve them. */
   takeAll(): WaitingRequest[] {
     return this.queue.takeAll();
   }
 
   /**
-   * Drops requests whose clients have left or whose callers have given up.
-   * @returns those dropped
+   * Drops requests whose clients have left or whose callers have timed out.
+   * @returns the dropped requests
    */
   expire(now: number): WaitingRequest[] {
     return this.queue.expire(now);
@@ -132,13 +132,13 @@
     return this.dependencies.getTerms(destination) ?? UNKNOWN_TERMS;
   }
 
-  /** Milliseconds of waiting after which a request of some terms is late. */
+  /** Milliseconds of queueing after which a request with the given terms is late. */
   private computeWaitLimit({ latencyGoal }: RouteTerms): number {
     const goal = latencyGoal || this.dependencies.getLatencyGoal();
     return goal > 0 ? this.serviceTime.computeWaitLimit(goal) : this.serviceTime.defaultWaitLimit;
   }
 
-  /** Whether the target would begin with another request soon. */
+  /** Whether the target would soon start another request. */
   private get hasCapacity(): boolean {
     const { target, tracker } = this.dependencies;
     const slots = target.slots || DEFAULT_SLOTS;
--- a/src/packets/target-guard.ts
+++ b/src/packets/target-guard.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent goes by when it lets a packet through to its target: what the target says of
- * itself, how it does, and what balancers tell of the deployment.
+ * Decides whether a packet may reach the target, by the target's heartbeats, its observed health,
+ * and the state of the deployment that balancers report.
  */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
@@ -13,7 +13,7 @@
 import { ServiceProfileView } from './service-profile-view';
 import { ZoneEvacuationView } from './zone-evacuations';
 
-/** What the guard works with. */
+/** Dependencies of the guard. */
 export interface TargetGuardDependencies {
   readonly environment: Environment;
   readonly zone: string;
@@ -23,71 +23,76 @@
   readonly liveness: TargetLiveness;
 }
 
-/** The guard of one target. */
+/** Guard of one target. */
 export class TargetGuard {
   private readonly evacuations: ZoneEvacuationView;
-  private readonly coldLimit: ColdStartLimiter;
+  private readonly coldStartLimiter: ColdStartLimiter;
   private readonly profiles: ServiceProfileView;
 
   constructor(private readonly dependencies: TargetGuardDependencies) {
     const { environment, target, coldLimit } = dependencies;
     this.evacuations = new ZoneEvacuationView(environment, (zones) => this.handleZoneChange(zones));
     this.profiles = new ServiceProfileView(target);
-    this.coldLimit = new ColdStartLimiter(target, this.profiles, coldLimit, environment.now());
+    this.coldStartLimiter = new ColdStartLimiter(
+      target,
+      this.profiles,
+      coldLimit,
+      environment.now(),
+    );
   }
 
-  /** Takes what a balancer tells of the deployment. */
+  /** Applies the state of the deployment that a balancer reports. */
   learn({ evacuations, profiles, storeEra }: SubscribeMessage, balancer: Endpoint): void {
     this.evacuations.apply({ ...evacuations, era: storeEra }, formatEndpoint(balancer));
     this.profiles.learn(profiles);
   }
 
-  /** Whether a service may exist, as far as balancers have told. */
+  /** Whether a service may exist, by the profiles that balancers have sent. */
   mayServiceExist(service: string): boolean {
     return this.profiles.mayServiceExist(service);
   }
 
-  /** Milliseconds from a request to its answer that are aimed at; 0 while unknown. */
+  /** Latency goal from a request to its answer in milliseconds; 0 while unknown. */
   get latencyGoal(): number {
     return this.profiles.ownProfile?.latencyGoal ?? 0;
   }
 
   /**
-   * Why the target must not get a packet; undefined when it may.
+   * Reason why the target must not get a packet; undefined if it may.
    * @param services services that the packet's route allows
    */
   findRefusalReason(opens: boolean, services: readonly string[]): RefusalReasonValue | undefined {
     return findRefusalReason(opens, services, this.condition);
   }
 
-  /** An opening packet is handed to the target. */
+  /** Records that an opening packet is forwarded to the target. */
   recordOpening(): void {
     const now = this.dependencies.environment.now();
     this.dependencies.health.recordOpening(now);
-    this.coldLimit.recordOpening(now);
+    this.coldStartLimiter.recordOpening(now);
   }
 
-  /** Ends the timer. */
+  /** Cancels the timer. */
   stop(): void {
     this.evacuations.stop();
   }
 
   private get condition(): TargetCondition {
-    const { liveness: death, environment, health, target, zone } = this.dependencies;
+    const { environment, health, liveness, target, zone } = this.dependencies;
     const now = environment.now();
     return {
       service: target.service,
       state: target.state,
       isDown: health.isDown(now),
-      isDead: death.isDead,
+      isDead: liveness.isDead,
       isProbeDue: health.isProbeDue(now),
       isServiceDisputed: target.isServiceDisputed,
       isEvacuated: this.evacuations.isEvacuated(zone),
-      isAtColdLimit: this.coldLimit.isReached(now),
+      isAtColdLimit: this.coldStartLimiter.isReached(now),
     };
   }
 
-  /** Targets of a zone that comes back into service may be cold, before a heartbeat tells so. */
+  /** Targets of a zone that returns to service may be cold before a heartbeat reports it. */
   private handleZoneChange(zones: readonly string[]): void {
     const { target, zone } = this.dependencies;
     if (zones.includes(zone) && !this.evacuations.isEvacuated(zone)) {
--- a/src/packets/target-health.ts
+++ b/src/packets/target-health.ts
@@ -1,42 +1,42 @@
 /**
- * How well a target does, judged by its own packets in passing (passive health checks):
- * whether it still answers opening packets, and which part of its answers are failures.
- * No probe is sent, and what a target says of its own health is not used.
+ * Health of a target, judged by its own packets (passive health checks): whether it still answers
+ * opening packets, and what share of its answers are failures. Sends no probes, and ignores what a
+ * target reports about its own health.
  */
 
-/** Milliseconds in which a target that runs answers an opening packet, with much to spare. */
+/** A running target answers an opening packet well within this time. */
 const OPENING_TIMEOUT_MS = 150;
-/** Milliseconds of silence after which a target is taken to be down. */
+/** Silence after which a target counts as down. */
 const DOWN_TIMEOUT_MS = 400;
-/** Opening packets that must have gone unanswered before that. */
+/** Opening packets that must be unanswered before that. */
 const OPENINGS_BEFORE_DOWN = 2;
-/** Requests that must have been given up, with nothing heard meanwhile, where no opening is tried. */
+/** Requests that must have timed out, with nothing received meanwhile, where no new flow is tried. */
 const REQUESTS_BEFORE_DOWN = 2;
-/** Looks at the clock, with reading between them, before that: a pause of the agent is no silence. */
+/** Ticks, with packets read in between, before that: a pause of the agent is not silence. */
 const TICKS_BEFORE_DOWN = 2;
-/** Milliseconds between opening packets that a target gets while it is taken to be down. */
+/** Interval between trial opening packets to a target that counts as down. */
 const PROBE_INTERVAL_MS = 300;
 /**
- * Opening packets in a row that a target has returned, with nothing of its own sent between, before
- * it counts as one that takes no flows: one that is full goes on answering others meanwhile.
+ * Consecutive opening packets rejected, with no other packet sent in between, before a target counts
+ * as unavailable: a full target still answers on other flows meanwhile.
  */
 const RETURNS_BEFORE_UNAVAILABLE = 2;
-/** Milliseconds after the last of them in which the target is taken to take none. */
+/** Time after the last of them for which the target counts as unavailable. */
 const UNAVAILABLE_DURATION_MS = 3_000;
-/** Milliseconds in which the weight of an outcome falls to about a third. */
+/** Exponential decay time of outcomes. */
 const OUTCOME_DECAY_MS = 3_000;
-/** Good outcomes assumed, so that one failure is no verdict. */
+/** Assumed successes, so that a single failure does not dominate the share. */
 const PRIOR_SUCCESSES = 3;
 /**
- * Weight of one outcome in the share of the latest few: three failures in a row bring it to a third,
- * however many requests went well before.
+ * Weight of one outcome in the recent failure share: three consecutive failures raise the
+ * reported share to a third, regardless of earlier successes.
  */
 const RECENT_OUTCOME_WEIGHT = 0.2;
-/** Milliseconds in which that share falls to about a third while there are no outcomes. */
+/** Exponential decay time of that share while there are no outcomes. */
 const RECENT_FAILURES_DECAY_MS = 10_000;
 /**
- * Milliseconds after the latest opening packet in which silence tells against a target. Balancers
- * may send it none while it fails, and then it has nothing to answer: as long as the share above.
+ * Time after the latest opening packet in which silence counts against a target: as long as the
+ * failure share. A failing target may get no opening packets, and then has none to answer.
  */
 const SILENCE_WINDOW_MS = RECENT_FAILURES_DECAY_MS;
 
@@ -53,18 +53,18 @@
   private failures = 0;
   private successes = 0;
   private decayedAt = 0;
-  /** Fading share of failures among the latest few outcomes. */
+  /** Exponentially weighted share of failures among the latest outcomes. */
   private recentFailureShare = 0;
   private clearCount = 0;
 
-  /** An opening packet is handed to the target. */
+  /** Records that an opening packet is forwarded to the target. */
   recordOpening(now: number): void {
     this.unansweredSince ??= now;
     this.unansweredOpenings++;
     this.probedAt = now;
   }
 
-  /** The target has sent or returned a packet. */
+  /** Records that the target has sent or rejected a packet. */
   recordActivity(): void {
     this.unansweredSince = undefined;
     this.unansweredOpenings = 0;
@@ -73,29 +73,29 @@
     this.ticksSinceTimeout = 0;
   }
 
-  /** The target has sent a packet of its own: it serves. */
+  /** Records a packet of the target's own, which shows that it serves. */
   recordSentPacket(): void {
     this.returnedOpenings = 0;
   }
 
-  /** The target has returned an opening packet: there is none, or it cannot take the flow. */
+  /** Records a rejected opening packet: there is no target, or it cannot accept the flow. */
   recordReturnedOpening(now: number): void {
     this.returnedOpenings++;
     this.returnedAt = now;
   }
 
-  /** The target has said something new of itself: what it returned before says little. */
+  /** Records a change reported by the target: packets rejected before no longer count. */
   recordStateChange(): void {
     this.returnedOpenings = 0;
   }
 
-  /** To be called at regular intervals, with reading of the target's packets between calls. */
+  /** To be called at regular intervals, with the target's packets read in between. */
   recordTick(): void {
     this.unansweredTicks += this.unansweredSince === undefined ? 0 : 1;
     this.ticksSinceTimeout += this.unansweredRequests === 0 ? 0 : 1;
   }
 
-  /** A request has ended: answered well, or failed, refused or left without an answer. */
+  /** Records the outcome of a request: success, or failure, refusal or time-out. */
   recordOutcome(succeeded: boolean, now: number): void {
     this.decayOutcomes(now);
     this.successes += succeeded ? 1 : 0;
@@ -104,18 +104,18 @@
       RECENT_OUTCOME_WEIGHT * ((succeeded ? 0 : 1) - this.recentFailureShare);
   }
 
-  /** A request has had no answer for longer than any takes. */
+  /** Records a request that has timed out. */
   recordTimeout(now: number): void {
     this.unansweredRequests++;
     this.recordOutcome(false, now);
   }
 
-  /** Targets that were judged before this one. */
+  /** Number of targets before this one. */
   get targetChanges(): number {
     return this.clearCount;
   }
 
-  /** Another incarnation has started: nothing is known of it. */
+  /** Discards all observations, for a new incarnation. */
   clear(): void {
     this.clearCount++;
     this.recordActivity();
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Whether the target has lately left every opening packet without an answer, or, since one
-   * that looks loaded gets no opening packets, requests of several flows and all else.
+   * Whether the target has recently answered no opening packet, or, since a target that looks loaded
+   * gets no opening packets, no requests of several flows and nothing else.
    */
   isDown(now: number): boolean {
     return this.ignoresRequests || this.ignoresOpenings(now);
@@ -147,14 +147,14 @@
     );
   }
 
-  /** Whether an opening packet may be tried at a target that is taken to be down. */
+  /** Whether an opening packet may be tried at a target that counts as down. */
   isProbeDue(now: number): boolean {
     return now - this.probedAt >= PROBE_INTERVAL_MS;
   }
 
   /**
-   * Part of the requests that fail of late, 0 to 1; 1 for a target that has lately said nothing to
-   * opening packets, and for one that takes no flows.
+   * Share of recent requests that failed, 0 to 1; 1 for a target that has recently not answered
+   * opening packets, or that accepts no flows.
    */
   computeFailureShare(now: number): number {
     if (this.isSilent(now) || this.isUnavailable(now)) {
@@ -165,7 +165,7 @@
     return Math.max(share, this.repeatedFailures);
   }
 
-  /** Share of failures among the latest few outcomes, less what a single one brings. */
+  /** Share of failures among the latest outcomes, without the effect of a single one. */
   private get repeatedFailures(): number {
     return (
       Math.max(0, this.recentFailureShare - RECENT_OUTCOME_WEIGHT) / (1 - RECENT_OUTCOME_WEIGHT)
--- a/src/packets/target-lifecycle.ts
+++ b/src/packets/target-lifecycle.ts
@@ -1,46 +1,46 @@
 /**
- * What an agent knows of its target from the target's own heartbeats.
+ * State of an agent's target, derived from the target's heartbeats.
  *
- * A target may start again under the name that it had: name and start together tell one life of it, here
- * called an incarnation, and what one has said counts for no other. Heartbeats may come late and in
- * another order. Within one incarnation the sequence number tells which is newer. Of two with one name,
- * the one that started later is. Between two names nothing does, so the agent goes by time: an
- * incarnation cannot have been sending heartbeats while the present one was heard. One that
- * claims so is only a rival, until it is heard again while the present one keeps silent. So is one that
- * started earlier by its own word, since the time of day may have gone back in between.
+ * A target may restart under the same name: name and start time together identify an incarnation, and
+ * the heartbeats of one do not apply to another. Heartbeats may be delayed and reordered. Within
+ * one incarnation the sequence number shows which is newer; of two with the same name, the one that
+ * started later is newer. Different names have no order, so the agent uses time: a successor cannot
+ * have been sending heartbeats while those of the current incarnation arrived. One that claims so is
+ * only a candidate until another of its heartbeats arrives while the current incarnation is
+ * unresponsive. So is one with an earlier start time, since the system clock may have been set back.
  */
 import { TargetState, type TargetStateValue } from './packet-messages';
 
-/** Incarnations noted that have said that they leave; they never come back. */
+/** Replaced and ended incarnations remembered, each; an ended one never returns. */
 const MAXIMUM_REMEMBERED_INCARNATIONS = 64;
 /**
- * Part of the time between two heartbeats that lies between two of a living rival at least:
- * heartbeats that were held up together arrive together.
+ * Minimum time between two heartbeats of a running candidate, as a share of the heartbeat interval:
+ * heartbeats that were delayed together arrive together.
  */
 const CANDIDATE_SPACING_SHARE = 0.5;
 
 /**
- * Part of the time between two heartbeats that a target may have run when its first heartbeat
- * comes here: any other agent that had been there at its start would have taken that one.
+ * Maximum age of a target at its first heartbeat here, as a share of the heartbeat interval: another
+ * agent that was running at the target's start would have received that heartbeat.
  */
 const FIRST_HEARTBEAT_SHARE = 0.9;
 /**
- * Milliseconds by which an agent may begin after its target and still be the first beside it, as where
- * a machine starts both. An earlier agent would have had to begin, to end and to be replaced in that
- * time; the replacement alone took 500 to 850 in the logs of real processes killed twice in a row.
+ * Maximum time by which an agent may start after its target and still be its first agent, as when a
+ * machine starts both. An earlier agent would have to start, end and be replaced within that time;
+ * the replacement of a killed process alone takes 500 to 850 ms.
  */
 const MAXIMUM_START_GAP_MS = 300;
 /**
- * Calls that a target makes at most until its first heartbeat is taken, in a starting cluster. One
- * that has made more has been running, and is cold for another reason than its start.
+ * Maximum heartbeats that a target sends in a starting cluster until one is accepted. A target that
+ * has sent more was running before and is cold for another reason than its start.
  */
 const MAXIMUM_STARTUP_HEARTBEATS = 10;
 
-/** Names one life of a target, from its start to its end. */
+/** Identifies an incarnation of a target, from its start to its end. */
 export interface TargetIncarnation {
-  /** What the target calls itself; it may keep that when it starts again. */
+  /** Name that the target gives itself; it may keep it across restarts. */
   readonly incarnation: string;
-  /** Unix time of its start in milliseconds; undefined from a target that does not tell it. */
+  /** Unix time of its start in milliseconds; undefined if the target does not send it. */
   readonly born?: number | undefined;
 }
 
@@ -49,22 +49,22 @@
   readonly service: string;
   readonly slots: number;
   readonly draining: boolean;
-  /** Milliseconds for which the target is still slow after its start. */
+  /** Remaining milliseconds for which the target is slow after its start. */
   readonly coldLeft: number;
-  /** Rises with each heartbeat of an incarnation, from 1. */
+  /** Increases with each heartbeat of an incarnation, from 1. */
   readonly sequence: number;
 }
 
 /** The first heartbeat of an incarnation. */
 interface FirstHeartbeat extends TargetHeartbeat {
-  /** Time at which it came. */
+  /** Time of arrival. */
   readonly at: number;
 }
 
 /** What a heartbeat changed. */
 export type LifecycleChange = 'none' | 'state' | 'incarnation';
 
-/** Another incarnation that may have taken over, or may be one whose heartbeats come late. */
+/** Incarnation that may have replaced the current one, or whose heartbeats are only late. */
 interface CandidateIncarnation {
   readonly incarnationKey: string;
   readonly service: string;
@@ -72,30 +72,30 @@
   readonly firstHeardAt: number;
 }
 
-/** The target beside one agent. */
+/** Lifecycle of one agent's target. */
 export class TargetLifecycle {
   private current: TargetHeartbeat | undefined;
   private heardAt = -Infinity;
-  /** When the present incarnation began, by its first heartbeat here. */
+  /** Start of the current incarnation, by its first heartbeat here. */
   private startedAt = -Infinity;
   private candidate: CandidateIncarnation | undefined;
   private hasLeft = false;
   private coldUntil = 0;
-  /** The target's next heartbeat is to tell whether it is cold; until then it may be. */
+  /** The target may be cold until its next heartbeat reports its age. */
   private isAgeUnknown = true;
-  /** This agent was there when the present incarnation began. */
+  /** Whether this agent was running when the current incarnation started. */
   private wasPresentAtStart = false;
   private firstHeartbeat: FirstHeartbeat | undefined;
-  /** Milliseconds for which a target of this service is slow after its start; if known. */
+  /** Milliseconds for which a target of this service is slow after its start, if known. */
   private coldTime: number | undefined;
-  /** Incarnations, named by {@link createIncarnationKey}, that this agent has taken for its target before. */
+  /** Incarnations, by {@link createIncarnationKey}, that were this agent's target before. */
   private readonly replacedIncarnations = new Set<string>();
   private readonly endedIncarnations = new Set<string>();
 
   /**
-   * @param configuredService the service that the agent's settings name
+   * @param configuredService service in the agent's settings
    * @param heartbeatInterval milliseconds between two heartbeats of a target
-   * @param agentStartedAt time at which this run of the agent began
+   * @param agentStartedAt start time of this incarnation of the agent
    */
   constructor(
     private readonly configuredService: string,
@@ -130,23 +130,23 @@
   }
 
   /**
-   * Whether an incarnation of another service has been heard since the present one: until either
-   * is heard again, nobody knows which service the target belongs to.
+   * Whether a heartbeat of another service arrived after the latest of the current incarnation: until
+   * another heartbeat of either arrives, it is unknown which service the target belongs to.
    */
   get isServiceDisputed(): boolean {
     return this.candidate !== undefined && this.candidate.service !== this.service;
   }
 
-  /** Milliseconds for which the target is still slow. */
+  /** Remaining milliseconds for which the target is slow. */
   coldLeft(now: number): number {
     return Math.max(0, Math.round(this.coldUntil - now));
   }
 
   /**
-   * Whether this run of the agent has been there for all of the target's life, so that it has seen
-   * each of its flows open. The target's age, by the time for which it is still slow, must show that no
-   * other agent was there between its start and this one's: a heartbeat taken here for the first time
-   * does not, since an earlier agent may have passed flows before any.
+   * Whether this agent process covers the whole lifetime of the target, so that it has seen all of
+   * its flows open. The target's age, derived from its remaining cold time, must show that no other
+   * agent ran between the target's start and this agent's. The arrival of a first heartbeat does not
+   * show it, since an earlier agent may have forwarded flows before any heartbeat.
    */
   get isKnownFromStart(): boolean {
     const { coldTime, firstHeartbeat } = this;
@@ -160,27 +160,27 @@
     return isYoung && isFirstAgent && sequence <= MAXIMUM_STARTUP_HEARTBEATS;
   }
 
-  /** Takes the milliseconds for which targets of this service are slow after a start; 0: unknown. */
+  /** Sets the milliseconds for which targets of this service are slow after a start; 0 if unknown. */
   setColdTime(coldTime: number | undefined): void {
     this.coldTime = coldTime === 0 ? undefined : coldTime;
   }
 
-  /** Whether the target is slow, or may be: no heartbeat has told its age. */
+  /** Whether the target is slow, or may be since no heartbeat has reported its age. */
   mayBeCold(now: number): boolean {
     return this.isAgeUnknown || this.coldUntil > now;
   }
 
-  /** Whether the target's present incarnation has begun after a time. */
+  /** Whether the target's current incarnation has started since a time. */
   hasStartedSince(time: number): boolean {
     return this.startedAt >= time;
   }
 
-  /** The target may have become cold without a heartbeat that says so yet. */
+  /** Treats the target as possibly cold until its next heartbeat. */
   forgetAge(): void {
     this.isAgeUnknown = true;
   }
 
-  /** Takes a heartbeat; one that is late changes nothing. */
+  /** Applies a heartbeat; an outdated one changes nothing. */
   applyHeartbeat(heartbeat: TargetHeartbeat, now: number): LifecycleChange {
     if (this.endedIncarnations.has(createIncarnationKey(heartbeat))) {
       return 'none';
@@ -198,16 +198,16 @@
     return 'none';
   }
 
-  /** An incarnation has said that it leaves for good. */
+  /** Applies the announcement of an incarnation that it shuts down for good. */
   applyLeave(incarnation: TargetIncarnation): LifecycleChange {
     const { current } = this;
-    const isPresent = current !== undefined && isSameIncarnation(current, incarnation);
-    const name = createIncarnationKey(isPresent ? current : incarnation);
-    addBounded(this.endedIncarnations, name);
-    if (this.candidate?.incarnationKey === name) {
+    const isCurrent = current !== undefined && isSameIncarnation(current, incarnation);
+    const key = createIncarnationKey(isCurrent ? current : incarnation);
+    addBounded(this.endedIncarnations, key);
+    if (this.candidate?.incarnationKey === key) {
       this.candidate = undefined;
     }
-    if (current !== undefined && !isPresent) {
+    if (current !== undefined && !isCurrent) {
       return 'none';
     }
     const before = this.state;
@@ -250,9 +250,9 @@
   }
 
   /**
-   * Whether an incarnation can have started after the present one was heard last, so that the
-   * target has been replaced. Its sequence number tells how long it has been running. With no
-   * present one, the service in the settings, which are written at each start, must be its own.
+   * Whether an incarnation can have started after the latest heartbeat of the current one, and so has
+   * replaced it. Its sequence number shows how long it has been running. Without a current one, its
+   * service must be the one in the settings, which are rewritten at each start.
    */
   private isSuccessor(heartbeat: TargetHeartbeat, now: number): boolean {
     if (this.current === undefined) {
@@ -270,14 +270,14 @@
     return this.computeMinimumRunningTime(heartbeat) <= now - this.heardAt;
   }
 
-  /** Milliseconds for which an incarnation has been running at least, by its sequence number. */
+  /** Minimum milliseconds for which an incarnation has been running, by its sequence number. */
   private computeMinimumRunningTime({ sequence }: TargetHeartbeat): number {
     return (sequence - 1) * this.heartbeatInterval;
   }
 
-  /** Whether a rival has been heard long enough while the present incarnation was silent. */
+  /** Whether a candidate has sent heartbeats long enough while the current one was unresponsive. */
   private isConfirmedCandidate(heartbeat: TargetHeartbeat, now: number): boolean {
-    const { candidate: candidate } = this;
+    const { candidate } = this;
     return (
       candidate?.incarnationKey === createIncarnationKey(heartbeat) &&
       heartbeat.sequence > candidate.sequence &&
@@ -290,32 +290,32 @@
     const incarnationKey = createIncarnationKey(heartbeat);
     const isKnown = this.candidate?.incarnationKey === incarnationKey;
     const firstHeardAt = isKnown ? this.candidate!.firstHeardAt : now;
-    this.candidate = { incarnationKey: incarnationKey, service, sequence, firstHeardAt };
+    this.candidate = { incarnationKey, service, sequence, firstHeardAt };
   }
 }
 
-/** A text that differs from life to life of a target. */
+/** Key that is unique for each incarnation of a target. */
 function createIncarnationKey({ incarnation, born }: TargetIncarnation): string {
   return born === undefined ? incarnation : `${incarnation} ${born}`;
 }
 
-/** Whether two are of one life; a target that tells no start has one life for each name. */
+/** Whether two are the same incarnation; without start times the names decide. */
 function isSameIncarnation(one: TargetIncarnation, other: TargetIncarnation): boolean {
-  const isStartTold = one.born !== undefined && other.born !== undefined;
-  return one.incarnation === other.incarnation && (!isStartTold || one.born === other.born);
+  const areStartsKnown = one.born !== undefined && other.born !== undefined;
+  return one.incarnation === other.incarnation && (!areStartsKnown || one.born === other.born);
 }
 
-/** Whether a life began before another one, by the word of both. */
+/** Whether the first has the earlier start time; false if either is unknown. */
 function hasStartedBefore(one: TargetIncarnation, other: TargetIncarnation): boolean {
   return one.born !== undefined && other.born !== undefined && one.born < other.born;
 }
 
-/** Adds a name; beyond a number the one added longest ago is dropped. */
-function addBounded(names: Set<string>, name: string): void {
-  names.delete(name);
-  names.add(name);
-  if (names.size > MAXIMUM_REMEMBERED_INCARNATIONS) {
-    const [oldest] = names;
-    names.delete(oldest!);
+/** Adds a key to a bounded set; beyond the bound the oldest one is evicted. */
+function addBounded(keys: Set<string>, key: string): void {
+  keys.delete(key);
+  keys.add(key);
+  if (keys.size > MAXIMUM_REMEMBERED_INCARNATIONS) {
+    const [oldest] = keys;
+    keys.delete(oldest!);
   }
 }
--- a/src/packets/target-liveness.ts
+++ b/src/packets/target-liveness.ts
@@ -1,44 +1,44 @@
 /**
- * Whether a target that has fallen silent is dead.
+ * Detects whether an unresponsive target is dead.
  *
- * Silence proves nothing: a target may stand still for a second and go on with its flows. That nobody
- * listens at its address any more does prove it: then no process holds a flow, and clients are to be
- * told at once. Until then a silent target gets no new flows, and its open ones are left alone.
+ * Silence is no proof: a target may pause for a second and then continue its flows. A closed port at
+ * its address is proof: no process holds a flow any more, and clients must be notified at once. Until
+ * then an unresponsive target gets no new flows, and its open ones are kept.
  */
 import type { TargetProbePort } from './startup/target-presence';
 
-/** Milliseconds between two looks at the address of a target that stays silent. */
+/** Interval between probes of the address of a target that stays unresponsive. */
 const PROBE_INTERVAL_MS = 500;
 
-/** The death of one target. */
+/** Liveness of one target. */
 export class TargetLiveness {
   private isConfirmedDead = false;
   private isProbing = false;
   private probedAt = -Infinity;
-  /** Times that the target was heard: a look that began before the latest proves nothing. */
+  /** Packets and heartbeats received: a probe started before the latest one proves nothing. */
   private activityCount = 0;
 
-  /** @param onDead called when a death is proved */
+  /** @param onDead called when the target is found to be dead */
   constructor(
     private readonly probe: TargetProbePort,
     private readonly onDead: () => void,
   ) {}
 
-  /** Whether nobody has listened at the target's address since it was heard last. */
+  /** Whether a probe has found the target's port closed since its latest packet or heartbeat. */
   get isDead(): boolean {
     return this.isConfirmedDead;
   }
 
-  /** The target has sent a packet or a heartbeat. */
+  /** Records a packet or heartbeat of the target. */
   recordActivity(): void {
     this.isConfirmedDead = false;
     this.activityCount++;
   }
 
-  /** To be called at regular intervals. */
-  probeIfSilent(isSilent: boolean, now: number): void {
+  /** Probes an unresponsive target; to be called at regular intervals. */
+  probeIfSilent(isUnresponsive: boolean, now: number): void {
     if (
-      !isSilent ||
+      !isUnresponsive ||
       this.isConfirmedDead ||
       this.isProbing ||
       now - this.probedAt < PROBE_INTERVAL_MS
@@ -47,7 +47,7 @@
     }
     this.isProbing = true;
     this.probedAt = now;
-    const { activityCount: activityCount } = this;
+    const { activityCount } = this;
     this.probe.checkVacant((isPortClosed) => {
       this.isProbing = false;
       if (isPortClosed && activityCount === this.activityCount) {
