--- a/src/packets/agent-report-handler.ts
+++ b/src/packets/agent-report-handler.ts
@@ -1,4 +1,4 @@
-/** What a balancer does with an agent's report, besides keeping it in its directory. */
+/** Handles agents' reports at a balancer, beyond storing them in its directory. */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { Events } from '../logging/events';
@@ -6,24 +6,24 @@
 import type { PacketLink } from './packet-link';
 import { TargetState, type ReportMessage } from './packet-messages';
 
-/** What the intake works with. */
+/** Dependencies of the handler. */
 export interface AgentReportHandlerDependencies {
   readonly environment: Environment;
   readonly directory: AgentDirectory;
   readonly link: PacketLink;
-  /** A report names another balancer. */
+  /** Called for each balancer that a report names. */
   learnPeer(balancer: Endpoint): void;
-  /** An agent is heard that was not: what waits for it can go there. */
+  /** Called when an agent reports again, so that packets queued for it can be sent. */
   onAgentReturned(agent: Endpoint): void;
-  /** More agents are heard than before. */
+  /** Called when more agents have reported recently than before. */
   onHeardAgentsChanged(): void;
 }
 
-/** The intake of one balancer. */
+/** Report handler of one balancer. */
 export class AgentReportHandler {
   constructor(private readonly dependencies: AgentReportHandlerDependencies) {}
 
-  /** Takes a report; one that a later one has overtaken changes nothing. */
+  /** Handles a report; one older than the latest changes nothing. */
   handleReport(from: Endpoint, report: ReportMessage): void {
     const { directory, environment, link, learnPeer } = this.dependencies;
     const now = environment.now();
@@ -37,7 +37,7 @@
     }
     link.recordVersion(from, report.frameVersion);
     report.balancers.forEach((peer) => learnPeer(peer));
-    // Not the first report of each agent: a balancer that starts hears all of them at once.
+    // First reports are not logged: a starting balancer gets those of all agents at once.
     if (before !== undefined && (before !== report.state || !wasHeard)) {
       this.logStateChange(entry, report, wasHeard);
     }
@@ -51,7 +51,7 @@
     }
   }
 
-  /** The way to a zone is open again: all of its agents that were heard lately are. */
+  /** The path to a zone is restored, and with it all agents there that have reported recently. */
   private handleZoneReturned(zone: string, now: number): void {
     for (const entry of this.dependencies.directory.getAll()) {
       if (entry.zone === zone) {
@@ -61,15 +61,11 @@
   }
 
   private handleAgentReturned(entry: AgentEntry, now: number): void {
-    const {
-      onAgentReturned: agentReturned,
-      onHeardAgentsChanged: changed,
-      directory,
-    } = this.dependencies;
+    const { directory, onAgentReturned, onHeardAgentsChanged } = this.dependencies;
     if (directory.isHeard(entry, now)) {
-      agentReturned(entry.address);
+      onAgentReturned(entry.address);
     }
-    changed();
+    onHeardAgentsChanged();
   }
 
   private logStateChange(entry: AgentEntry, report: ReportMessage, wasHeard: boolean): void {
--- a/src/packets/cold-start-limiter.ts
+++ b/src/packets/cold-start-limiter.ts
@@ -1,37 +1,36 @@
 /**
- * How many new flows a cold target gets: one that has just started, or comes back into service with
- * its zone, is slow and bears only so many a second.
+ * Limits the rate of new flows to a cold target: one that has just started, or returns to service
+ * with its zone, is slow and can handle only a limited number per second.
  *
- * The limit holds over all balancers and over every span of a second, so only the agent, through
- * which all of them come, can keep it. It counts opening packets at all times; the limit applies
- * while the target is cold or nobody knows whether it is. What goes beyond it is refused, and the
- * balancer offers it to another agent.
+ * The limit holds across all balancers and for every period of a second, so only the agent, which
+ * all new flows pass, can enforce it. Opening packets are always counted; the limit applies while
+ * the target is or may be cold. Packets beyond it are refused, and the balancer tries another agent.
  */
 import type { ServiceProfileView } from './service-profile-view';
 import type { TargetLifecycle } from './target-lifecycle';
 
 /**
- * Milliseconds over which openings are counted: a second, and a little more for the way from the
- * agent to its target, which may draw two openings closer together.
+ * Window in which new flows are counted: a second, and a margin for the path from the agent to its
+ * target, which may bring two opening packets closer together.
  */
 const WINDOW_MS = 1_050;
 
-/** What operators let pass beyond a service's own rate. */
+/** What operators allow beyond a service's own rate. */
 export interface ColdStartLimitSettings {
-  /** Times the service's rate. */
+  /** Factor for the service's rate. */
   readonly overshoot: number;
-  /** New flows a second on top of that. */
+  /** Additional new flows per second. */
   readonly slack: number;
 }
 
-/** The limit of one agent. */
+/** Limiter of one agent. */
 export class ColdStartLimiter {
-  /** Times of the openings of the last second, oldest first. */
+  /** Times of the new flows within the window, oldest first. */
   private openedAt: number[] = [];
 
   /**
    * @param settings undefined in a deployment without such limits
-   * @param startedAt time at which this run of the agent began
+   * @param startedAt start time of this incarnation of the agent
    */
   constructor(
     private readonly target: TargetLifecycle,
@@ -40,20 +39,20 @@
     private readonly startedAt: number,
   ) {}
 
-  /** Whether one more opening now would be more than a cold target bears. */
+  /** Whether one more new flow now would exceed the limit of a cold target. */
   isReached(now: number): boolean {
     if (!this.settings || !this.target.mayBeCold(now)) {
       return false;
     }
-    const maximumOpenings = this.computeLimit(this.settings);
-    if (maximumOpenings < Infinity && this.mayMissOpenings(now)) {
+    const limit = this.computeLimit(this.settings);
+    if (limit < Infinity && this.mayMissOpenings(now)) {
       return true;
     }
     this.expire(now);
-    return this.openedAt.length >= maximumOpenings;
+    return this.openedAt.length >= limit;
   }
 
-  /** An opening is handed to the target. */
+  /** Records that an opening packet is forwarded to the target. */
   recordOpening(now: number): void {
     if (this.settings) {
       this.expire(now);
@@ -61,13 +60,13 @@
     }
   }
 
-  /** Whether an earlier run of this agent may have handed the target openings in this second. */
+  /** Whether an earlier incarnation of the agent may have forwarded new flows within the window. */
   private mayMissOpenings(now: number): boolean {
     const isNew = now - this.startedAt < WINDOW_MS;
     return isNew && !this.target.hasStartedSince(this.startedAt);
   }
 
-  /** Openings a second; only what holds for any rate while no balancer has told the rate. */
+  /** New flows per second; only the slack while no balancer has sent the service's rate. */
   private computeLimit({ overshoot, slack }: ColdStartLimitSettings): number {
     if (!this.profiles.isKnown) {
       return slack;
--- a/src/packets/flow-tracker.ts
+++ b/src/packets/flow-tracker.ts
@@ -1,38 +1,38 @@
 /**
- * The flows of one target as its agent sees them in passing: how many are open, which
- * have a request under way, and which balancer last sent a packet of each.
+ * Tracks the flows of one target by the packets that pass its agent: how many are open, which have
+ * a request in flight, and which balancer last sent a packet of each.
  */
 import type { Endpoint } from '../environment';
 import { ServiceTimeTracker } from './choice/service-time-tracker';
 import type { FlowKey, FlowPacket } from './flow-packet';
 import { computeEndSequence, computeDistance } from './repair/sequence-numbers';
 
-/** Flows tracked at once; the least recently used one is dropped beyond that. */
+/** Flows tracked at once; beyond that the least recently used one is evicted. */
 const MAXIMUM_FLOWS = 20_000;
-/** Milliseconds after which a request without an answer counts as failed. */
+/** Time after which a request without an answer counts as failed. */
 const REQUEST_TIMEOUT_MS = 1_500;
 
-/** One flow. */
+/** State of one flow. */
 interface TrackedFlow {
   /** The balancer that sent its latest packet; undefined before the first. */
   balancer: Endpoint | undefined;
-  /** The balancer that was last told that the target holds the flow. */
+  /** The balancer last notified that the target holds the flow. */
   notifiedBalancer: Endpoint | undefined;
-  /** The target has sent something that only the holder of an open flow sends. */
+  /** The target has sent a packet that only the holder of an open flow sends. */
   isHeld: boolean;
-  /** The target has ended the flow; its last packets may still pass. */
+  /** The target has ended the flow; its last packets may still arrive. */
   hasEnded: boolean;
-  /** A request has been delivered and its answer has not begun. */
+  /** A request has been delivered and its answer has not started. */
   isBusy: boolean;
-  /** That request is complete, so that the target works on it or has it waiting. */
+  /** That request is complete, so that the target processes it or has it queued. */
   isWorking: boolean;
   /** Time at which that request was delivered. */
   busySince: number;
   /** Sequence number of the target's answer to an opening packet; undefined before it. */
   openingSequence: number | undefined;
-  /** Sequence number behind all that the target has sent; undefined before any. */
+  /** Sequence number after the last data that the target has sent; undefined before any. */
   sentEnd: number | undefined;
-  /** Highest sequence number of data delivered, to tell repeats; undefined before any. */
+  /** Highest sequence number of data delivered, to detect retransmissions; undefined before any. */
   lastSequence: number | undefined;
   usedAt: number;
 }
@@ -44,20 +44,20 @@
   private workingCount = 0;
   private heldCount = 0;
   private readonly serviceTimes: ServiceTimeTracker<TrackedFlow>;
-  /** The latest time that the tracker was told. */
+  /** Time of the latest update. */
   private lastUpdateAt = 0;
 
-  /** @param slots requests that the target works on at a time; 0 while unknown */
+  /** @param slots requests that the target processes concurrently; 0 while unknown */
   constructor(slots: () => number = () => 0) {
     this.serviceTimes = new ServiceTimeTracker(slots);
   }
 
-  /** Requests that have begun to arrive at the target and have no answer yet. */
+  /** Requests that the target has received at least in part and not answered yet. */
   get busyRequests(): number {
     return this.busyCount;
   }
 
-  /** Complete requests that the target works on or has waiting. */
+  /** Complete requests that the target processes or has queued. */
   get workingRequests(): number {
     return this.workingCount;
   }
@@ -67,7 +67,7 @@
     return this.heldCount;
   }
 
-  /** A client's packet is about to be delivered. */
+  /** Records a client's packet that is about to be delivered. */
   recordDelivery(packet: FlowPacket, balancer: Endpoint, now: number): void {
     const flow = this.touchFlow(packet.flow, now);
     flow.balancer = balancer;
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Whether a packet completes a request that the target has not got yet, on a flow that the
-   * target holds or that this very packet opens there.
+   * Whether a packet completes a request that the target has not received yet, on a flow that the
+   * target holds or that this packet opens there.
    */
   completesRequest(packet: FlowPacket): boolean {
     if (packet.payloadLength === 0 || packet.isFull || packet.resets) {
@@ -98,27 +98,27 @@
   }
 
   /**
-   * Milliseconds for which the target has worked on a flow's request; undefined when it has none,
-   * or has it waiting.
+   * Milliseconds for which the target has processed a flow's request; undefined if there is none,
+   * or it is queued.
    */
   getServiceTime(key: FlowKey, now: number): number | undefined {
     const flow = this.flows.get(key);
     return flow && this.serviceTimes.getServiceTime(flow, now);
   }
 
-  /** Milliseconds for which the target has worked on the request that it began with longest ago. */
+  /** Milliseconds for which the target has processed the request that it started first; 0 if none. */
   getLongestServiceTime(now: number): number {
     return this.serviceTimes.getLongestServiceTime(now);
   }
 
-  /** Whether a flow's request has been delivered and its answer has not begun. */
+  /** Whether a flow's request has been delivered and its answer has not started. */
   awaitsAnswer(flow: FlowKey): boolean {
     return this.flows.get(flow)?.isBusy === true;
   }
 
   /**
-   * The target has sent a packet of its own.
-   * @returns the balancer that must be told that the flow is held here, if any
+   * Records a packet that the target has sent.
+   * @returns the balancer that must be notified that the target holds the flow, if any
    */
   recordSentPacket(packet: FlowPacket, now: number): Endpoint | undefined {
     const flow = this.touchFlow(packet.flow, now);
@@ -143,7 +143,7 @@
   }
 
   /**
-   * A balancer asks who holds a flow; it counts as told when the target does.
+   * Checks for a balancer whether the target holds a flow; if so, the balancer counts as notified.
    * @returns whether the target is known to hold it
    */
   confirmHeldFor(key: FlowKey, balancer: Endpoint): boolean {
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Whether a client's packet ends the handshake that the target has begun: its flow opens there and
-   * nowhere else. Its balancer counts as told then.
+   * Whether a client's packet completes a handshake of the target, so that its flow opens there and
+   * nowhere else; if so, the balancer counts as notified.
    */
   confirmOpenedBy(packet: FlowPacket, balancer: Endpoint): boolean {
     const flow = this.flows.get(packet.flow);
@@ -170,27 +170,27 @@
   }
 
   /**
-   * Whether a client's packet belongs to a flow that the target has ended. Only one that acknowledges
-   * what the target has sent does: a later flow of the same ends may have opened elsewhere.
+   * Whether a client's packet belongs to a flow that the target has ended. It must acknowledge what
+   * the target has sent: a later flow of the same endpoints may have opened elsewhere.
    */
   belongsToEndedFlow(packet: FlowPacket): boolean {
     const flow = this.flows.get(packet.flow);
     return flow !== undefined && flow.hasEnded && acknowledgesSent(packet, flow);
   }
 
-  /** Whether any packet of a flow has been delivered that the target did not return. */
+  /** Whether any packet of a flow has been delivered that the target did not reject. */
   hasSeenFlow(flow: FlowKey): boolean {
     return this.flows.has(flow);
   }
 
-  /** The target returned a packet of a flow: it does not hold it. */
+  /** Removes the flow of a packet that the target rejected: the target does not hold it. */
   recordReturnedPacket(packet: FlowPacket): void {
     this.remove(packet.flow);
   }
 
   /**
-   * The target was replaced: no flow is known to be held. All stay noted as seen, since the new target
-   * may have opened some of them before its first heartbeat told of it: only it can say which.
+   * Resets all flows for a new target: none is known to be held. They stay recorded as seen, since the
+   * new target may have opened some of them before its first heartbeat, and only it knows which.
    */
   handleTargetReplaced(): void {
     for (const [key, { usedAt }] of this.flows) {
@@ -203,8 +203,8 @@
   }
 
   /**
-   * Gives up requests that have waited too long: they no longer count as under way.
-   * @returns their number
+   * Times out requests that have waited too long: they no longer count as in flight.
+   * @returns the number of requests timed out
    */
   timeOutRequests(now: number): number {
     this.lastUpdateAt = now;
@@ -221,7 +221,7 @@
     return timedOut;
   }
 
-  /** Drops flows that have rested longer than `lifetime` milliseconds. */
+  /** Drops flows that have been idle for longer than `lifetime` milliseconds. */
   expire(lifetime: number, now: number): void {
     for (const [key, flow] of this.flows) {
       if (now - flow.usedAt <= lifetime) {
@@ -288,7 +288,7 @@
   }
 }
 
-/** A flow of which nothing is known but that a packet of it has passed. */
+/** A flow of which nothing is known except that a packet of it was seen. */
 function createFlow(usedAt: number): TrackedFlow {
   return {
     balancer: undefined,
@@ -305,7 +305,7 @@
   };
 }
 
-/** Whether a 32-bit sequence number lies after another, allowing for its wrapping. */
+/** Whether a 32-bit sequence number is after another, allowing for wrap-around. */
 function isNewer(sequence: number, previous: number | undefined): boolean {
   return previous === undefined || computeDistance(previous, sequence) > 0;
 }
@@ -319,13 +319,13 @@
   return distance <= 1;
 }
 
-/** The sequence number behind all that a target has sent, with a packet of its own that it sends now. */
+/** Sequence number after the last data that a target has sent, including the given packet. */
 function computeSentEnd(packet: FlowPacket, sentEnd: number | undefined): number {
   const end = computeEndSequence(packet);
   return packet.opens || sentEnd === undefined || isNewer(end, sentEnd) ? end : sentEnd;
 }
 
-/** Whether a client's packet acknowledges what the target has sent on a flow, its opening or more. */
+/** Whether a client's packet acknowledges anything that the target has sent on a flow. */
 function acknowledgesSent(
   { acknowledgement }: FlowPacket,
   { openingSequence, sentEnd: sentUntil }: TrackedFlow,
--- a/src/packets/load-reporter.ts
+++ b/src/packets/load-reporter.ts
@@ -1,4 +1,4 @@
-/** An agent's reports of its target's state and load to the balancers that want them. */
+/** Reports the state and load of an agent's target to the subscribed balancers. */
 import type { Endpoint, Environment } from '../environment';
 import type { FlowTracker } from './flow-tracker';
 import type { PacketLink } from './packet-link';
@@ -15,11 +15,11 @@
 import type { TargetHealth } from './target-health';
 import type { TargetLifecycle } from './target-lifecycle';
 
-/** Balancers named in a report, so that balancers find each other. */
+/** Balancers named in a report, so that balancers discover each other. */
 const MAXIMUM_REPORTED_BALANCERS = 4;
 const RUN_RANGE = 2 ** 48;
 
-/** What a reporter tells of. */
+/** Dependencies of the reporter. */
 export interface LoadReporterDependencies {
   readonly environment: Environment;
   readonly zone: string;
@@ -29,13 +29,13 @@
   readonly health: TargetHealth;
   /** The agent's state, which may differ from its target's. */
   getState(): TargetStateValue;
-  /** Requests that wait at the agent or are under way at its target. */
+  /** Requests queued at the agent or in flight at its target. */
   countBusyRequests(): number;
-  /** Mean bytes of a flow of the target of late; 0 while unknown. */
+  /** Recent mean of the bytes of the target's flows; 0 while unknown. */
   getFlowBytes(): number;
-  /** Milliseconds that the target takes for an answer of late. */
+  /** Recent answer time of the target in milliseconds. */
   computeAnswerTime(now: number): number;
-  /** Answers of late that this time rests on, fading. */
+  /** Number of recent answers behind this time, with exponential decay. */
   countRecentAnswers(now: number): number;
   /** What the agent knows of its target's flows. */
   getFlowKnowledge(): FlowKnowledgeValue;
@@ -54,9 +54,9 @@
   }
 
   /**
-   * A balancer is there: it gets reports for some seconds, the first at once. That one names the
-   * others which have been here longest: one that has just started learns from whom it gets its view.
-   * @param interval milliseconds between reports that it wants; as before when undefined
+   * Subscribes a balancer for some seconds, and sends its first report at once. That report names the
+   * balancers subscribed longest, from which one that has just started can get its view.
+   * @param interval requested milliseconds between reports; unchanged when undefined
    */
   subscribe(balancer: Endpoint, interval?: number): void {
     const now = this.dependencies.environment.now();
@@ -66,12 +66,12 @@
     }
   }
 
-  /** Reports to every subscriber. */
+  /** Reports to all subscribers. */
   reportToAll(): void {
     this.reportTo(this.subscribers.listActive(this.dependencies.environment.now()));
   }
 
-  /** Reports to every subscriber at once if the target has become much worse. */
+  /** Reports to all subscribers at once if the target has become much slower or fails more. */
   reportIfWorse(): void {
     const now = this.dependencies.environment.now();
     if (
@@ -85,30 +85,30 @@
     }
   }
 
-  /** Reports to every subscriber at once if the target has got much more since they were told. */
+  /** Reports to all subscribers at once on a load spike since the last report. */
   reportIfLoadSpiked(): void {
-    const { countBusyRequests: busyRequests, environment, tracker } = this.dependencies;
-    const held = tracker.openFlows + busyRequests();
+    const { countBusyRequests, environment, tracker } = this.dependencies;
+    const load = tracker.openFlows + countBusyRequests();
     if (
-      this.loadSpikeDetector.shouldReport(held, environment.now(), this.subscribers.longestInterval)
+      this.loadSpikeDetector.shouldReport(load, environment.now(), this.subscribers.longestInterval)
     ) {
       this.reportToAll();
     }
   }
 
-  /** Reports to the subscribers that are due for it. */
+  /** Reports to the subscribers whose interval has elapsed. */
   sendDueReports(): void {
     this.reportTo(this.subscribers.takeDue(this.dependencies.environment.now()));
   }
 
-  /** Reports to some balancers, subscribed or not. */
+  /** Reports to the given balancers, subscribed or not. */
   reportTo(balancers: readonly Endpoint[]): void {
     if (balancers.length > 0) {
       this.dependencies.link.sendReport(balancers, this.createReport(balancers));
     }
   }
 
-  /** @param balancers balancers that the report names; as many of them as it has room for */
+  /** @param balancers balancers to name in the report; only the first few fit */
   private createReport(balancers: readonly Endpoint[]): ReportMessage {
     const { environment, zone, target, tracker, health } = this.dependencies;
     const now = environment.now();
@@ -134,14 +134,10 @@
   }
 
   private measureTarget(now: number): TargetMetrics {
-    const {
-      countRecentAnswers: answers,
-      computeAnswerTime: answerTime,
-      health,
-    } = this.dependencies;
+    const { computeAnswerTime, countRecentAnswers, health } = this.dependencies;
     return {
-      answerTime: Math.round(answerTime(now)),
-      answers: Math.round(answers(now)),
+      answerTime: Math.round(computeAnswerTime(now)),
+      answers: Math.round(countRecentAnswers(now)),
       failurePercent: Math.round(100 * health.computeFailureShare(now)),
     };
   }
--- a/src/packets/recent-resets.ts
+++ b/src/packets/recent-resets.ts
@@ -1,17 +1,17 @@
 /**
- * Flows that were found dead a moment ago: their late packets get another reset without a
- * search. No target takes up a flow that it has refused, unless it is opened anew.
+ * Flows that were reset recently: their late packets get another reset without a search. No target
+ * accepts a flow that it has refused, unless it is opened again.
  */
 import type { FlowKey } from './flow-packet';
 
-/** Milliseconds for which a flow is noted: its client's copies under way come within that. */
+/** Time for which a flow is recorded: packets in flight from its client arrive within it. */
 const RETENTION_MS = 3_000;
-/** Flows noted at most; the oldest note is dropped beyond that. */
+/** Flows recorded at most; beyond that the oldest one is evicted. */
 const MAXIMUM_FLOWS = 8_192;
 
-/** Notes of one balancer. */
+/** Recently reset flows of one balancer. */
 export class RecentResets {
-  /** Times at which flows were found dead, oldest first. */
+  /** Times at which flows were reset, oldest first. */
   private readonly resetTimes = new Map<FlowKey, number>();
 
   add(flow: FlowKey, now: number): void {
@@ -32,7 +32,7 @@
     this.resetTimes.delete(flow);
   }
 
-  /** Drops notes that no longer hold. */
+  /** Drops flows whose retention time is over. */
   expire(now: number): void {
     for (const [flow, resetAt] of this.resetTimes) {
       if (now - resetAt <= RETENTION_MS) {
--- a/src/packets/report-frame.ts
+++ b/src/packets/report-frame.ts
@@ -1,12 +1,12 @@
 /**
- * Reports with their fields at fixed places. Every agent reports to every balancer, so reports are
- * most of what nodes send each other between zones. As bson documents they are twice as long (223 and
- * 110 bytes in their frames, with four balancers named) and cost more to decode (10.3 and 4.6 us) and to
- * encode (5.8 and 3.8 us, each the mean of 50,000, warm, in one run).
+ * Compact encoding of reports, with fields at fixed offsets. Every agent reports to every balancer, so
+ * reports are most of the traffic of nodes between zones. As BSON documents they are twice as long (223
+ * instead of 110 bytes per frame, with four balancers named) and take longer to decode (10.3 instead of
+ * 4.6 us) and to encode (5.8 instead of 3.8 us).
  *
  * Body, big-endian: message type (1 byte), run (6), the counts below in their order (4 each), state,
  * failures, frame version, flowKnowledge (1 each), service and zone (length 1, text), number of
- * balancers (1), balancers (6 each). Counts beyond 32 bits are sent as the largest.
+ * balancers (1), balancers (6 each). Counts beyond 32 bits are sent as the maximum.
  */
 import type { Endpoint } from '../environment';
 import {
@@ -17,7 +17,7 @@
 } from './packet-messages';
 import { unpackFlowKnowledge } from './packet-message-schema';
 
-/** Fields that are sent as counts. */
+/** Fields sent as 32-bit counts. */
 const COUNT_FIELDS = [
   'sequence',
   'slots',
@@ -30,7 +30,7 @@
   'flowBytes',
   'balancerCount',
 ] as const;
-/** Fields of one byte. */
+/** Fields sent as one byte. */
 const BYTE_FIELDS = ['state', 'failurePercent', 'frameVersion', 'flowKnowledge'] as const;
 
 const RUN_OFFSET = 1;
@@ -44,26 +44,26 @@
 const MAXIMUM_BYTE = 255;
 const STATES: readonly number[] = Object.values(TargetState);
 
-/** A text or list, and where it ends. */
+/** A decoded string or list, and the offset after it. */
 interface DecodedPart<T> {
   readonly value: T;
   readonly end: number;
 }
 
-/** Whether a report fits: names of 255 bytes and as many balancers at most. */
+/** Whether a report fits: names of at most 255 bytes, and at most 255 balancers. */
 export function fitsCompactReport({ service, zone, balancers }: ReportMessage): boolean {
   const lengths = [Buffer.byteLength(service), Buffer.byteLength(zone), balancers.length];
   return lengths.every((length) => length <= MAXIMUM_BYTE);
 }
 
-/** Writes a short report behind the head of a frame. */
-export function encodeReport(report: ReportMessage, headBytes: number): Buffer {
+/** Encodes a report that fits, after room for the header of its frame. */
+export function encodeReport(report: ReportMessage, headerBytes: number): Buffer {
   const service = Buffer.from(report.service);
   const zone = Buffer.from(report.zone);
   const { balancers } = report;
   const length = STRINGS_OFFSET + service.length + zone.length + 3;
-  const frame = Buffer.allocUnsafe(headBytes + length + balancers.length * ENDPOINT_BYTES);
-  const body = frame.subarray(headBytes);
+  const frame = Buffer.allocUnsafe(headerBytes + length + balancers.length * ENDPOINT_BYTES);
+  const body = frame.subarray(headerBytes);
   body[0] = report.type;
   body.writeUIntBE(report.run, RUN_OFFSET, RUN_BYTES);
   COUNT_FIELDS.forEach((field, index) => {
@@ -79,7 +79,7 @@
   return frame;
 }
 
-/** The report of a body; undefined when it has another form. */
+/** Decodes the body of a report; undefined if it is malformed. */
 export function decodeReport(body: Buffer): ReportMessage | undefined {
   const service = readText(body, STRINGS_OFFSET);
   const zone = service && readText(body, service.end);
@@ -114,7 +114,7 @@
   };
 }
 
-/** @param index place of the field in {@link COUNT_FIELDS} */
+/** @param index index of the field in {@link COUNT_FIELDS} */
 function readCount(body: Buffer, index: number): number {
   return body.readUInt32BE(COUNTS_OFFSET + index * COUNT_BYTES);
 }
--- a/src/packets/report-interval.ts
+++ b/src/packets/report-interval.ts
@@ -1,18 +1,18 @@
 /**
- * How often a balancer wants reports from each agent: the more agents it knows, the more
- * seldom, so that what it receives a second stays bounded.
+ * Interval at which a balancer wants reports from each agent: it grows with the number of agents,
+ * so that the rate of reports received stays bounded.
  */
 
-/** Milliseconds; agents look this often at who is due. */
+/** Also the interval at which agents check which reports are due. */
 export const MINIMUM_REPORT_INTERVAL_MS = 250;
 const MAXIMUM_REPORT_INTERVAL_MS = 1_000;
-/** Reports a second that a balancer wants at most, until the longest interval is reached. */
+/** Reports from all agents that a balancer wants, until the maximum interval is reached. */
 const MAXIMUM_REPORTS_PER_SECOND = 96;
 const MS_PER_SECOND = 1_000;
-/** Reports that may be missed before an agent counts as silent, with some time to spare. */
+/** Report intervals before an agent counts as unresponsive: two lost reports, and a margin. */
 const SILENCE_INTERVALS = 2.8;
 
-/** Milliseconds between the reports of one agent, for a balancer that knows so many. */
+/** Milliseconds between the reports of one agent, for a balancer that knows `agents` of them. */
 export function computeReportInterval(agents: number): number {
   const wanted = (agents * MS_PER_SECOND) / MAXIMUM_REPORTS_PER_SECOND;
   const steps = Math.ceil(wanted / MINIMUM_REPORT_INTERVAL_MS);
@@ -20,7 +20,7 @@
   return Math.min(MAXIMUM_REPORT_INTERVAL_MS, interval);
 }
 
-/** Milliseconds without a report after which an agent counts as silent. */
+/** Milliseconds without a report after which an agent counts as unresponsive. */
 export function computeSilenceTimeout(agents: number): number {
   return SILENCE_INTERVALS * computeReportInterval(agents);
 }
--- a/src/packets/service-time-estimator.ts
+++ b/src/packets/service-time-estimator.ts
@@ -1,42 +1,42 @@
-/** How long a target works on a request, by its own answers. */
+/** Estimates the service time of a target from its answers. */
 
-/** Milliseconds assumed before any answer. */
+/** Estimate before any answer. */
 const INITIAL_SERVICE_TIME_MS = 50;
-/** Weight of one answer in the steady mean. */
+/** Weight of one answer in the slow moving mean. */
 const SLOW_MEAN_WEIGHT = 0.05;
-/** Weight in the quick mean: after three answers of another length it has gone two thirds of the way. */
+/** Weight in the fast moving mean: three answers move it two thirds of the way to a new value. */
 const FAST_MEAN_WEIGHT = 0.3;
 /**
- * Times by which the quick mean differs from the steady one when the target has become slower or
- * faster: work times that spread by half of their mean move it by a tenth, seldom by a quarter.
+ * Ratio between the means beyond which the target has become slower or faster: service times that
+ * spread by half of their mean move the fast one by a tenth, rarely by a quarter.
  */
 const CHANGE_FACTOR = 1.5;
-/** Times the mean that a request may be under way before its own time tells more than the mean. */
+/** Multiple of the mean after which the age of a request in flight replaces the mean. */
 const OVERDUE_FACTOR = 2;
-/** Milliseconds in which the weight of an answer among those counted falls to about a third. */
+/** Exponential decay time of the number of recent answers. */
 const ANSWER_DECAY_MS = 3_000;
-/** Services that a request may wait for and still be answered in time. */
+/** Service times that a request may be queued for and still be answered in time. */
 const WAIT_LIMIT_FACTOR = 2;
 
 /**
- * Part of the time from a client's first packet to its answer that the agent has: the rest is the
- * way of the opening and its answer, of the request, and of the answer, with clients 3 ms away.
+ * Share of the time from a client's first packet to its answer that the agent has: the rest is the
+ * network latency of the handshake, the request and the answer, with clients 3 ms away.
  */
 const AGENT_TIME_SHARE = 0.75;
 
-/** Fading means of one target. */
+/** Estimate for one target, from exponentially weighted moving means. */
 export class ServiceTimeEstimator {
   private slowMean = INITIAL_SERVICE_TIME_MS;
   private fastMean = INITIAL_SERVICE_TIME_MS;
-  /** Answers since the target is known. */
+  /** Answers of this target in total. */
   private totalAnswers = 0;
-  /** Answers of late. */
+  /** Exponentially decaying number of recent answers. */
   private recentAnswers = 0;
   private lastAnswerAt = 0;
 
   /**
-   * Milliseconds of an answer, the latest weighing most: the steady mean, or the quick one while
-   * the target has lately become slower or faster.
+   * Mean answer time in milliseconds: the slow moving mean, or the fast one while the target has
+   * recently become slower or faster.
    */
   get answerTime(): number {
     const ratio = this.fastMean / this.slowMean;
@@ -45,9 +45,9 @@
   }
 
   /**
-   * The same with what a request under way tells, which is no answer yet. What was answered meanwhile
-   * speaks for the target: of several slots, one may have a request that takes long by nature.
-   * @param oldest milliseconds for which the target has worked on one; 0 when on none
+   * The same, but not below the age of an overdue request in flight. Only its age since the latest
+   * answer counts: of several slots, one may have a request that takes long by nature.
+   * @param oldest milliseconds for which the target has processed its oldest request; 0 if none
    */
   computeExpectedTime(oldest: number, now = this.lastAnswerAt + oldest): number {
     const { answerTime } = this;
@@ -55,12 +55,12 @@
     return this.totalAnswers > 0 && overdue > answerTime * OVERDUE_FACTOR ? overdue : answerTime;
   }
 
-  /** Answers of late that the time rests on, fading. */
+  /** Number of recent answers behind the estimate, with exponential decay. */
   countRecentAnswers(now: number): number {
     return this.recentAnswers * Math.exp((this.lastAnswerAt - now) / ANSWER_DECAY_MS);
   }
 
-  /** A request was answered at `now` by so many milliseconds of work. */
+  /** Records an answer at `now` and its service time in milliseconds. */
   recordAnswer(milliseconds: number, now = this.lastAnswerAt): void {
     this.recentAnswers = this.countRecentAnswers(now) + 1;
     this.lastAnswerAt = now;
@@ -69,7 +69,7 @@
     this.fastMean += this.computeWeight(FAST_MEAN_WEIGHT) * (milliseconds - this.fastMean);
   }
 
-  /** Another target has taken its place: nothing is known of it. */
+  /** Discards the estimate, for a new target. */
   clear(): void {
     this.slowMean = INITIAL_SERVICE_TIME_MS;
     this.fastMean = INITIAL_SERVICE_TIME_MS;
@@ -77,17 +77,17 @@
     this.recentAnswers = 0;
   }
 
-  /** Milliseconds of waiting after which a request most likely misses a goal. */
+  /** Milliseconds of queueing after which a request most likely misses a latency goal. */
   computeWaitLimit(goal: number): number {
     return Math.max(0, goal * AGENT_TIME_SHARE - this.answerTime * WAIT_LIMIT_FACTOR);
   }
 
-  /** Milliseconds of waiting after which a request is late, where no goal is known. */
+  /** Milliseconds of queueing after which a request is late, if no goal is known. */
   get defaultWaitLimit(): number {
     return WAIT_LIMIT_FACTOR * this.answerTime;
   }
 
-  /** The first answers count alike, so that the assumed time is gone with the first of them. */
+  /** The first answers have equal weight, so that the first one replaces the initial estimate. */
   private computeWeight(weight: number): number {
     return Math.max(weight, 1 / this.totalAnswers);
   }
--- a/src/packets/subscribers.ts
+++ b/src/packets/subscribers.ts
@@ -1,8 +1,7 @@
-/** The balancers that an agent reports to: those that asked for it or sent packets lately. */
+/** The balancers that an agent reports to: those that subscribed or sent packets recently. */
 import type { Endpoint } from '../environment';
 import { MINIMUM_REPORT_INTERVAL_MS } from './report-interval';
 
-/** Milliseconds for which one subscription holds. */
 const SUBSCRIPTION_LIFETIME_MS = 5_000;
 const MAXIMUM_SUBSCRIBERS = 2_000;
 /** Timers fire a little early or late. */
@@ -10,7 +9,7 @@
 
 interface Subscriber {
   seenAt: number;
-  /** Milliseconds between reports that it wants. */
+  /** Requested milliseconds between reports. */
   interval: number;
   reportedAt: number;
 }
@@ -20,8 +19,8 @@
   private readonly subscribers = new Map<Endpoint, Subscriber>();
 
   /**
-   * @param interval milliseconds between reports; as before, or the shortest, when undefined
-   * @returns whether the balancer is new here
+   * @param interval milliseconds between reports; unchanged, or the minimum, when undefined
+   * @returns whether the balancer is a new subscriber
    */
   renew(balancer: Endpoint, now: number, interval?: number): boolean {
     const known = this.subscribers.get(balancer);
@@ -35,12 +34,12 @@
     return !known;
   }
 
-  /** Subscribers noted, also those that may be gone. */
+  /** Number of subscribers, including expired ones that are not removed yet. */
   get count(): number {
     return this.subscribers.size;
   }
 
-  /** Milliseconds between reports to the subscriber that wants them least often; 0 without any. */
+  /** Longest interval of any subscriber in milliseconds; 0 without subscribers. */
   get longestInterval(): number {
     let longest = 0;
     for (const { interval } of this.subscribers.values()) {
@@ -49,7 +48,7 @@
     return longest;
   }
 
-  /** The present subscribers; drops those that have not been seen for long. */
+  /** The active subscribers; removes expired ones. */
   listActive(now: number): Endpoint[] {
     for (const [balancer, { seenAt }] of this.subscribers) {
       if (now - seenAt > SUBSCRIPTION_LIFETIME_MS) {
@@ -59,7 +58,7 @@
     return [...this.subscribers.keys()];
   }
 
-  /** The present subscribers whose interval is over, which counts as reported to now. */
+  /** The active subscribers whose interval has elapsed; they count as reported to now. */
   takeDue(now: number): Endpoint[] {
     return this.listActive(now).filter((balancer) => {
       const subscriber = this.subscribers.get(balancer)!;
