--- a/src/packets/active-routing-table.ts
+++ b/src/packets/active-routing-table.ts
@@ -1,13 +1,13 @@
-/** The routing table that one balancer goes by: replaced by a later version only, whoever tells it. */
+/** The active routing table of a balancer: replaced only by a later version, whatever its source. */
 import { isDeepStrictEqual } from 'node:util';
 import type { Environment } from '../environment';
 import { Events } from '../logging/events';
 import { UNKNOWN_PROFILES, type RoutingTable, type ServiceProfiles } from './routing-table';
 
-/** Told that another table is in force, and whether it says something else of services. */
+/** Called with a newly active table, and whether its service profiles differ from before. */
 export type TableObserver = (table: RoutingTable, hasOtherProfiles: boolean) => void;
 
-/** The table of one balancer. */
+/** Active routing table of one balancer. */
 export class ActiveRoutingTable {
   private table: RoutingTable | undefined;
 
@@ -20,21 +20,21 @@
     return this.table;
   }
 
-  /** Its version; 0 without any. */
+  /** Version of the table; 0 without any. */
   get version(): number {
     return this.table?.version ?? 0;
   }
 
-  /** What it says of services. */
+  /** Service profiles of the table. */
   get profiles(): ServiceProfiles {
     const { table } = this;
     return table ? { version: table.version, services: table.profiles } : UNKNOWN_PROFILES;
   }
 
   /**
-   * Puts a table in force if it is of a later version: a store that has come back from a copy may list
-   * an earlier one until the operator writes again.
-   * @param origin the store, or the peer that told it; for the log
+   * Activates a table if its version is later: a store that was restored from a backup may list an
+   * earlier one until the operator writes again.
+   * @param origin the store, or the peer that sent it; for the log
    */
   applyIfNewer(table: RoutingTable, origin: string): void {
     const { version: inForce } = this;
--- a/src/packets/agent-registration.ts
+++ b/src/packets/agent-registration.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps an agent in the registry: registers it unless a balancer says that it is listed, and
- * again whenever a balancer misses it there.
+ * Keeps an agent in the registry: registers it unless a balancer reports that it is listed, and
+ * again whenever a balancer reports that it is missing.
  *
- * An agent that has heard nothing of its target stays out of it. The machine of a target that has
- * left for good may come back for a moment, with an agent and no target; an entry of such an agent
- * keeps balancers for 12 s from telling clients that their flows are dead.
+ * An agent whose target has sent nothing is not registered. The machine of a target that was removed
+ * may briefly come up again with an agent and no target; a registry entry of that agent would keep
+ * balancers for 12 s from resetting flows that no target holds.
  */
 import type { Environment, TimerHandle } from '../environment';
 import { Events } from '../logging/events';
@@ -13,27 +13,27 @@
 import { ListingState, type AgentRecord, type ListingStateValue } from './packet-messages';
 
 const INITIAL_RETRY_DELAY_MS = 500;
-/** Milliseconds: a store that is back gets the entry well within the 2 s that it may be missing. */
+/** A recovered store gets the entry well within the 2 s for which it may be missing. */
 const MAXIMUM_RETRY_DELAY_MS = 1_000;
 /**
- * Milliseconds that an agent waits for a balancer to say whether it is listed: balancers start
- * beside it, read the registry and knock ten times a second.
+ * Time for which an agent waits for a balancer to report whether it is listed: balancers that start
+ * at the same time read the registry and contact agents ten times a second.
  */
 const LISTING_TIMEOUT_MS = 1_000;
-/** Milliseconds after a registration in which a balancer may not have heard of it. */
+/** Time after a registration in which balancers may not know of it yet. */
 const PROPAGATION_TIME_MS = 3_000;
 
 /** The registration of one agent. */
 export class AgentRegistration {
   private waitTimer: TimerHandle | undefined;
   private isCalling = false;
-  /** A registration is due and waits for the target to be heard. */
+  /** A registration is due as soon as the target sends something. */
   private isDue = false;
-  /** The entry is to go, and has not been made anew since: a listing told by balancers is old. */
+  /** The entry was withdrawn and not registered again: balancers' listings are outdated. */
   private isWithdrawn = false;
-  /** A removal is under way; the store could carry it out after a registration. */
+  /** A removal is in flight; the store could apply it after a registration. */
   private isRemoving = false;
-  /** Whether the registry lists this agent, as far as balancers have told. */
+  /** Whether the registry lists this agent, by balancers' reports; undefined if unknown. */
   private isListed: boolean | undefined;
   private registeredAt = -Infinity;
   private registryCalls = 0;
@@ -42,18 +42,18 @@
     private readonly environment: Environment,
     private readonly registry: AgentRegistryPort,
     private readonly timers: NodeTimers,
-    /** What to register; read anew for each try. */
+    /** Record to register; read again for each attempt. */
     private readonly record: () => AgentRecord,
-    /** Whether the target has said or sent anything in this run of the agent. */
+    /** Whether the target has sent anything in this incarnation of the agent. */
     private readonly isTargetHeard: () => boolean,
   ) {}
 
-  /** Calls made to the registry. */
+  /** Number of calls made to the registry. */
   get callCount(): number {
     return this.registryCalls;
   }
 
-  /** @param isKnown whether balancers hear of this agent before it is registered */
+  /** @param isKnown whether balancers know of this agent before it is registered */
   start(isKnown: boolean): void {
     if (!isKnown) {
       this.registerIfReady();
@@ -62,14 +62,14 @@
     this.waitTimer = this.environment.startTimer(LISTING_TIMEOUT_MS, () => this.registerIfReady());
   }
 
-  /** The target has been heard: a registration that waits for it is made now. */
+  /** Makes the registration that waits for the target to send something. */
   handleTargetHeard(): void {
     if (this.isDue) {
       this.registerIfReady();
     }
   }
 
-  /** There is no target: the entry, if there is one, goes; a target that is heard brings it back. */
+  /** Removes the entry of an agent without a target, until a target sends something. */
   withdraw(): void {
     this.waitTimer?.cancel();
     this.isDue = true;
@@ -79,12 +79,12 @@
     }
   }
 
-  /** Ends the timer. */
+  /** Cancels the timer. */
   stop(): void {
     this.waitTimer?.cancel();
   }
 
-  /** A balancer says whether the registry lists this agent. */
+  /** Applies a balancer's report on whether the registry lists this agent. */
   applyListingState(listing: ListingStateValue): void {
     switch (listing) {
       case ListingState.listed:
--- a/src/packets/collection-watcher.ts
+++ b/src/packets/collection-watcher.ts
@@ -1,8 +1,8 @@
 /**
- * Follows a collection of the store while it is switched on: lists it, then takes changes.
+ * Watches a collection of the store while it is started: lists it, then waits for changes.
  *
- * A waiting call proves nothing while it waits, since the way to the store may have been lost
- * meanwhile. How long it may wait therefore says how recent the last proof is.
+ * A pending call does not prove that the store is reachable, since the connection may be lost
+ * meanwhile. Its maximum wait therefore limits the age of the last proof.
  */
 import type { Environment, TimerHandle } from '../environment';
 import type { HallholdError } from '../errors/hallhold-error';
@@ -13,50 +13,50 @@
 
 const INITIAL_RETRY_DELAY_MS = 150;
 /**
- * Milliseconds that the first call after a failure waits at the store: it is answered at once, and so
- * tells at once whether the store is still the one of before.
+ * Wait of the first call after a failure: the store answers it at once, which shows at once whether
+ * its era has changed.
  */
 const WAIT_AFTER_FAILURE_MS = 1;
-/** Milliseconds: a store that is back is noticed well within the 2 s that entries may be missing. */
+/** A recovered store is noticed well within the 2 s for which entries may be missing. */
 const MAXIMUM_RETRY_DELAY_MS = 1_000;
 
-/** Takes what a follower learns. */
+/** Receives listings and changes of a collection. */
 export interface CollectionObserver<T> {
   listed(listing: Listing<T>): void;
   changed(changes: Changes<T>): void;
-  /** The store has not answered, or refused. */
+  /** The store has not answered, or has returned an error. */
   failed?(): void;
 }
 
-/** How a follower waits for changes. */
+/** Timing of a watcher's calls. */
 export interface WatchPacing {
-  /** Milliseconds that a call may wait at the store. */
+  /** Maximum milliseconds that a call waits at the store. */
   readonly waitTime: number;
-  /** Milliseconds from an answer with changes to the next call, in which further ones gather. */
+  /** Milliseconds from an answer with changes to the next call, to batch further changes. */
   readonly pause: number;
-  /** Milliseconds from a listing to the first waiting call. */
+  /** Milliseconds from a listing to the first watch call. */
   readonly firstPause: number;
 }
 
-/** Calls that a follower has made, for the metrics page. */
+/** Calls that a watcher has made, for the metrics page. */
 export interface WatchCallCounts {
   listings: number;
   watches: number;
 }
 
-/** Follower of one collection. */
+/** Watcher of one collection. */
 export class CollectionWatcher<T> {
   readonly calls: WatchCallCounts = { listings: 0, watches: 0 };
-  /** Rises with each start and stop: answers to calls of an earlier run are ignored. */
+  /** Increases with each start and stop; answers to calls of an earlier generation are ignored. */
   private generation = 0;
   private running = false;
   private failures = 0;
   private timer: TimerHandle | undefined;
-  /** The store's moment that its latest answer told of. */
+  /** Store position of the latest answer. */
   private position = UNKNOWN_POSITION;
-  /** Entries that the latest answer with any has left out. */
+  /** Entries skipped in the latest answer that skipped any. */
   private skipped = 0;
-  /** The latest listing followed from a change of the era, and no call has waited since. */
+  /** The latest listing followed a change of the era, and no watch call has succeeded since. */
   private isListingForEra = false;
 
   constructor(
@@ -93,7 +93,7 @@
   }
 
   private list(): void {
-    const { generation: generation } = this;
+    const { generation } = this;
     this.calls.listings++;
     this.port.list((result) => {
       if (generation !== this.generation) {
@@ -114,7 +114,7 @@
     });
   }
 
-  /** An observer may have stopped this follower by what it was told. */
+  /** Does nothing if the observer has stopped this watcher in its callback. */
   private scheduleWatch(after: StorePosition, pause: number, generation: number): void {
     if (generation !== this.generation) {
       return;
@@ -127,7 +127,7 @@
   }
 
   private watch(after: StorePosition): void {
-    const { generation: generation } = this;
+    const { generation } = this;
     this.calls.watches++;
     const waitTime = this.failures > 0 ? WAIT_AFTER_FAILURE_MS : this.pacing().waitTime;
     this.port.awaitChanges(after, waitTime, (result) => {
@@ -152,8 +152,8 @@
   }
 
   /**
-   * After a return from a copy everything is listed at once, since a change of the table may already
-   * be waiting; a second time in a row only after a pause.
+   * After the store is restored from a backup everything is listed at once, since a table change may
+   * already be pending; a second time in a row only after a delay.
    */
   private handleWatchFailure(error: HallholdError, after: StorePosition): void {
     const hasEraChanged = error.resultCode === ResultCodes.storeEraChanged;
@@ -166,7 +166,7 @@
     this.retry(error, mustList ? () => this.list() : () => this.watch(after));
   }
 
-  /** Reports when the store is another one than before. */
+  /** Records the store position, and logs a change of the era. */
   private recordPosition({ era, revision }: StorePosition): void {
     const before = this.position;
     this.position = { era, revision };
@@ -180,7 +180,7 @@
     }
   }
 
-  /** A listing without such entries is worth no line, nor are the same ones at each listing. */
+  /** Logs the number of skipped entries, unless it is 0 or was logged before. */
   private reportSkipped(skipped: number): void {
     if (skipped > 0 && skipped !== this.skipped) {
       this.environment.report(Events.entriesSkipped, { collection: this.name, skipped });
--- a/src/packets/node-timers.ts
+++ b/src/packets/node-timers.ts
@@ -1,4 +1,4 @@
-/** The timers of one node: repeated and single ones, all ended together. */
+/** The one-shot and repeating timers of a node, which are cancelled together. */
 import type { Environment, TimerHandle } from '../environment';
 
 /** Timers of one node. */
@@ -24,7 +24,7 @@
     });
   }
 
-  /** Ends them all. */
+  /** Cancels all timers. */
   cancelAll(): void {
     this.timers.forEach((timer) => timer.cancel());
     this.timers.clear();
--- a/src/packets/routing-table.ts
+++ b/src/packets/routing-table.ts
@@ -2,62 +2,62 @@
 import type { Endpoint } from '../environment';
 import type { RouteTerms } from './terms/route-terms';
 
-/** One service of a route and its part of the new flows. */
+/** One service of a route and its share of the new flows. */
 export interface WeightedService {
   readonly service: string;
   /** 0 or more, relative to the route's other services. */
   readonly weight: number;
 }
 
-/** Where flows to one address go. */
+/** The services for flows to one address. */
 export interface Route {
   readonly name: string;
   readonly destination: Endpoint;
   /** At least one. */
   readonly services: readonly WeightedService[];
-  /** Whether a request that fails may be sent again without harm; false while unknown. */
+  /** Whether requests are idempotent, so that failed ones may be retried; false while unknown. */
   readonly isRepeatable?: boolean;
-  /** What its callers expect; unknown when undefined. */
+  /** Terms that its callers expect; unknown when undefined. */
   readonly terms?: RouteTerms;
 }
 
-/** What agents go by of the service of their targets. */
+/** Properties of a service that the agents of its targets use. */
 export interface ServiceProfile {
   readonly service: string;
-  /** Milliseconds from a request to its answer that are aimed at, on any route; 0 when unknown. */
+  /** Latency goal in milliseconds from a request to its answer, on any route; 0 when unknown. */
   readonly latencyGoal: number;
   /** Milliseconds for which a target is slow after its start; 0 when unknown. */
   readonly coldTime: number;
-  /** New flows that it bears a second meanwhile; 0 when there is no such limit. */
+  /** New flows per second that a target can handle meanwhile; 0 for no limit. */
   readonly coldRate: number;
 }
 
 /** The profiles of one version of the routing table; version 0 while none is known. */
 export interface ServiceProfiles {
   readonly version: number;
-  /** A service of which nothing is known is not listed. */
+  /** Services without a profile are not listed. */
   readonly services: readonly ServiceProfile[];
 }
 
-/** What a node knows that has no routing table. */
+/** Profiles of a node without a routing table. */
 export const UNKNOWN_PROFILES: ServiceProfiles = { version: 0, services: [] };
 
-/** One version of the configuration; a higher version replaces a lower one whole. */
+/** One version of the configuration; a higher version replaces a lower one completely. */
 export interface RoutingTable {
   readonly version: number;
   readonly routes: readonly Route[];
-  /** Milliseconds after which a flow at rest may be forgotten. */
+  /** Milliseconds after which an idle flow may be forgotten. */
   readonly idleTimeout: number;
   readonly profiles: readonly ServiceProfile[];
-  /** Routes of its document that could not be read, or only in part; of the store's own table alone. */
+  /** Routes of its document that were not or only partly readable; only in tables from the store. */
   readonly unreadableRoutes?: number;
-  /** Routes whose terms its document lacks or contradicts; of the store's own table alone. */
+  /** Routes whose terms are missing or contradictory; only in tables from the store. */
   readonly routesWithoutTerms?: number;
 }
 
 const serviceNamesByRoute = new WeakMap<Route, readonly string[]>();
 
-/** The names of a route's services; the same list each time. */
+/** The names of a route's services; the same array each time. */
 export function getServiceNames(route: Route): readonly string[] {
   const known = serviceNamesByRoute.get(route);
   if (known) {
