--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -1,4 +1,4 @@
-/** Targets that have just started: what they get in any second, over all balancers. */
+/** New flows to cold targets in any second, across all balancers. */
 import test from 'ava';
 import { ColdStartLimiter, type ColdStartLimitSettings } from '../src/packets/cold-start-limiter';
 import { RefusalReason } from '../src/packets/packet-messages';
@@ -17,35 +17,35 @@
   version: 3,
   services: [{ service: 'map', latencyGoal: 200, coldTime: 2_000, coldRate: 2 }],
 };
-/** In the model world: a rate of 3, once, and a slack of 2. */
+/** In the simulation: a rate of 3, an overshoot of 1 and a slack of 2. */
 const WORLD_RATE = 3;
 const WORLD_LIMIT = 5;
 
-function heartbeat(sequence: number, coldLeft: number): TargetHeartbeat {
+function createHeartbeat(sequence: number, coldLeft: number): TargetHeartbeat {
   return { incarnation: 'i', service: 'map', slots: 1, draining: false, coldLeft, sequence };
 }
 
-interface LimitScene {
+interface LimiterSetup {
   readonly target: TargetLifecycle;
   readonly profiles: ServiceProfileView;
-  readonly limit: ColdStartLimiter;
+  readonly limiter: ColdStartLimiter;
 }
 
 function createLimiter(
   startedAt = -10_000,
   settings: ColdStartLimitSettings | undefined = SETTINGS,
-): LimitScene {
+): LimiterSetup {
   const target = new TargetLifecycle('map', 770, 0);
   const profiles = new ServiceProfileView(target);
-  return { target, profiles, limit: new ColdStartLimiter(target, profiles, settings, startedAt) };
+  return { target, profiles, limiter: new ColdStartLimiter(target, profiles, settings, startedAt) };
 }
 
-/** Openings that pass when one is tried each ten milliseconds. */
-function countPassing(limit: ColdStartLimiter, from: number, to: number): number {
+/** Number of new flows that pass when one is tried every 10 ms. */
+function countPassing(limiter: ColdStartLimiter, from: number, to: number): number {
   let passing = 0;
   for (let now = from; now < to; now += 10) {
-    if (!limit.isReached(now)) {
-      limit.recordOpening(now);
+    if (!limiter.isReached(now)) {
+      limiter.recordOpening(now);
       passing++;
     }
   }
@@ -53,51 +53,51 @@
 }
 
 test('a cold target gets its rate with overshoot and slack in any second, a warm one more', (t) => {
-  const { target, profiles, limit } = createLimiter();
+  const { target, profiles, limiter } = createLimiter();
   profiles.learn(RATES);
-  target.applyHeartbeat(heartbeat(1, 3_000), 0);
-  t.is(countPassing(limit, 0, 1_000), 8);
-  t.is(countPassing(limit, 1_000, 2_000), 8);
-  t.is(countPassing(limit, 3_010, 3_110), 10);
+  target.applyHeartbeat(createHeartbeat(1, 3_000), 0);
+  t.is(countPassing(limiter, 0, 1_000), 8);
+  t.is(countPassing(limiter, 1_000, 2_000), 8);
+  t.is(countPassing(limiter, 3_010, 3_110), 10);
 });
 
-test('openings to a warm target count in the second in which it becomes cold', (t) => {
-  const { target, profiles, limit } = createLimiter();
+test('new flows to a warm target count in the second in which it becomes cold', (t) => {
+  const { target, profiles, limiter } = createLimiter();
   profiles.learn(RATES);
-  target.applyHeartbeat(heartbeat(1, 0), 0);
-  t.is(countPassing(limit, 0, 60), 6);
-  target.applyHeartbeat(heartbeat(2, 2_000), 60);
-  t.is(countPassing(limit, 60, 900), 2);
+  target.applyHeartbeat(createHeartbeat(1, 0), 0);
+  t.is(countPassing(limiter, 0, 60), 6);
+  target.applyHeartbeat(createHeartbeat(2, 2_000), 60);
+  t.is(countPassing(limiter, 60, 900), 2);
 });
 
-test('an agent that knows neither age nor rate passes what holds for any rate', (t) => {
-  const { target, profiles, limit } = createLimiter();
-  t.is(countPassing(limit, 0, 1_000), 5);
+test('an agent that knows neither age nor rate passes only the slack', (t) => {
+  const { target, profiles, limiter } = createLimiter();
+  t.is(countPassing(limiter, 0, 1_000), 5);
   profiles.learn(RATES);
-  t.is(countPassing(limit, 1_060, 1_900), 8);
-  target.applyHeartbeat(heartbeat(9, 0), 1_900);
-  t.is(countPassing(limit, 1_900, 2_000), 10);
+  t.is(countPassing(limiter, 1_060, 1_900), 8);
+  target.applyHeartbeat(createHeartbeat(9, 0), 1_900);
+  t.is(countPassing(limiter, 1_900, 2_000), 10);
   target.forgetAge();
-  t.true(limit.isReached(2_000));
+  t.true(limiter.isReached(2_000));
 });
 
-test('a new agent leaves a second for what its earlier run may have let pass', (t) => {
-  const { target, profiles, limit } = createLimiter(0);
+test('a new agent reserves a second for what its earlier incarnation may have forwarded', (t) => {
+  const { target, profiles, limiter } = createLimiter(0);
   profiles.learn(RATES);
-  target.applyHeartbeat(heartbeat(5, 2_000), 10);
-  t.is(countPassing(limit, 0, 1_050), 0);
-  t.is(countPassing(limit, 1_050, 1_800), 8);
+  target.applyHeartbeat(createHeartbeat(5, 2_000), 10);
+  t.is(countPassing(limiter, 0, 1_050), 0);
+  t.is(countPassing(limiter, 1_050, 1_800), 8);
   const fresh = createLimiter(0);
   fresh.profiles.learn(RATES);
-  fresh.target.applyHeartbeat(heartbeat(1, 2_000), 10);
-  t.is(countPassing(fresh.limit, 10, 900), 8);
+  fresh.target.applyHeartbeat(createHeartbeat(1, 2_000), 10);
+  t.is(countPassing(fresh.limiter, 10, 900), 8);
 });
 
 test('rates of an earlier table change nothing; a service without a rate has no limit', (t) => {
-  const { profiles, limit } = createLimiter();
+  const { profiles, limiter } = createLimiter();
   profiles.learn({ version: 5, services: [] });
   profiles.learn(RATES);
-  t.is(countPassing(limit, 0, 1_000), 100);
+  t.is(countPassing(limiter, 0, 1_000), 100);
   const unlimited = new ColdStartLimiter(
     new TargetLifecycle('map', 770, 0),
     profiles,
@@ -134,14 +134,14 @@
   return world;
 }
 
-/** Most openings that an agent's targets got in any second between two times. */
+/** Maximum new flows that an agent's targets got in any second between two times. */
 function countMostInASecond({ openings }: WorldAgent, from: number, to: number): number {
   const counted = openings.filter((at) => at >= from && at <= to);
   const spans = counted.map((at) => counted.filter((one) => one >= at && one < at + 1_000).length);
   return Math.max(0, ...spans);
 }
 
-/** Flows so fast that targets that are not cold are busy, and cold ones get some too. */
+/** Opens flows fast enough to keep warm targets busy, so that cold ones get some too. */
 function overload(world: PacketWorld, milliseconds: number): void {
   for (let passed = 0; passed < milliseconds; passed += 50) {
     openModelFlows(world, 12, 1, 50);
@@ -149,7 +149,7 @@
   }
 }
 
-test('a new target is within its limit while cold, whoever sends, also past a restart', (t) => {
+test('a new target is within its limit while cold, also after a restart of its agent', (t) => {
   const world = startWorld(21);
   const agent = world.agents.find(({ service }) => service === 'map')!;
   world.coldTime = 3_000;
@@ -159,12 +159,12 @@
   world.startAgent(agent);
   overload(world, 1_800);
   const most = countMostInASecond(agent, from, from + 3_000);
-  t.true(most > 0 && most <= WORLD_LIMIT, `${most} openings in a second`);
+  t.true(most > 0 && most <= WORLD_LIMIT, `${most} new flows in a second`);
   overload(world, 1_500);
   t.true(countMostInASecond(agent, from + 3_000, from + 4_500) > WORLD_LIMIT);
 });
 
-test('a zone that comes back cold is within its limits before a heartbeat says so', (t) => {
+test('a zone that returns cold is within its limits before a heartbeat reports it', (t) => {
   const world = startWorld(22);
   world.store.evacuate('north');
   world.runFor(1_000);
@@ -178,7 +178,7 @@
   }
 });
 
-test('after a loss of all power everything is cold, and each target within its limit', (t) => {
+test('after a power loss all targets are cold, and each is within its limit', (t) => {
   const world = startWorld(23);
   world.coldTime = 3_000;
   world.losePower(500);
--- a/test/ended-flows.test.ts
+++ b/test/ended-flows.test.ts
@@ -1,4 +1,4 @@
-/** The last packets of a flow that its target has ended, when they come through another balancer. */
+/** Last packets of a flow that its target has ended, arriving through another balancer. */
 import test from 'ava';
 import { packEndpoint } from '../src/core/endpoint';
 import { PacketMessageType, SearchPhase } from '../src/packets/packet-messages';
@@ -13,13 +13,13 @@
 /** Acknowledges the opening, the answer and the end of the flow. */
 const ALL_SENT = OPENING + 1 + ANSWER.length + 1;
 
-/** An agent and one flow of its target, which ends. */
+/** An agent and one flow of its target, which the target ends. */
 class EndingFlowHarness extends AgentHarness {
   constructor() {
     super({ earlyStart: true });
   }
 
-  /** The flow opens, carries a request, and is ended by the target after its answer. */
+  /** Opens the flow and sends a request; the target answers it and ends the flow. */
   runFlow(): void {
     this.deliver(Flag.syn, 0);
     this.answer(Flag.syn | Flag.ack, OPENING);
@@ -27,14 +27,14 @@
     this.answer(Flag.ack | Flag.fin, OPENING + 1, ANSWER);
   }
 
-  /** An opening packet is answered, and the target gives the flow up before it has opened. */
+  /** Sends an opening packet; the target answers it and resets the flow before it is open. */
   abortOpening(): void {
     this.deliver(Flag.syn, 0);
     this.answer(Flag.syn | Flag.ack, OPENING);
     this.answer(Flag.rst, OPENING + 1);
   }
 
-  /** Another balancer asks this agent and the next one for the flow of a client's packet. */
+  /** Another balancer searches for the flow of a client's packet at this agent and the next one. */
   search(flags: number, acknowledgement: number, data = ''): void {
     const payload = encodePacket(CLIENT, ROUTE, flags, 8, acknowledgement, data);
     const message = {
@@ -65,38 +65,38 @@
 
 // Guards against searches through all targets for the last packets of flows that have ended.
 test('the last packet of an ended flow goes to the target that has ended it', (t) => {
-  const scene = new EndingFlowHarness();
-  scene.runFlow();
-  scene.search(Flag.ack | Flag.fin, ALL_SENT);
-  t.is(scene.toTarget.length, 1);
+  const harness = new EndingFlowHarness();
+  harness.runFlow();
+  harness.search(Flag.ack | Flag.fin, ALL_SENT);
+  t.is(harness.toTarget.length, 1);
   t.deepEqual(
-    scene.toNodes,
+    harness.toNodes,
     [],
-    'nobody else is asked, and no balancer is told that the flow is open',
+    'no other agent is queried, and no balancer is notified that the flow is open',
   );
 });
 
-test('data that was sent before the end came goes to the target that has ended the flow', (t) => {
-  const scene = new EndingFlowHarness();
-  scene.runFlow();
-  scene.search(Flag.ack, OPENING + 1, 'GET');
-  t.is(scene.toTarget.length, 1);
+test('data that was sent before the end arrived goes to the target that has ended the flow', (t) => {
+  const harness = new EndingFlowHarness();
+  harness.runFlow();
+  harness.search(Flag.ack, OPENING + 1, 'GET');
+  t.is(harness.toTarget.length, 1);
 });
 
-test('packets of a later flow of the same ends, which opened elsewhere, are searched for', (t) => {
-  const scene = new EndingFlowHarness();
+test('packets of a later flow of the same endpoints, which opened elsewhere, are searched for', (t) => {
+  const harness = new EndingFlowHarness();
   for (const acknowledgement of [OPENING, ALL_SENT + 1, OPENING + 2 ** 31 + 7]) {
-    scene.runFlow();
-    scene.search(Flag.ack, acknowledgement, 'GET');
-    t.is(scene.toTarget.length, 0);
-    t.like(scene.toNodes[0], { type: PacketMessageType.search, position: 1 });
+    harness.runFlow();
+    harness.search(Flag.ack, acknowledgement, 'GET');
+    t.is(harness.toTarget.length, 0);
+    t.like(harness.toNodes[0], { type: PacketMessageType.search, position: 1 });
   }
 });
 
-test('a target that has given up an opening gets no packet of the flow that opened elsewhere', (t) => {
-  const scene = new EndingFlowHarness();
-  scene.abortOpening();
-  scene.search(Flag.ack | Flag.fin, OPENING + 5_000);
-  t.is(scene.toTarget.length, 0);
-  t.like(scene.toNodes[0], { type: PacketMessageType.search, position: 1 });
+test('a target that has reset a new flow gets no packet of the flow that opened elsewhere', (t) => {
+  const harness = new EndingFlowHarness();
+  harness.abortOpening();
+  harness.search(Flag.ack | Flag.fin, OPENING + 5_000);
+  t.is(harness.toTarget.length, 0);
+  t.like(harness.toNodes[0], { type: PacketMessageType.search, position: 1 });
 });
--- a/test/late-heartbeats.test.ts
+++ b/test/late-heartbeats.test.ts
@@ -1,17 +1,17 @@
-/** Heartbeats of an earlier incarnation that come late, in every order with those of its successor. */
+/** Late heartbeats of an earlier incarnation, in every order with those of its successor. */
 import test from 'ava';
 import { TargetState } from '../src/packets/packet-messages';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
 
-const INTERVAL = 770;
-/** Heartbeats of a living target that may be left aside. */
-const IGNORED_AT_MOST = 2;
+const INTERVAL_MS = 770;
+/** Consecutive heartbeats of the running target that may be ignored. */
+const MAXIMUM_IGNORED = 2;
 
 function createHeartbeat(incarnation: string, service: string, sequence: number): TargetHeartbeat {
   return { incarnation, service, slots: 1, draining: false, coldLeft: 0, sequence };
 }
 
-/** What happens to an agent between two heartbeats of the living target. */
+/** What happens to an agent between two heartbeats of the running target. */
 type Disturbance =
   | { readonly kind: 'late'; readonly sequence: number }
   | { readonly kind: 'leave' }
@@ -25,7 +25,7 @@
   { kind: 'restart' },
 ];
 
-/** All orders of up to three disturbances, repeats included. */
+/** All sequences of up to three disturbances, with repetitions. */
 function listOrders(): Disturbance[][] {
   const all: Disturbance[][] = [[]];
   let longest: Disturbance[][] = [[]];
@@ -36,8 +36,8 @@
   return all;
 }
 
-/** An agent beside one living target `new`, whose predecessor `old` is heard late. */
-class Scene {
+/** An agent with a running target `new` and late heartbeats of its predecessor `old`. */
+class LifecycleHarness {
   ignoredInARow = 0;
   worstIgnored = 0;
   readonly wrongService: string[] = [];
@@ -47,19 +47,19 @@
 
   /** @param oldService service of the predecessor */
   constructor(private readonly oldService: string) {
-    this.agent = new TargetLifecycle(oldService, INTERVAL, 0);
+    this.agent = new TargetLifecycle(oldService, INTERVAL_MS, 0);
     this.agent.applyHeartbeat(createHeartbeat('old', oldService, 56), this.now);
     this.now += 3_000;
   }
 
   sendHeartbeat(): void {
-    this.now += INTERVAL / 2;
+    this.now += INTERVAL_MS / 2;
     this.agent.applyHeartbeat(createHeartbeat('new', 'tiles', ++this.sequence), this.now);
     const isIgnored = this.agent.incarnation !== 'new' || this.agent.state !== TargetState.ready;
     this.ignoredInARow = isIgnored ? this.ignoredInARow + 1 : 0;
     this.worstIgnored = Math.max(this.worstIgnored, this.ignoredInARow);
     this.checkService('heartbeat');
-    this.now += INTERVAL / 2;
+    this.now += INTERVAL_MS / 2;
   }
 
   disturb(disturbance: Disturbance): void {
@@ -74,8 +74,8 @@
         this.agent.applyLeave({ incarnation: 'old' });
         break;
       case 'restart':
-        // Settings are written anew at each start and name the present target's service.
-        this.agent = new TargetLifecycle('tiles', INTERVAL, 0);
+        // Settings are rewritten at each start and name the service of the running target.
+        this.agent = new TargetLifecycle('tiles', INTERVAL_MS, 0);
     }
     this.now += 5;
     this.checkService(disturbance.kind);
@@ -90,29 +90,29 @@
 }
 
 for (const oldService of ['map', 'tiles']) {
-  test(`a living target is soon believed, whatever comes late of one of ${oldService}`, (t) => {
+  test(`a running target is accepted soon, whatever arrives late from one of ${oldService}`, (t) => {
     for (const order of listOrders()) {
-      for (const isSpaced of [true, false]) {
-        const scene = new Scene(oldService);
-        scene.sendHeartbeat();
+      for (const isInterleaved of [true, false]) {
+        const harness = new LifecycleHarness(oldService);
+        harness.sendHeartbeat();
         for (const disturbance of order) {
-          scene.disturb(disturbance);
-          if (isSpaced) {
-            scene.sendHeartbeat();
+          harness.disturb(disturbance);
+          if (isInterleaved) {
+            harness.sendHeartbeat();
           }
         }
-        Array.from({ length: 4 }, () => scene.sendHeartbeat());
-        const name = `${JSON.stringify(order)} spaced: ${isSpaced}`;
-        t.true(scene.worstIgnored <= IGNORED_AT_MOST, `${name}: ${scene.worstIgnored} ignored`);
-        t.is(scene.ignoredInARow, 0, name);
-        t.deepEqual(scene.wrongService, [], name);
+        Array.from({ length: 4 }, () => harness.sendHeartbeat());
+        const name = `${JSON.stringify(order)} interleaved: ${isInterleaved}`;
+        t.true(harness.worstIgnored <= MAXIMUM_IGNORED, `${name}: ${harness.worstIgnored} ignored`);
+        t.is(harness.ignoredInARow, 0, name);
+        t.deepEqual(harness.wrongService, [], name);
       }
     }
   });
 }
 
-test('an incarnation that was replaced for a moment by a late one comes back', (t) => {
-  const agent = new TargetLifecycle('map', INTERVAL, 0);
+test('an incarnation that was replaced briefly by a late one is accepted again', (t) => {
+  const agent = new TargetLifecycle('map', INTERVAL_MS, 0);
   agent.applyHeartbeat(createHeartbeat('old', 'map', 57), 0);
   t.is(agent.applyHeartbeat(createHeartbeat('new', 'map', 3), 100), 'none');
   t.is(agent.applyHeartbeat(createHeartbeat('new', 'map', 4), 870), 'incarnation');
@@ -121,8 +121,8 @@
   t.is(agent.incarnation, 'new');
 });
 
-test('heartbeats held up together are no proof of life', (t) => {
-  const agent = new TargetLifecycle('tiles', INTERVAL, 0);
+test('heartbeats that were delayed together do not confirm a candidate', (t) => {
+  const agent = new TargetLifecycle('tiles', INTERVAL_MS, 0);
   agent.applyHeartbeat(createHeartbeat('new', 'tiles', 1), 0);
   for (const sequence of [57, 58, 59]) {
     t.is(agent.applyHeartbeat(createHeartbeat('old', 'map', sequence), 300 + sequence), 'none');
--- a/test/packet-health.test.ts
+++ b/test/packet-health.test.ts
@@ -1,4 +1,4 @@
-/** Targets that are down or fail: what agents conclude, and where new flows go then. */
+/** Targets that are down or fail: their health at the agent, and where new flows are placed. */
 import test from 'ava';
 import { TargetHealth } from '../src/packets/target-health';
 import {
@@ -8,9 +8,9 @@
 } from '../src/simulation/packets/random-faults';
 import { PacketWorld } from '../src/simulation/packets/packet-world';
 
-const OPENING_COPY_DELAY = 200;
+const OPENING_RETRANSMISSION_MS = 200;
 
-test('a target that answers no opening packet is down, and is tried now and then', (t) => {
+test('a target that answers no opening packet is down, and is tried at intervals', (t) => {
   const health = new TargetHealth();
   health.recordOpening(0);
   health.recordOpening(100);
@@ -25,16 +25,16 @@
   t.is(health.computeFailureShare(451), 0);
 });
 
-test('a pause of the agent is not taken for silence of its target', (t) => {
+test('a pause of the agent does not count as an unresponsive target', (t) => {
   const health = new TargetHealth();
   health.recordOpening(0);
   health.recordOpening(10);
-  // Frozen for four seconds; the answers wait in the socket when the first timer fires.
+  // After a freeze of 4 s the answers are still in the socket when the first timer fires.
   health.recordTick();
   t.false(health.isDown(4_000));
 });
 
-test('failures weigh by their share and are forgotten with time', (t) => {
+test('failures count by their share and decay with time', (t) => {
   const health = new TargetHealth();
   health.recordOutcome(false, 0);
   t.true(health.computeFailureShare(0) < 0.3);
@@ -60,11 +60,12 @@
   }
   world.runFor(2_000);
   return clients.filter(
-    ({ startedAt, answeredAt: [at] }) => at === undefined || at - startedAt >= OPENING_COPY_DELAY,
+    ({ startedAt, answeredAt: [at] }) =>
+      at === undefined || at - startedAt >= OPENING_RETRANSMISSION_MS,
   ).length;
 }
 
-test('a target that has gone dark draws no new flows', (t) => {
+test('an unresponsive target gets no new flows', (t) => {
   const world = startWorld();
   openModelFlows(world, 40, 100);
   world.runFor(2_000);
@@ -73,36 +74,36 @@
   t.true(slow <= 12, `${slow} of 100 flows had to be opened twice`);
 });
 
-/** In half of these worlds no balancer sends an opening packet to the dark target any more. */
+/** With half of these seeds no balancer sends another opening packet to the unresponsive target. */
 for (let seed = 1; seed <= 12; seed++) {
-  test(`clients of a target that has gone dark are told soon, not at their deadline (${seed})`, (t) => {
+  test(`clients of an unresponsive target are reset soon, not at their deadline (${seed})`, (t) => {
     const world = startWorld(seed);
     openModelFlows(world, 40, 100, 100);
     world.runFor(2_000);
-    const dark = world.agents[0]!;
-    const clients = world.clients.filter((client) => world.holderOf(client) === dark);
+    const unresponsive = world.agents[0]!;
+    const clients = world.clients.filter((client) => world.holderOf(client) === unresponsive);
     t.true(clients.length > 3);
-    dark.target.alive = false;
+    unresponsive.target.alive = false;
     countSlowFlows(world, 40);
     t.true(clients.every(({ state }) => state === 'reset'));
   });
 }
 
-test('requests given up are no verdict on a target that is heard meanwhile', (t) => {
+test('timed-out requests do not mark a target as down that sends packets meanwhile', (t) => {
   const health = new TargetHealth();
   health.recordTimeout(2_000);
   health.recordActivity();
   health.recordTimeout(2_200);
   t.false(health.isDown(2_200));
   health.recordTimeout(2_300);
-  // The answers may wait in the socket of an agent that was frozen.
+  // The answers may still be in the socket of an agent that was frozen.
   health.recordTick();
   t.false(health.isDown(2_300));
   health.recordTick();
   t.true(health.isDown(2_550));
 });
 
-test('silence of long ago is no verdict: a target that gets no opening packets cannot answer any', (t) => {
+test('old silence does not count: a target that gets no opening packets cannot answer any', (t) => {
   const health = new TargetHealth();
   health.recordOpening(1_000);
   t.is(health.computeFailureShare(1_100), 0, 'it may still answer');
@@ -110,10 +111,10 @@
   t.is(health.computeFailureShare(10_900), 1);
   t.is(health.computeFailureShare(11_100), 0);
   health.recordOpening(12_000);
-  t.is(health.computeFailureShare(12_200), 1, 'it is still silent');
+  t.is(health.computeFailureShare(12_200), 1, 'it is still unresponsive');
 });
 
-test('a target whose answers fail draws few new flows', (t) => {
+test('a target whose answers fail gets few new flows', (t) => {
   const world = startWorld();
   const failing = world.agents[0]!;
   failing.target.failing = true;
@@ -122,5 +123,5 @@
     world.runFor(40);
   }
   const ran = failing.target.requestsRun;
-  t.true(ran <= 12, `${ran} of 100 requests ran at the failing target`);
+  t.true(ran <= 12, `${ran} of 100 requests were served by the failing target`);
 });
--- a/test/packet-many-agents.test.ts
+++ b/test/packet-many-agents.test.ts
@@ -27,14 +27,14 @@
   return world.clients.filter(({ state }) => state === 'reset').length;
 }
 
-test('after a loss of power all clients are told within a second of their next packet', (t) => {
+test('after a power loss all clients are reset within a second of their next packet', (t) => {
   const world = startManyAgents(71);
   world.losePower(800);
   world.runFor(2_200);
   t.is(countReset(world), FLOWS);
 });
 
-test('all processes are killed: every flow goes on, and no packet strays for long', (t) => {
+test('all processes are killed: every flow continues, and soon reaches its target again', (t) => {
   const world = startManyAgents(72);
   [...world.balancers, ...world.agents].forEach(({ process }) => process.kill());
   world.runFor(500);
@@ -46,7 +46,7 @@
   t.is(world.clients.filter(({ state }) => state === 'done').length, FLOWS);
 });
 
-test('agents are rolled while balancers restart: no flow is reset, none strays', (t) => {
+test('agents and balancers restart in turn: no flow is reset, none loses its target for long', (t) => {
   const world = startManyAgents(73);
   world.agents.slice(0, 24).forEach((agent, index) => {
     agent.node.beginStop(() => agent.process.kill());
--- a/test/packet-reports.test.ts
+++ b/test/packet-reports.test.ts
@@ -3,7 +3,7 @@
 import { computeReportInterval, computeSilenceTimeout } from '../src/packets/report-interval';
 import { Subscribers } from '../src/packets/subscribers';
 
-test('reports come the more seldom the more agents there are, within bounds', (t) => {
+test('the report interval grows with the number of agents, within bounds', (t) => {
   t.is(computeReportInterval(0), 250);
   t.is(computeReportInterval(24), 250);
   t.is(computeReportInterval(48), 500);
@@ -11,7 +11,7 @@
   t.is(computeSilenceTimeout(10), 700);
 });
 
-test('each subscriber is reported to at its own pace, as long as it is seen', (t) => {
+test('each subscriber gets reports at its own interval until it expires', (t) => {
   const subscribers = new Subscribers();
   t.true(subscribers.renew(1, 0, 250));
   t.true(subscribers.renew(2, 0, 500));
--- a/test/report-frame.test.ts
+++ b/test/report-frame.test.ts
@@ -1,4 +1,4 @@
-/** Reports with their fields at fixed places. */
+/** Compact encoding of reports. */
 import test from 'ava';
 import fc from 'fast-check';
 import { PacketFrameCodec } from '../src/packets/packet-frames';
@@ -41,7 +41,7 @@
   balancers: fc.array(endpoint, { maxLength: 20 }),
 });
 
-test('any report survives its compact form', (t) => {
+test('any report is unchanged by compact encoding and decoding', (t) => {
   fc.assert(
     fc.property(anyReport, (report) => {
       t.deepEqual(CODEC.decode(CODEC.encodeReport(report)).unwrap(), report);
@@ -53,20 +53,20 @@
 test('a truncated or overlong report, and one of an unknown state, are malformed frames', (t) => {
   const report = createReport({ balancers: [1, 2] });
   const frame = CODEC.encodeReport(report);
-  const head = CODEC.encodeReport(report).subarray(0, 18);
+  const header = CODEC.encodeReport(report).subarray(0, 18);
   const body = frame.subarray(18);
   const wrongState = Buffer.from(body);
   wrongState[1 + 6 + 40] = 77;
   const bodies = [...Array(body.length).keys()].slice(1).map((length) => body.subarray(0, length));
   for (const wrong of [...bodies, Buffer.concat([body, Buffer.from([0])]), wrongState]) {
-    const broken = Buffer.concat([head, wrong]);
+    const broken = Buffer.concat([header, wrong]);
     CODEC['seal'](broken, COMPACT);
     const decoded = CODEC.decode(broken);
     t.is(decoded.err && decoded.val.resultCode, ResultCodes.frameMalformed);
   }
 });
 
-test('counts beyond their width are sent as the largest, long names as a document', (t) => {
+test('counts beyond 32 bits are sent as the maximum, long names as a document', (t) => {
   const huge = CODEC.decode(CODEC.encodeReport(createReport({ flowBytes: 2 ** 40 }))).unwrap();
   t.is((huge as ReportMessage).flowBytes, 2 ** 32 - 1);
   const long = createReport({ zone: 'z'.repeat(255) + 'ü' });
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -1,25 +1,23 @@
 /**
- * The second case of an incident, in another way to it: open flows of one target were reset by balancers
- * of its zone, and the target lived.
+ * Guards against resets of open flows of a target that is only paused.
  *
- * Seen: as told in target-start-unseen.test.ts. How it came about, in these tests: a target stood still
- * for most of a second, as a process on a busy machine may, while new flows came. Two openings without
- * an answer and 0.4 s of silence were taken for its death, and its agent refused the packets of its
- * open flows, so that balancers told the clients that they were dead.
- * Cause: silence was taken for proof. Proved by the same target being left alone without new flows.
+ * A process on a busy machine may pause for most of a second while new flows arrive. An agent that takes
+ * two unanswered opening packets and 0.4 s of silence for the death of its target refuses the packets
+ * of its open flows, and balancers reset them. Only a closed port shows that a target is dead; until
+ * then it just gets no new flows. target-start-unseen.test.ts guards against another cause.
  */
 import test from 'ava';
 import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { TargetLiveness } from '../src/packets/target-liveness';
 
-interface Scene {
+interface SimulatedTarget {
   readonly world: PacketWorld;
   readonly agent: WorldAgent;
 }
 
-/** One map target, so that all new flows go to it. */
-function startScene(seed: number): Scene {
+/** All map targets but one are full, so that all new flows go to that one. */
+function startSimulation(seed: number): SimulatedTarget {
   const world = new PacketWorld(seed);
   startModelDeployment(world);
   world.runFor(4_000);
@@ -33,8 +31,8 @@
 }
 
 for (const stall of [700, 1_500, 2_500]) {
-  test(`flows of a target that stands still for ${stall} ms are not reset`, (t) => {
-    const { world, agent } = startScene(95);
+  test(`flows of a target that pauses for ${stall} ms are not reset`, (t) => {
+    const { world, agent } = startSimulation(95);
     const held = world.clients.filter((client) => world.holderOf(client) === agent);
     t.true(held.length > 3);
     agent.target.stall(stall);
@@ -48,8 +46,8 @@
   });
 }
 
-test('flows of a target that has ended are told so within a second', (t) => {
-  const { world, agent } = startScene(96);
+test('flows of a target that has ended are reset within a second', (t) => {
+  const { world, agent } = startSimulation(96);
   const held = world.clients.filter((client) => world.holderOf(client) === agent);
   agent.target.alive = false;
   for (let index = 0; index < 30; index++) {
@@ -60,30 +58,30 @@
   t.deepEqual([...new Set(held.map(({ state }) => state))], ['reset']);
 });
 
-test('only a refused connection proves a death, and any packet of the target disproves it', (t) => {
+test('only a refused connection proves a target dead, and any packet of it disproves that', (t) => {
   const answers: ((isVacant: boolean) => void)[] = [];
-  let proved = 0;
-  const death = new TargetLiveness(
+  let deaths = 0;
+  const liveness = new TargetLiveness(
     { checkVacant: (answer) => answers.push(answer) },
-    () => void proved++,
+    () => void deaths++,
   );
-  death.probeIfSilent(true, 1_000);
-  death.probeIfSilent(true, 1_100);
-  t.is(answers.length, 1, 'one look at a time');
+  liveness.probeIfSilent(true, 1_000);
+  liveness.probeIfSilent(true, 1_100);
+  t.is(answers.length, 1, 'one probe at a time');
   answers.shift()!(false);
-  t.false(death.isDead);
-  death.probeIfSilent(true, 1_100);
+  t.false(liveness.isDead);
+  liveness.probeIfSilent(true, 1_100);
   t.is(answers.length, 0, 'not at once again');
-  death.probeIfSilent(true, 1_600);
+  liveness.probeIfSilent(true, 1_600);
   answers.shift()!(true);
-  t.true(death.isDead);
-  t.is(proved, 1);
-  death.recordActivity();
-  t.false(death.isDead);
-  death.probeIfSilent(true, 3_000);
-  death.recordActivity();
+  t.true(liveness.isDead);
+  t.is(deaths, 1);
+  liveness.recordActivity();
+  t.false(liveness.isDead);
+  liveness.probeIfSilent(true, 3_000);
+  liveness.recordActivity();
   answers.shift()!(true);
-  t.false(death.isDead, 'it was heard after the look had begun');
-  death.probeIfSilent(false, 4_000);
-  t.is(answers.length, 0, 'no look at a target that is not silent');
+  t.false(liveness.isDead, 'it sent a packet after the probe had started');
+  liveness.probeIfSilent(false, 4_000);
+  t.is(answers.length, 0, 'no probe of a target that is responsive');
 });
--- a/test/support/agent-harness.ts
+++ b/test/support/agent-harness.ts
@@ -1,4 +1,4 @@
-/** A whole agent whose target, clients and balancer are played by the test. */
+/** A complete agent whose target, clients and balancer are simulated by the test. */
 import { packetFormat } from '../../platform/packet-head';
 import { packEndpoint } from '../../src/core/endpoint';
 import { PacketAgent } from '../../src/packets/packet-agent';
@@ -7,7 +7,7 @@
 import { PacketMessageType, type PacketMessage } from '../../src/packets/packet-messages';
 import { VirtualClock } from '../../src/simulation/virtual-clock';
 
-/** Where the agent and the balancer are reached. */
+/** Addresses of the agent and the balancer. */
 export const AGENT = packEndpoint('10.0.0.1', 7_000);
 export const BALANCER = packEndpoint('10.0.0.2', 7_000);
 const CODEC = new PacketFrameCodec([{ id: 1, secret: Buffer.from('a-test-key-of-the-cluster') }]);
@@ -18,7 +18,7 @@
   readonly bytes: Buffer;
 }
 
-/** The agent of one test, with all that it sends. */
+/** The agent of one test, recording everything that it sends. */
 export class AgentHarness {
   readonly clock = new VirtualClock();
   readonly toClient: Arrival[] = [];
@@ -26,7 +26,7 @@
   readonly toNodes: PacketMessage[] = [];
   readonly agent: PacketAgent;
 
-  /** @param settings those that differ from an agent with nothing switched on */
+  /** @param settings settings that differ from those of an agent with all features disabled */
   constructor(settings: Partial<PacketAgentSettings>) {
     this.agent = new PacketAgent(
       {
@@ -64,7 +64,7 @@
     );
   }
 
-  /** The balancer sends the agent a message. */
+  /** Passes a message of the balancer to the agent. */
   receive(message: PacketMessage): void {
     const isSearch = message.type === PacketMessageType.search;
     const frame = isSearch ? CODEC.encodeCompact(message) : CODEC.encode(message);
--- a/test/target-incarnations.test.ts
+++ b/test/target-incarnations.test.ts
@@ -1,4 +1,4 @@
-/** A target that starts again under the name that it had: each start is a life of its own. */
+/** A target that restarts under the same name: each start is a new incarnation. */
 import test from 'ava';
 import { readHeartbeat, serveHeartbeats } from '../platform/target-calls';
 import { packEndpoint } from '../src/core/endpoint';
@@ -9,9 +9,10 @@
 import { fetchStatus } from './support/fetch-status';
 import { NO_VIOLATIONS } from './support/violations';
 
-const INTERVAL = 1_000;
+const INTERVAL_MS = 1_000;
 const EARLIER = 1_796_000_000_000;
 const LATER = EARLIER + 20_000;
+
 function createHeartbeat(fields: Partial<TargetHeartbeat>): TargetHeartbeat {
   const state = { service: 'map', slots: 4, draining: false, coldLeft: 0, sequence: 1 };
   return { incarnation: 'i-1', ...state, ...fields };
@@ -19,7 +20,7 @@
 
 /** An agent whose target has sent six heartbeats and drains. */
 function startDraining(): TargetLifecycle {
-  const agent = new TargetLifecycle('map', INTERVAL, 0);
+  const agent = new TargetLifecycle('map', INTERVAL_MS, 0);
   for (let sequence = 1; sequence <= 6; sequence++) {
     agent.applyHeartbeat(
       createHeartbeat({ born: EARLIER, sequence, draining: sequence > 4 }),
@@ -29,7 +30,7 @@
   return agent;
 }
 
-test('a later life begins anew, whatever the earlier one has said', (t) => {
+test('a later incarnation starts afresh, whatever the earlier one has sent', (t) => {
   const agent = startDraining();
   t.is(agent.state, TargetState.draining);
   const later = createHeartbeat({ born: LATER, sequence: 1, slots: 7, coldLeft: 900 });
@@ -37,10 +38,10 @@
   t.is(agent.state, TargetState.ready);
   t.is(agent.slots, 7);
   t.is(agent.coldLeft(12_000), 900);
-  t.true(agent.isKnownFromStart, 'this agent was there when it began');
+  t.true(agent.isKnownFromStart, 'this agent was running when it started');
 });
 
-test('a late heartbeat of the earlier life changes nothing', (t) => {
+test('a late heartbeat of the earlier incarnation changes nothing', (t) => {
   const agent = startDraining();
   agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 1 }), 12_000);
   t.is(
@@ -52,15 +53,15 @@
   t.is(agent.born, LATER);
 });
 
-test('so it is after the agent was restarted, in either order', (t) => {
-  const restarted = new TargetLifecycle('map', INTERVAL, 0);
+test('the same holds after a restart of the agent, in either order', (t) => {
+  const restarted = new TargetLifecycle('map', INTERVAL_MS, 0);
   restarted.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_000);
   t.is(
     restarted.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_100),
     'incarnation',
   );
   t.is(restarted.state, TargetState.ready);
-  const other = new TargetLifecycle('map', INTERVAL, 0);
+  const other = new TargetLifecycle('map', INTERVAL_MS, 0);
   other.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 3 }), 20_000);
   t.is(
     other.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 9, draining: true }), 20_100),
@@ -69,7 +70,7 @@
   t.is(other.state, TargetState.ready);
 });
 
-test('leaving is said of one life', (t) => {
+test('a shutdown is announced for one incarnation', (t) => {
   const agent = startDraining();
   t.is(agent.applyLeave({ incarnation: 'i-1', born: EARLIER }), 'state');
   t.is(agent.state, TargetState.gone);
@@ -79,17 +80,17 @@
   t.is(
     agent.applyLeave({ incarnation: 'i-1', born: EARLIER }),
     'none',
-    'said late, of the earlier one',
+    'announced late, for the earlier one',
   );
   t.is(agent.state, TargetState.ready);
   t.is(
     agent.applyLeave({ incarnation: 'i-1' }),
     'state',
-    'without a start it is said of the present one',
+    'without a start time it applies to the current one',
   );
 });
 
-test('a later life may belong to another service', (t) => {
+test('a later incarnation may belong to another service', (t) => {
   const agent = startDraining();
   t.is(
     agent.applyHeartbeat(createHeartbeat({ born: LATER, service: 'tiles' }), 12_000),
@@ -99,8 +100,8 @@
   t.false(agent.isServiceDisputed);
 });
 
-test('a target whose clock has gone back is believed once it is heard again', (t) => {
-  const agent = new TargetLifecycle('map', INTERVAL, 0);
+test('a target whose clock was set back is accepted after another heartbeat', (t) => {
+  const agent = new TargetLifecycle('map', INTERVAL_MS, 0);
   agent.applyHeartbeat(createHeartbeat({ born: LATER, sequence: 8 }), 10_000);
   t.is(agent.applyHeartbeat(createHeartbeat({ born: EARLIER, sequence: 1 }), 11_500), 'none');
   t.is(
@@ -110,8 +111,8 @@
   t.is(agent.born, EARLIER);
 });
 
-test('targets that do not tell their start are as before, and one may begin to tell it', (t) => {
-  const agent = new TargetLifecycle('map', INTERVAL, 0);
+test('targets may send no start time, and one may begin to send it', (t) => {
+  const agent = new TargetLifecycle('map', INTERVAL_MS, 0);
   t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 4, draining: true }), 10_000), 'state');
   t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 2 }), 10_100), 'none');
   t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 5, born: EARLIER }), 11_000), 'none');
@@ -119,7 +120,7 @@
   t.is(agent.applyHeartbeat(createHeartbeat({ sequence: 1, born: LATER }), 12_000), 'incarnation');
 });
 
-test('the adapter reads the start of heartbeats, and of a target that leaves', async (t) => {
+test('the adapter reads the start time of heartbeats and of shutdown announcements', async (t) => {
   const text = JSON.stringify({ service: 'map', slots: 4, state: 'ready', seq: 1, born: EARLIER });
   t.is(readHeartbeat('i-1', text)!.born, EARLIER);
   t.is(readHeartbeat('i-1', text.replace(`,"born":${EARLIER}`, ''))!.born, undefined);
@@ -149,23 +150,23 @@
   }
 }
 
-/** The target beside an agent crashes and starts again under its name. */
+/** Crashes an agent's target and restarts it under its name. */
 function restartTarget(
   world: PacketWorld,
   agent: WorldAgent,
-  away: number,
+  downTime: number,
   service?: string,
 ): void {
   const { id } = agent.target.life;
   agent.target.alive = false;
-  world.runFor(away);
+  world.runFor(downTime);
   world.startTarget(agent, service, id);
 }
 
-for (const drains of [false, true]) {
+for (const isDraining of [false, true]) {
   for (const restartsAgent of [false, true]) {
-    const how = `${drains ? 'draining' : 'ready'}, agent ${restartsAgent ? 'restarted' : 'goes on'}`;
-    test(`a target that was ${how}, gets flows in its next life, and no promise is broken`, (t) => {
+    const how = `${isDraining ? 'draining' : 'ready'}, agent ${restartsAgent ? 'restarted' : 'running'}`;
+    test(`a target that was ${how}, gets flows after its restart, and no guarantee is violated`, (t) => {
       for (let seed = 80; seed < 84; seed++) {
         const world = new PacketWorld(seed);
         startModelDeployment(world);
@@ -173,7 +174,7 @@
         const [agent] = world.agents;
         openFlows(world, 40);
         world.runFor(600);
-        if (drains) {
+        if (isDraining) {
           world.drain(agent!);
           world.runFor(1_000);
         }
@@ -188,8 +189,8 @@
         world.runFor(3_500);
         openFlows(world, 60);
         world.runFor(3_000);
-        t.true(agent!.target.requestsRun > 0, `seed ${seed}: the next life gets flows`);
-        // Flows of the next life are found by balancers that know nothing.
+        t.true(agent!.target.requestsRun > 0, `seed ${seed}: the next incarnation gets flows`);
+        // Restarted balancers without state find the flows of the next incarnation.
         world.balancers.forEach((balancer) => world.startBalancer(balancer));
         world.runFor(8_000);
         t.deepEqual(world.violations, NO_VIOLATIONS, `seed ${seed}`);
@@ -198,7 +199,7 @@
   }
 }
 
-test('flows of the earlier life are told to be dead soon', (t) => {
+test('flows of the earlier incarnation are reset soon', (t) => {
   const world = new PacketWorld(85);
   startModelDeployment(world);
   world.runFor(4_000);
--- a/test/target-start-unseen.test.ts
+++ b/test/target-start-unseen.test.ts
@@ -1,14 +1,11 @@
 /**
- * The second case of an incident: several open flows of one target were reset by balancers of its zone.
+ * Guards against resets of open flows of a running target.
  *
- * Seen: the target and its agent were well, and had been for seconds; other agents had started twice
- * within a second shortly before. How it came about, in these tests: a target took its first flows
- * before its agent knew that it was another start of a target, or through an earlier run of its agent.
- * The agent then told searches for sure that the target held none of them, and once the balancers had
- * lost their notes, they told the clients that the flows were dead.
- * Cause: an agent concluded that it knew all flows of its target from a heartbeat alone, which says how
- * old the target is and not what passed before. Proved by the same flows being kept where targets are
- * asked themselves (a deployment that does not say how long targets are slow).
+ * A target accepts its first flows before its agent knows of the new start, or through an earlier
+ * incarnation of its agent. An agent that concludes from a heartbeat alone that it has seen all flows of
+ * its target then denies holding them in conclusive searches, and balancers that have lost their caches
+ * reset the flows. A heartbeat shows only the age of the target, not what was forwarded before. Where
+ * no cold time is configured the agent offers the packets to its target, and the flows are kept.
  */
 import test, { type ExecutionContext } from 'ava';
 import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
@@ -16,20 +13,20 @@
 
 const FLOWS = 60;
 
-interface Scene {
+interface SimulatedAgent {
   readonly world: PacketWorld;
   readonly agent: WorldAgent;
 }
 
-function startScene(seed: number): Scene {
+function startSimulation(seed: number): SimulatedAgent {
   const world = new PacketWorld(seed);
   startModelDeployment(world);
   world.runFor(5_000);
   return { world, agent: world.agents[0]! };
 }
 
-/** A heartbeat of an agent's present target; `age` is how long it has run by its own word. */
-function sendHeartbeat({ world, agent }: Scene, age: number, sequence: number): void {
+/** Sends a heartbeat of the agent's current target that reports an age in milliseconds. */
+function sendHeartbeat({ world, agent }: SimulatedAgent, age: number, sequence: number): void {
   const { service, draining } = agent.target;
   const { id: incarnation, born } = agent.target.life;
   const coldLeft = world.coldTime - age;
@@ -37,14 +34,14 @@
 }
 
 /** @param pause milliseconds between two requests of a flow */
-function openFlows({ world }: Scene, pause: number): void {
+function openFlows({ world }: SimulatedAgent, pause: number): void {
   for (let index = 0; index < FLOWS; index++) {
     world.openFlow(MAP_DESTINATION, 60, pause);
   }
 }
 
-/** All balancers lose what they know; the flows of the agent's target must go on. */
-function checkFlowsAreFound(t: ExecutionContext, { world, agent }: Scene): void {
+/** Restarts all balancers without state; the flows of the agent's target must continue. */
+function checkFlowsAreFound(t: ExecutionContext, { world, agent }: SimulatedAgent): void {
   t.true(agent.target.flows.size > 0, 'the target has flows');
   world.balancers.forEach((balancer) => world.startBalancer(balancer));
   world.runFor(3_000);
@@ -52,32 +49,32 @@
 }
 
 test('flows that opened before the first heartbeat of a new target are found', (t) => {
-  const scene = startScene(71);
-  const { world, agent } = scene;
+  const simulation = startSimulation(71);
+  const { world, agent } = simulation;
   agent.heartbeats = false;
   world.startTarget(agent);
   world.runFor(50);
-  openFlows(scene, 1_500);
+  openFlows(simulation, 1_500);
   world.runFor(800);
-  sendHeartbeat(scene, 850, 2);
+  sendHeartbeat(simulation, 850, 2);
   world.runFor(300);
-  checkFlowsAreFound(t, scene);
+  checkFlowsAreFound(t, simulation);
 });
 
-test('flows that opened through an earlier run of the agent are found', (t) => {
-  const scene = startScene(72);
-  const { world, agent } = scene;
+test('flows that opened through an earlier incarnation of the agent are found', (t) => {
+  const simulation = startSimulation(72);
+  const { world, agent } = simulation;
   agent.heartbeats = false;
   world.startTarget(agent);
-  sendHeartbeat(scene, 0, 1);
+  sendHeartbeat(simulation, 0, 1);
   world.runFor(50);
-  openFlows(scene, 60);
+  openFlows(simulation, 60);
   world.runFor(400);
   agent.process.kill();
   world.runFor(250);
   world.startAgent(agent);
   world.runFor(60);
-  sendHeartbeat(scene, 760, 3);
+  sendHeartbeat(simulation, 760, 3);
   world.runFor(300);
-  checkFlowsAreFound(t, scene);
+  checkFlowsAreFound(t, simulation);
 });
