--- a/src/packets/agent-selection.ts
+++ b/src/packets/agent-selection.ts
@@ -1,4 +1,4 @@
-/** Chooses the agent for a new flow, by the rule that the settings name (docs/design/choice.md). */
+/** Selects the agent for a new flow by the configured rule (docs/design/choice.md). */
 import type { AgentEntry } from './agent-directory';
 import { selectLeastWait } from './choice/expected-wait';
 import { selectLeastLoaded } from './choice/least-load';
@@ -7,8 +7,8 @@
 export { acceptsNewFlows, type Choice, type SelectionContext } from './choice/selection';
 
 /**
- * The best of the first agents that take new flows, or undefined when none takes any.
- * @param ordered agents in the order that belongs to the flow
+ * Selects the best of the first agents that accept new flows; undefined when none does.
+ * @param ordered agents in the candidate order of the flow
  */
 export function selectAgent(
   ordered: readonly AgentEntry[],
--- a/src/packets/agent-subscriptions.ts
+++ b/src/packets/agent-subscriptions.ts
@@ -1,4 +1,4 @@
-/** A balancer's requests for reports: often at agents that are silent, else now and then. */
+/** A balancer's subscriptions to the reports of agents, renewed faster at agents that do not report. */
 import type { Endpoint } from '../environment';
 import type { AgentDirectory, AgentEntry } from './agent-directory';
 import {
@@ -15,62 +15,68 @@
 } from './packet-messages';
 import { computeReportInterval } from './report-interval';
 
-/** Milliseconds between subscriptions at an agent that is heard. */
+/** Interval between subscriptions at an agent that reports. */
 const SUBSCRIPTION_INTERVAL_MS = 2_000;
-/** A long silent agent is asked at the slower pace again. */
+/** Time without a report after which an agent gets subscriptions at the slower interval again. */
 const FAST_RETRY_PERIOD_MS = 10_000;
-/** Timers fire a little early or late. */
+/** Tolerance for timers that fire early or late. */
 const TIMER_TOLERANCE_MS = 1;
 
-/** Milliseconds between subscriptions at an agent that is silent; how often to call `run`. */
+/** Interval between subscriptions at an agent without a recent report; also that of calls to `sendDue`. */
 export const FAST_RETRY_INTERVAL_MS = 100;
 
-/** Sends one subscription to many. */
+/** Sends one subscription to several agents. */
 export type SubscriptionSender = (agents: readonly Endpoint[], message: SubscribeMessage) => void;
 
-/** What subscriptions say of the store's eras; as in {@link SubscribeMessage}. */
+/** The fields of a {@link SubscribeMessage} about the store's eras. */
 export type SubscriptionEras = Pick<SubscribeMessage, 'storeEra' | 'asksEra'>;
 
-/** What one subscription says; agents that are told the same get the same datagram. */
+/** Content of a subscription; agents with the same content get the same datagram. */
 interface SubscriptionContent {
   readonly listing: ListingStateValue;
-  readonly includesNews: boolean;
+  readonly includesState: boolean;
 }
 
 /** Subscriptions of one balancer. */
 export class AgentSubscriptions {
   private readonly subscribedAt = new Map<Endpoint, number>();
-  private readonly ledger = new SentStateTracker();
+  private readonly sentStates = new SentStateTracker();
 
   constructor(
     private readonly zone: string,
     private readonly directory: AgentDirectory,
     private readonly send: SubscriptionSender,
-    private readonly news: () => DeploymentState,
-    /** What the balancer knows of the store's eras. */
-    private readonly eras: () => SubscriptionEras,
+    private readonly getDeploymentState: () => DeploymentState,
+    /** Returns what the balancer knows about the store's eras. */
+    private readonly getEras: () => SubscriptionEras,
   ) {}
 
   /**
-   * Subscribes wherever it is due.
-   * @param isRecent whether what is known of the registry is recent
+   * Sends all subscriptions that are due.
+   * @param isRecent whether the view of the registry is recent
    */
   sendDue(now: number, isRecent: boolean): void {
-    const news = this.news();
+    const deploymentState = this.getDeploymentState();
     const isRegistryKnown = isRecent && this.directory.isComplete;
     const due = new DueSubscriptions();
     for (const entry of this.directory.getAll()) {
       if (this.isDue(entry, now)) {
         this.subscribedAt.set(entry.address, now);
         const listing = determineListing(entry, isRegistryKnown);
-        const tellsNews = this.ledger.markSentIfDue(entry.address, entry.report?.run, news);
-        due.add({ listing, includesNews: tellsNews }, entry.address);
+        const includesState = this.sentStates.markSentIfDue(
+          entry.address,
+          entry.report?.run,
+          deploymentState,
+        );
+        due.add({ listing, includesState }, entry.address);
       }
     }
-    due.forEach((content, agents) => this.send(agents, this.createMessage(content, news)));
+    due.forEach((content, agents) =>
+      this.send(agents, this.createMessage(content, deploymentState)),
+    );
   }
 
-  /** Makes subscriptions due at once at the agents of some zones. */
+  /** Makes subscriptions at the agents of some zones due at once. */
   makeDueInZones(zones: readonly string[]): void {
     for (const { address, zone } of this.directory.getAll()) {
       if (zones.includes(zone)) {
@@ -79,24 +85,24 @@
     }
   }
 
-  /** Makes subscriptions due at once at all agents. */
+  /** Makes subscriptions at all agents due at once. */
   makeAllDue(): void {
     this.subscribedAt.clear();
   }
 
-  /** Drops what is noted of agents that are no longer known. */
+  /** Removes the records of agents that are no longer known. */
   expire(): void {
     for (const address of this.subscribedAt.keys()) {
       if (!this.directory.find(address)) {
         this.subscribedAt.delete(address);
       }
     }
-    this.ledger.removeUnknownAgents((agent) => this.directory.find(agent) !== undefined);
+    this.sentStates.removeUnknownAgents((agent) => this.directory.find(agent) !== undefined);
   }
 
   private createMessage(
-    { listing, includesNews: tellsNews }: SubscriptionContent,
-    news: DeploymentState,
+    { listing, includesState }: SubscriptionContent,
+    deploymentState: DeploymentState,
   ): SubscribeMessage {
     return {
       type: PacketMessageType.subscribe,
@@ -104,22 +110,22 @@
       interval: computeReportInterval(this.directory.size),
       listing,
       frameVersion: HOP_REPAIR_VERSION,
-      ...this.eras(),
-      ...(tellsNews ? news : UNKNOWN_DEPLOYMENT_STATE),
+      ...this.getEras(),
+      ...(includesState ? deploymentState : UNKNOWN_DEPLOYMENT_STATE),
     };
   }
 
-  /** An agent that has begun another run is told the news at once. */
+  /** Whether a subscription is due; at once for an agent that has restarted, which needs the deployment state. */
   private isDue(entry: AgentEntry, now: number): boolean {
     const last = this.subscribedAt.get(entry.address) ?? -Infinity;
-    const isOver = now - last >= this.getInterval(entry, now) - TIMER_TOLERANCE_MS;
-    return isOver || this.ledger.hasNewRun(entry.address, entry.report?.run);
+    const isIntervalOver = now - last >= this.getInterval(entry, now) - TIMER_TOLERANCE_MS;
+    return isIntervalOver || this.sentStates.hasNewRun(entry.address, entry.report?.run);
   }
 
   private getInterval(entry: AgentEntry, now: number): number {
     const silence = now - (entry.heardAt ?? entry.knownSince);
-    const knocking = !this.directory.isHeard(entry, now) && silence < FAST_RETRY_PERIOD_MS;
-    return knocking ? FAST_RETRY_INTERVAL_MS : SUBSCRIPTION_INTERVAL_MS;
+    const isFastRetry = !this.directory.isHeard(entry, now) && silence < FAST_RETRY_PERIOD_MS;
+    return isFastRetry ? FAST_RETRY_INTERVAL_MS : SUBSCRIPTION_INTERVAL_MS;
   }
 }
 
@@ -130,7 +136,7 @@
   return entry.registryRevision === undefined ? ListingState.missing : ListingState.listed;
 }
 
-/** Agents that are due for a subscription, by what it says. */
+/** Agents due for a subscription, grouped by its content. */
 class DueSubscriptions {
   private readonly groups: {
     readonly content: SubscriptionContent;
@@ -138,9 +144,10 @@
   }[] = [];
 
   add(content: SubscriptionContent, agent: Endpoint): void {
-    const { listing, includesNews: tellsNews } = content;
+    const { listing, includesState } = content;
     const group = this.groups.find(
-      (one) => one.content.listing === listing && one.content.includesNews === tellsNews,
+      (candidate) =>
+        candidate.content.listing === listing && candidate.content.includesState === includesState,
     );
     if (group) {
       group.agents.push(agent);
--- a/src/packets/client-packet-handler.ts
+++ b/src/packets/client-packet-handler.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent does with clients' packets: it hands them to its target or lets them wait, passes a
- * search on, and tells balancers what the target did not take.
+ * An agent's handling of clients' packets: delivers them to its target or queues them, forwards
+ * searches, and notifies balancers of packets that the target refused.
  */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
@@ -31,11 +31,11 @@
 
 const TOKEN_RANGE = 2 ** 32;
 
-/** What the intake works with. */
+/** Dependencies of the client packet handler. */
 export interface ClientPacketHandlerDependencies {
   readonly environment: Environment;
   readonly format: PacketFormat;
-  /** Whether a flow is recognised by the handshake that its packet ends. */
+  /** Whether a flow is recognized by the packet that completes its handshake. */
   readonly recognizesHandshakes: boolean;
   readonly admission: TargetAdmission;
   readonly answers: AnswerRepair;
@@ -47,18 +47,18 @@
   readonly link: PacketLink;
   readonly target: TargetLifecycle;
   readonly tracker: FlowTracker;
-  /** Whether there is no target beside this agent, as far as it has looked. */
+  /** Whether the agent has found no target on its machine. */
   isTargetMissing(): boolean;
-  /** The agent's state, which may differ from its target's. */
+  /** Returns the agent's state, which may differ from its target's. */
   state(): TargetStateValue;
-  /** An opening packet or a request has gone to the target, or waits for it. */
+  /** Records that an opening packet or a request was sent to the target or queued for it. */
   recordLoad(): void;
-  /** A balancer has sent a packet: it is there. */
+  /** Records a balancer that has sent a packet. */
   recordBalancer(balancer: Endpoint): void;
   sendToTarget(packet: Buffer): void;
 }
 
-/** The intake of one agent. */
+/** Handles the clients' packets of one agent. */
 export class ClientPacketHandler {
   private readonly pending: PendingDeliveries;
 
@@ -67,9 +67,9 @@
     this.pending = new PendingDeliveries(Math.floor(environment.random() * TOKEN_RANGE));
   }
 
-  /** Takes a client's packet from a balancer. */
+  /** Handles a client's packet from a balancer. */
   handleDelivery(message: DeliverMessage, balancer: Endpoint): void {
-    const { answers, recordBalancer: recordBalancer } = this.dependencies;
+    const { answers, recordBalancer } = this.dependencies;
     const packet = this.decodeFromClient(message.payload);
     if (!packet) {
       return;
@@ -84,7 +84,7 @@
     this.admit(packet, balancer, message.searchId);
   }
 
-  /** Takes the packet of a search if this agent's target holds its flow, or passes it on. */
+  /** Handles a search: accepts its packet if this agent's target holds the flow, or forwards it. */
   handleSearch(message: SearchMessage): void {
     const { answers, link, tracker } = this.dependencies;
     const { balancer, searchId } = message;
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Tells a balancer that the target holds a flow, if it does; says nothing else. */
+  /** Notifies a balancer that the target holds a flow; sends nothing if it does not. */
   confirmIfHeld(flow: Buffer, balancer: Endpoint): void {
     const { link, tracker } = this.dependencies;
     if (tracker.confirmHeldFor(flow.toString('latin1'), balancer)) {
@@ -118,12 +118,12 @@
     }
   }
 
-  /** Hands an admitted packet to the target. */
+  /** Sends an admitted packet to the target. */
   deliverAdmitted(packet: FlowPacket, balancer: Endpoint, searchId: number): void {
     this.sendPacketToTarget(packet, balancer, this.pending.add(balancer, searchId));
   }
 
-  /** The target has returned a client's packet: it does not hold the flow, or cannot take it. */
+  /** Handles a client's packet that the target rejected: it does not hold the flow, or cannot accept it. */
   handleReturned(packet: FlowPacket): void {
     const { admission, answers, counters, environment, format, health, tracker } =
       this.dependencies;
@@ -150,7 +150,7 @@
     }
   }
 
-  /** The target is down: clients whose requests wait for it are told now. */
+  /** Refuses all queued requests when the target is down. */
   refuseQueued(): void {
     for (const { packet, searchId, balancer } of this.dependencies.admission.takeAll()) {
       this.refuse(packet, searchId, balancer, RefusalReason.targetDown);
@@ -165,14 +165,14 @@
     return isTargetMissing() ? RefusalReason.noTarget : guard.findRefusalReason(opens, services);
   }
 
-  /** Whether the target holds a packet's flow, or will as soon as it has this packet. */
+  /** Whether the target holds a packet's flow, or will once it has received this packet. */
   private isHolderFor(packet: FlowPacket, balancer: Endpoint): boolean {
-    const { recognizesHandshakes: recognizesHandshakes, tracker } = this.dependencies;
+    const { recognizesHandshakes, tracker } = this.dependencies;
     const isHeld = tracker.confirmHeldFor(packet.flow, balancer);
     return isHeld || (recognizesHandshakes && tracker.confirmOpenedBy(packet, balancer));
   }
 
-  /** Whether only the target itself can tell if it holds a searched packet's flow. */
+  /** Whether a search must offer its packet to the target to learn if it holds the flow. */
   private mustOffer(phase: SearchPhaseValue, { flow }: FlowPacket): boolean {
     const { target, tracker } = this.dependencies;
     switch (phase) {
@@ -186,7 +186,7 @@
     }
   }
 
-  /** Hands a search to the next agent, or its outcome to the balancer. */
+  /** Forwards a search to the next agent, or its outcome to the balancer. */
   private forwardSearch(message: SearchMessage): void {
     const { link } = this.dependencies;
     const step = determineNextStep(message);
@@ -210,7 +210,7 @@
   }
 
   private admit(packet: FlowPacket, balancer: Endpoint, searchId: number): void {
-    const { admission, counters, environment, recordLoad: recordLoad } = this.dependencies;
+    const { admission, counters, environment, recordLoad } = this.dependencies;
     if (admission.admit(packet, balancer, searchId, environment.now())) {
       counters.requestsQueued++;
     }
--- a/src/packets/delayed-deliveries.ts
+++ b/src/packets/delayed-deliveries.ts
@@ -1,17 +1,17 @@
 /**
- * Packets for agents that are away for a moment, kept so that they reach the target as
- * soon as the agent is back instead of with the client's next copy. Bounded in number
- * and age; what is dropped here the client repeats anyway.
+ * Packets for agents that are briefly unresponsive, retained so that they reach the target as soon
+ * as the agent reports again instead of with the client's next retransmission. Bounded in number
+ * and age; the client retransmits dropped packets anyway.
  */
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 import type { DeliverMessage, SearchMessage } from './packet-messages';
 
-/** A message that brings an agent a client's packet. */
+/** A message that carries a client's packet to an agent. */
 export type DelayableMessage = DeliverMessage | SearchMessage;
 
 const MAXIMUM_PER_AGENT = 256;
-/** Milliseconds: clients repeat at the latest after so long. */
+/** Maximum age of a retained packet: clients retransmit within this time. */
 const MAXIMUM_AGE_MS = 1_600;
 
 interface DelayedDelivery {
@@ -20,11 +20,11 @@
   readonly since: number;
 }
 
-/** Packets by the agent they wait for. */
+/** Delayed packets by agent. */
 export class DelayedDeliveries {
   private readonly waiting = new Map<Endpoint, DelayedDelivery[]>();
 
-  /** Keeps a packet; the oldest one of the agent is dropped when there are too many. */
+  /** Retains a packet; drops the oldest one of the agent beyond the limit. */
   add(agent: Endpoint, flow: FlowKey, message: DelayableMessage, now: number): void {
     const list = this.waiting.get(agent) ?? [];
     this.waiting.set(agent, list);
@@ -34,25 +34,25 @@
     }
   }
 
-  /** Drops what waits of a flow that an agent does not hold. */
+  /** Drops the packets of a flow that an agent does not hold. */
   removeFlow(agent: Endpoint, flow: FlowKey): void {
     const list = this.waiting.get(agent);
     if (list) {
       this.waiting.set(
         agent,
-        list.filter((one) => one.flow !== flow),
+        list.filter((delivery) => delivery.flow !== flow),
       );
     }
   }
 
-  /** Takes out what waits for an agent and is not too old. */
+  /** Removes the packets of an agent and returns those that have not expired. */
   take(agent: Endpoint, now: number): DelayableMessage[] {
     const list = this.waiting.get(agent) ?? [];
     this.waiting.delete(agent);
     return list.filter(({ since }) => now - since <= MAXIMUM_AGE_MS).map(({ message }) => message);
   }
 
-  /** Drops what is too old. */
+  /** Removes the packets of agents whose newest one has expired. */
   expire(now: number): void {
     for (const [agent, list] of this.waiting) {
       const newest = list.at(-1);
--- a/src/packets/delivery-rules.ts
+++ b/src/packets/delivery-rules.ts
@@ -1,4 +1,4 @@
-/** The agent's last word: whether its target may get a packet. */
+/** The rules by which an agent decides whether its target may get a packet. */
 import {
   RefusalReason,
   TargetState,
@@ -6,26 +6,26 @@
   type TargetStateValue,
 } from './packet-messages';
 
-/** What is known of the target when a packet arrives for it. */
+/** Condition of the target when a packet arrives for it. */
 export interface TargetCondition {
   readonly service: string;
   readonly state: TargetStateValue;
-  /** It has left every opening packet without an answer of late, and may stand still only. */
+  /** It has answered no recent opening packet, and may only be paused. */
   readonly isDown: boolean;
-  /** Nobody listens at its address any more: it holds no flow. */
+  /** No process listens at its address any more: it holds no flow. */
   readonly isDead: boolean;
-  /** It is down or dead, and may be tried with an opening packet now. */
+  /** It is down or dead, and may be probed with an opening packet now. */
   readonly isProbeDue: boolean;
-  /** Another incarnation, of another service, may have taken its place. */
+  /** Another incarnation, of another service, may have replaced it. */
   readonly isServiceDisputed: boolean;
-  /** Its zone is out of service. */
+  /** Its zone is evacuated. */
   readonly isEvacuated: boolean;
-  /** It may be cold, and has got as many new flows of late as it then bears. */
+  /** It may be warming up, and has recently got as many new flows as it can handle then. */
   readonly isAtColdLimit: boolean;
 }
 
 /**
- * Why the target must not get a packet; undefined when it may.
+ * Finds the reason why the target must not get a packet; undefined when it may.
  * @param opens whether the packet asks for a new flow
  * @param services services that the packet's route allows
  */
@@ -43,7 +43,7 @@
   return target.isDead ? RefusalReason.targetDown : undefined;
 }
 
-/** Why the target must not get a new flow; undefined when it may. */
+/** Finds the reason why the target must not get a new flow; undefined when it may. */
 function findOpeningRefusalReason(target: TargetCondition): RefusalReasonValue | undefined {
   if ((target.isDown || target.isDead) && !target.isProbeDue) {
     return RefusalReason.targetDown;
--- a/src/packets/flow-cache.ts
+++ b/src/packets/flow-cache.ts
@@ -1,23 +1,22 @@
 /**
- * Which agent holds which flow, as a balancer has learnt it. Only a short cut: what is
- * missing or wrong here is found by asking the agents. Bounded; the least recently used
- * flow is dropped first.
+ * A bounded LRU cache of the holders of flows, as a balancer has learnt them. Missing or wrong
+ * entries are resolved by a search among the agents.
  */
 import type { Endpoint } from '../environment';
 import { createFlowRequestCount, type FlowRequestCount } from './choice/route-request-statistics';
 import type { FlowKey } from './flow-packet';
 
-/** What a balancer knows of one flow. */
+/** What a balancer knows about one flow. */
 export interface CachedFlow {
-  /** The agent that holds the flow, or that was sent its latest opening packet. */
+  /** The agent that holds the flow, or that got its latest opening packet. */
   agent: Endpoint;
-  /** An agent has said that its target holds the flow. */
+  /** Whether an agent has confirmed that its target holds the flow. */
   isConfirmed: boolean;
-  /** Service chosen when the flow opened here; undefined for a flow that was learnt. */
+  /** Service chosen when this balancer opened the flow; undefined for a flow that it found. */
   readonly service: string | undefined;
-  /** Agents that were sent an opening packet and have not refused it. */
+  /** Agents that got an opening packet and have not refused it. */
   readonly offeredTo: Set<Endpoint>;
-  /** Its requests, as far as they have passed here. */
+  /** Usage by requests that passed through this balancer. */
   readonly usage: FlowRequestCount;
   usedAt: number;
 }
@@ -27,8 +26,8 @@
   private readonly flows = new Map<FlowKey, CachedFlow>();
 
   /**
-   * @param capacity flows kept at most
-   * @param lifetime milliseconds after its last use at which a flow is dropped
+   * @param capacity maximum number of flows
+   * @param lifetime time after its last use at which a flow expires, in milliseconds
    */
   constructor(
     private readonly capacity: number,
@@ -39,7 +38,7 @@
     return this.flows.size;
   }
 
-  /** A flow, which counts as used now. */
+  /** Returns a flow and marks it as used; undefined when unknown or expired. */
   get(key: FlowKey, now: number): CachedFlow | undefined {
     const flow = this.flows.get(key);
     if (!flow) {
@@ -54,12 +53,12 @@
     return flow;
   }
 
-  /** Notes that an opening packet went to an agent. */
+  /** Records that an opening packet was sent to an agent. */
   recordOpening(key: FlowKey, agent: Endpoint, service: string, now: number): void {
-    const known = this.get(key, now);
-    if (known) {
-      known.agent = known.isConfirmed ? known.agent : agent;
-      known.offeredTo.add(agent);
+    const cached = this.get(key, now);
+    if (cached) {
+      cached.agent = cached.isConfirmed ? cached.agent : agent;
+      cached.offeredTo.add(agent);
       return;
     }
     const offeredTo = new Set([agent]);
@@ -68,18 +67,18 @@
       agent,
       isConfirmed: false,
       service,
-      offeredTo: offeredTo,
-      usage: usage,
+      offeredTo,
+      usage,
       usedAt: now,
     });
   }
 
-  /** Notes that an agent's target holds the flow. */
+  /** Records that an agent's target holds the flow. */
   confirm(key: FlowKey, agent: Endpoint, now: number): void {
-    const known = this.get(key, now);
-    if (known) {
-      known.agent = agent;
-      known.isConfirmed = true;
+    const cached = this.get(key, now);
+    if (cached) {
+      cached.agent = agent;
+      cached.isConfirmed = true;
       return;
     }
     const flow: CachedFlow = {
@@ -93,7 +92,7 @@
     this.insert(key, flow);
   }
 
-  /** An agent's target does not hold the flow. */
+  /** Removes an agent that does not hold the flow; falls back to another that was offered it. */
   invalidate(key: FlowKey, agent: Endpoint): void {
     const flow = this.flows.get(key);
     if (!flow) {
@@ -112,7 +111,7 @@
     flow.isConfirmed = false;
   }
 
-  /** Drops flows that have not been used for their lifetime. */
+  /** Removes expired flows. */
   expire(now: number): void {
     for (const [key, flow] of this.flows) {
       if (now - flow.usedAt <= this.lifetime) {
--- a/src/packets/flow-candidates.ts
+++ b/src/packets/flow-candidates.ts
@@ -1,11 +1,11 @@
 /**
- * The order of agents that belongs to a flow, the same at every balancer of a zone.
+ * The candidate order of agents for a flow, the same at every balancer of a zone.
  *
- * New flows go to the least loaded of the first few, and a search asks those first. So a
- * balancer that has never seen a flow finds its agent among a few, however many there are,
- * and keeps nothing for that (rendezvous hashing; D. G. Thaler and C. V. Ravishankar, 1998).
- * The least loaded of a few chosen at random is nearly as good as that of all, and better where
- * loads are known late (M. Mitzenmacher, "How useful is old information?", 2000).
+ * New flows go to the least loaded of the first few, and a search queries those first. So a
+ * balancer that has never seen a flow finds its agent among a few, however many there are, and
+ * without stored state (rendezvous hashing; D. G. Thaler and C. V. Ravishankar, 1998). The
+ * least loaded of a few random agents is nearly as good as the least loaded of all, and better
+ * when load data is stale (M. Mitzenmacher, "How useful is old information?", 2000).
  */
 import { hashText } from '../core/hashing';
 import type { Endpoint } from '../environment';
@@ -13,21 +13,21 @@
 
 /**
  * Agents among which a new flow is placed: with a quarter of all slots busy, one in a million
- * flows finds all of ten busy.
+ * flows finds all ten of them busy.
  */
 export const CANDIDATE_COUNT = 10;
-/** Of five candidates in a row this many are of the balancer's zone: sending across zones costs. */
+/** Candidates from the balancer's own zone in every five: traffic between zones is costly. */
 const OWN_ZONE_SHARE = 3;
 const OTHER_ZONES_SHARE = 2;
 const WORD_RANGE = 2 ** 32;
 
-/** What the order depends on. */
+/** Properties of an agent that determine its place in the order. */
 export interface Candidate {
   readonly address: Endpoint;
   readonly zone: string;
 }
 
-/** All agents in the order that belongs to a flow. */
+/** Sorts all agents into the candidate order of a flow. */
 export function orderCandidates<T extends Candidate>(
   flow: FlowKey,
   agents: readonly T[],
@@ -57,11 +57,13 @@
 
 function orderByScore<T extends Candidate>(agents: readonly T[], seed: number): T[] {
   const scored = agents.map((agent) => ({ agent, score: computeScore(agent.address, seed) }));
-  scored.sort((one, other) => other.score - one.score || one.agent.address - other.agent.address);
+  scored.sort(
+    (left, right) => right.score - left.score || left.agent.address - right.agent.address,
+  );
   return scored.map(({ agent }) => agent);
 }
 
-/** A 32-bit hash of an address and a flow's hash (the finalizer of MurmurHash3). */
+/** Computes a 32-bit hash of an address and a flow's hash (the finalizer of MurmurHash3). */
 export function computeScore(address: Endpoint, seed: number): number {
   let hash =
     seed ^ (address % WORD_RANGE) ^ Math.imul(Math.floor(address / WORD_RANGE), 0x9e3779b1);
--- a/src/packets/flow-packet.ts
+++ b/src/packets/flow-packet.ts
@@ -1,59 +1,59 @@
 /**
- * A packet of a client's flow, as the nodes of the packet interface see it.
+ * The decoded form of a packet of a client's flow.
  *
- * The wire form belongs to an adapter, which implements {@link PacketFormat}; the nodes
- * decide by the fields here and pass the bytes on unchanged.
+ * An adapter that implements {@link PacketFormat} handles the wire format; the nodes decide by
+ * the fields here and forward the bytes unchanged.
  */
 import type { Endpoint } from '../environment';
 
-/** Identifies a flow by both of its ends; the same for packets of either direction. */
+/** Identifies a flow by its two endpoints; the same for both directions. */
 export type FlowKey = string;
 
 /** One decoded packet. */
 export interface FlowPacket {
   readonly flow: FlowKey;
-  /** The client's end of the flow. */
+  /** The client's endpoint of the flow. */
   readonly client: Endpoint;
-  /** The address of the route that the client named. */
+  /** The destination address used by the client, which identifies the route. */
   readonly destination: Endpoint;
   /** Asks for a new flow (SYN). */
   readonly opens: boolean;
   /** Closes its sender's direction (FIN). */
   readonly ends: boolean;
-  /** Breaks the flow off (RST). */
+  /** Aborts the flow (RST). */
   readonly resets: boolean;
   /** A target returned this client's packet because it does not hold the flow. */
   readonly refused: boolean;
-  /** Copy number of an opening packet, from 0. */
+  /** Number of the transmission of an opening packet, from 0. */
   readonly openingCopy: number;
   /** Sequence number of the sender. */
   readonly sequence: number;
-  /** Sequence number of the other end that the sender acknowledges. */
+  /** Acknowledged sequence number of the other endpoint. */
   readonly acknowledgement: number;
-  /** Bytes of data that the packet carries. */
+  /** Length of the payload in bytes. */
   readonly payloadLength: number;
-  /** Carries as much data as a packet can: the message that it is part of goes on. */
+  /** Has the maximum payload length, so its message continues in the next packet. */
   readonly isFull: boolean;
   /** The packet as received. */
   readonly bytes: Buffer;
 }
 
-/** Reads and writes packets in the form that clients and targets use. */
+/** Reads and writes packets in the wire format of clients and targets. */
 export interface PacketFormat {
-  /** A client's packet; undefined when the bytes are no packet. */
+  /** Decodes a client's packet; undefined when the bytes are not a valid packet. */
   decodeFromClient(bytes: Buffer): FlowPacket | undefined;
-  /** A packet that a target sent or returned; undefined when the bytes are no packet. */
+  /** Decodes a packet that a target sent or rejected; undefined when the bytes are not a valid packet. */
   decodeFromTarget(bytes: Buffer): FlowPacket | undefined;
-  /** Writes a 32-bit token into a field that targets return unread; 0 clears it. */
+  /** Writes a 32-bit token into a field that targets return unchanged; 0 clears it. */
   writeToken(bytes: Buffer, token: number): void;
-  /** The token of a returned packet. */
+  /** Reads the token of a rejected packet. */
   readToken(bytes: Buffer): number;
-  /** Clears the refusal mark and the token, which restores the client's own form. */
+  /** Clears the refusal mark and the token, which restores the packet that the client sent. */
   restoreClientForm(bytes: Buffer): void;
-  /** The id of the request that begins in a packet's data, if one does. */
+  /** Reads the id of the request that begins in a packet's payload; undefined for none. */
   readRequestId(packet: FlowPacket): string | undefined;
-  /** Whether the answer that begins in a target's packet says that the request failed. */
+  /** Whether the answer that begins in a target's packet reports a failed request. */
   isFailure(packet: FlowPacket): boolean;
-  /** A reset for the client, in answer to one of its packets. */
+  /** Creates a reset for the client in response to one of its packets. */
   createReset(packet: FlowPacket): Buffer;
 }
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -1,4 +1,4 @@
-/** The balancer's choice of an agent for a new flow, and for each copy of its opening packet. */
+/** The balancer's choice of an agent for a new flow, and for each retransmission of its opening packet. */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { Events } from '../logging/events';
@@ -22,7 +22,7 @@
 import { findLessUrgentRoutes, getTerms } from './terms/route-terms';
 import { SentTermsTracker } from './terms/sent-terms-tracker';
 
-/** What the placement works with. */
+/** Dependencies of the flow placement. */
 export interface FlowPlacementDependencies {
   readonly environment: Environment;
   readonly zone: string;
@@ -32,18 +32,18 @@
   readonly searches: FlowSearches;
   readonly forwarder: PacketForwarder;
   readonly link: PacketLink;
-  /** How agents are chosen; `DEFAULT_CHOICE` when undefined. */
+  /** Settings for the choice of agents; `DEFAULT_CHOICE` when undefined. */
   readonly choice?: ChoiceSettings;
-  /** Whether a zone is out of service. */
+  /** Whether a zone is evacuated: its targets get no new flows. */
   isEvacuated(zone: string): boolean;
 }
 
-/** Places the new flows of one balancer. */
+/** Assigns the new flows of one balancer to agents. */
 export class FlowPlacement {
   private readonly serviceSelector = new WeightedRoundRobin();
 
   private readonly openingRates = new OpeningRates();
-  private readonly routeUse = new RouteRequestStatistics();
+  private readonly requestStatistics = new RouteRequestStatistics();
   private readonly choice: ChoiceSettings;
   private readonly outlierEjection: OutlierEjection;
   private readonly sentTerms = new SentTermsTracker();
@@ -59,27 +59,27 @@
     this.outlierEjection = new OutlierEjection({ environment, directory, share });
   }
 
-  /** Targets that get no flows but trials, since they are far worse than their services. */
+  /** Targets that get only trial flows, since they perform far worse than their service. */
   get agentsSetAside(): number {
     return this.outlierEjection.ejectedCount;
   }
 
-  /** Drops what is too old to matter. */
+  /** Removes expired entries. */
   expire(now: number): void {
     this.outlierEjection.expire(now);
     this.openingRates.expire(now);
-    this.routeUse.expire(now);
+    this.requestStatistics.expire(now);
     this.sentTerms.expire((agent) => this.dependencies.directory.find(agent) !== undefined);
   }
 
-  /** A packet of an open flow passes: it tells how many requests flows of its route carry. */
+  /** Records a packet of an open flow, for the estimate of requests per flow of its route. */
   recordPacket(packet: FlowPacket, usage: FlowRequestCount): void {
     if (this.choice.keptFlows) {
-      this.routeUse.recordPacket(packet, usage, this.dependencies.environment.now());
+      this.requestStatistics.recordPacket(packet, usage, this.dependencies.environment.now());
     }
   }
 
-  /** A new routing table is in force: shares begin anew. */
+  /** Activates a routing table and resets the shares of services and routes. */
   apply({ routes, version }: RoutingTable): void {
     this.serviceSelector.reset();
     this.routingVersion = version;
@@ -88,22 +88,22 @@
     this.admission.reset();
   }
 
-  /** Places an opening packet; a copy goes to an agent that has not been offered the flow. */
+  /** Places an opening packet; a retransmission goes to an agent not yet offered the flow. */
   place(packet: FlowPacket, route: Route): void {
-    const { cache, environment, forwarder: forwarder, searches } = this.dependencies;
+    const { cache, environment, forwarder, searches } = this.dependencies;
     const now = environment.now();
-    const known = cache.get(packet.flow, now);
-    if (known?.isConfirmed) {
-      forwarder.deliver(packet, getServiceNames(route), known.agent, 0);
+    const cached = cache.get(packet.flow, now);
+    if (cached?.isConfirmed) {
+      forwarder.deliver(packet, getServiceNames(route), cached.agent, 0);
       return;
     }
-    const service = known?.service ?? this.serviceSelector.selectNext(route);
+    const service = cached?.service ?? this.serviceSelector.selectNext(route);
     const search = searches.beginOpening(packet.flow, route, [service], now);
-    known?.offeredTo.forEach((agent) => search.refusedBy.add(agent));
+    cached?.offeredTo.forEach((agent) => search.refusedBy.add(agent));
     this.offer(packet, search);
   }
 
-  /** The search of an opening packet that an agent refused after its notes were dropped. */
+  /** Creates a search for a refused opening packet whose own search has expired. */
   resumeSearch(packet: FlowPacket, route: Route): FlowSearch {
     const { cache, environment, searches } = this.dependencies;
     const now = environment.now();
@@ -113,16 +113,9 @@
     return searches.beginOpening(packet.flow, route, [service], now);
   }
 
-  /** Offers an opening packet to the best agent that has not refused it. */
+  /** Sends an opening packet to the best agent that has not refused it. */
   offer(packet: FlowPacket, search: FlowSearch): void {
-    const {
-      directory,
-      environment,
-      cache,
-      isEvacuated,
-      locality,
-      forwarder: forwarder,
-    } = this.dependencies;
+    const { directory, environment, cache, isEvacuated, locality, forwarder } = this.dependencies;
     const now = environment.now();
     const [service] = search.services;
     const candidates = directory
@@ -130,7 +123,7 @@
       .filter(({ zone, limitedUntil }) => !isEvacuated(zone) && limitedUntil <= now);
     const untried = candidates.filter(({ address }) => !search.refusedBy.has(address));
     const ordered = locality.orderForPlacement(packet.flow, untried);
-    search.services.forEach((one) => this.outlierEjection.compareTargets(one, now));
+    search.services.forEach((name) => this.outlierEjection.compareTargets(name, now));
     const context = this.createSelectionContext(packet, search, now);
     const choice = this.chooseAgent(ordered, context);
     if (!choice) {
@@ -167,8 +160,8 @@
   }
 
   /**
-   * Whether a flow may open. Only one that has been offered to nobody yet can be refused in truth, and a
-   * trial tells of one target what holds for no other.
+   * Whether a flow is admitted. Only a flow that was offered to no agent yet can be refused, since any
+   * other may be open already. The expected time of a trial flow holds for the tested target alone.
    */
   private isAdmitted(
     packet: FlowPacket,
@@ -177,8 +170,8 @@
   ): boolean {
     const { cache, environment } = this.dependencies;
     const isNew = packet.openingCopy === 0 && refusedBy.size === 0;
-    const isJudged = this.choice.admission && isNew && !choice.isTrial;
-    if (!isJudged || cache.get(packet.flow, environment.now())) {
+    const isSubjectToAdmission = this.choice.admission && isNew && !choice.isTrial;
+    if (!isSubjectToAdmission || cache.get(packet.flow, environment.now())) {
       return true;
     }
     const { destination } = route;
@@ -191,7 +184,7 @@
   }
 
   private refuseLate(packet: FlowPacket, search: FlowSearch, { reportedTime }: Choice): void {
-    const { forwarder: forwarder, searches } = this.dependencies;
+    const { forwarder, searches } = this.dependencies;
     searches.end(search);
     forwarder.counters.openingsRefused++;
     forwarder.reset(packet, 'no answer in time', {
@@ -200,10 +193,10 @@
     });
   }
 
-  /** An agent learns what the callers of a route expect before their first requests come. */
+  /** Sends an agent the terms of a route (priority, latency goal, deadline) before its first requests. */
   private sendRouteTerms({ address, report }: AgentEntry, route: Route): void {
-    const isUnderstood = report !== undefined && report.frameVersion >= ROUTE_TERMS_VERSION;
-    if (isUnderstood && this.sentTerms.markSentIfDue(address, report.run, route)) {
+    const supportsRouteTerms = report !== undefined && report.frameVersion >= ROUTE_TERMS_VERSION;
+    if (supportsRouteTerms && this.sentTerms.markSentIfDue(address, report.run, route)) {
       this.dependencies.link.send(address, {
         type: PacketMessageType.routeTerms,
         destination: route.destination,
@@ -214,23 +207,23 @@
   }
 
   /**
-   * No agent takes a new flow. The client is told at once, unless an earlier copy may
-   * have opened the flow somewhere or agents are missing from this balancer's view.
+   * Refuses a new flow that no agent takes. The client gets a reset at once, unless an earlier
+   * copy may have opened the flow or agents are missing from this balancer's view.
    */
   private refuse(packet: FlowPacket, search: FlowSearch, candidates: readonly AgentEntry[]): void {
-    const { cache, directory, environment, forwarder: forwarder, searches } = this.dependencies;
-    const known = cache.get(packet.flow, environment.now());
-    const firstCopy = packet.openingCopy === 0 && (known?.offeredTo.size ?? 0) === 0;
-    const everyoneHeard = candidates.every(({ report }) => report !== undefined);
+    const { cache, directory, environment, forwarder, searches } = this.dependencies;
+    const cached = cache.get(packet.flow, environment.now());
+    const isFirstCopy = packet.openingCopy === 0 && (cached?.offeredTo.size ?? 0) === 0;
+    const haveAllReported = candidates.every(({ report }) => report !== undefined);
     searches.end(search);
-    if (firstCopy && everyoneHeard && directory.isComplete) {
+    if (isFirstCopy && haveAllReported && directory.isComplete) {
       forwarder.reset(packet, 'no agent takes the flow', { refusals: search.refusedBy.size });
     } else {
       forwarder.drop(packet, 'no agent known to take the flow');
     }
   }
 
-  /** The choice for a new flow; one of another zone only after a look at the rest of the own one. */
+  /** Chooses an agent; one of another zone only after the remaining agents of the own zone are compared. */
   private chooseAgent(
     ordered: readonly AgentEntry[],
     context: SelectionContext,
@@ -243,8 +236,10 @@
     return second ? selectAgent(second, context) : first;
   }
 
-  private requestsPerFlow({ destination }: FlowPacket, now: number): number {
-    return this.choice.keptFlows ? this.routeUse.estimateRequestsPerFlow(destination, now) : 1;
+  private estimateRequestsPerFlow({ destination }: FlowPacket, now: number): number {
+    return this.choice.keptFlows
+      ? this.requestStatistics.estimateRequestsPerFlow(destination, now)
+      : 1;
   }
 
   private countPlacement({ entry, isTrial, placementClass }: Choice, now: number): void {
@@ -268,7 +263,7 @@
     return {
       now,
       openingRate: this.openingRates.getRate(search.services[0]!, now),
-      requestsPerFlow: this.requestsPerFlow(packet, now),
+      requestsPerFlow: this.estimateRequestsPerFlow(packet, now),
       usesExpectedWait: this.choice.expectedWait,
       competingShare: locality.rivalShare,
       getOutlierStatus: (entry) => this.outlierEjection.getStatus(entry, isTrialFlow, now),
@@ -281,7 +276,7 @@
   }
 }
 
-/** Whether a flow may be used for a trial: its request may be repeated and it has lost no time yet. */
+/** Whether a flow may be a trial: its request is repeatable and it has not been delayed yet. */
 function isEligibleForTrial(
   { openingCopy }: FlowPacket,
   { refusedBy, route }: FlowSearch,
--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -1,9 +1,9 @@
 /**
- * The balancer's decisions about clients' packets: which agent a new flow goes to, how
- * the agent of a known flow is found, and when a client is told that its flow is dead.
+ * Routing of clients' packets in a balancer: which agent gets a new flow, how the agent of an
+ * established flow is found, and when a client gets a reset because its flow no longer exists.
  *
- * Only the target holds a flow. Everything here is a short cut to it and can be lost:
- * a packet of an unknown flow is searched for at every agent of its route.
+ * Only the target holds the state of a flow. Everything kept here is a cache and may be lost:
+ * the holder of an unknown flow is searched for among all agents of its route.
  */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
@@ -28,27 +28,27 @@
 } from './packet-forwarder';
 import { getServiceNames, type Route, type RoutingTable } from './routing-table';
 
-/** Milliseconds for which it is remembered who has refused a flow. */
+/** How long after its last use a search keeps the agents that have refused its flow. */
 const SEARCH_LIFETIME_MS = 10_000;
 
-/** What the router works with. */
+/** Dependencies of a flow router. */
 export interface FlowRouterDependencies extends PacketForwarderDependencies {
   readonly zone: string;
   readonly locality: Locality;
-  /** Where agents reach this balancer. */
+  /** Address at which agents reach this balancer. */
   readonly address: Endpoint;
-  /** Milliseconds that a search for the holder of a flow has. */
+  /** Minimum time limit of a search for the holder of a flow, in milliseconds. */
   readonly searchTimeout: number;
   readonly cache: FlowCache;
-  /** How agents are chosen; `DEFAULT_CHOICE` when undefined. */
+  /** Settings for the choice of agents; `DEFAULT_CHOICE` when undefined. */
   readonly choice?: ChoiceSettings;
-  /** Whether a zone is out of service: none of its targets gets new flows. */
+  /** Whether a zone is evacuated: its targets get no new flows. */
   isEvacuated(zone: string): boolean;
-  /** Whether the view is not one that may lack what the store has lost; no flow is reset before. */
+  /** Whether the view can lack no entries that a restored store has lost; no flow is reset before. */
   isViewConverged(): boolean;
 }
 
-/** Routes packets by the routing table in force. */
+/** Routes packets by the active routing table. */
 export class FlowRouter {
   private readonly searches = new FlowSearches(SEARCH_LIFETIME_MS);
   private readonly forwarder: PacketForwarder;
@@ -68,24 +68,24 @@
     return this.forwarder.counters;
   }
 
-  /** Targets that get no flows but trials, since they are far worse than their services. */
+  /** Targets that get only trial flows, since they perform far worse than their service. */
   get agentsSetAside(): number {
     return this.placement.agentsSetAside;
   }
 
-  /** Puts a routing table in force. */
+  /** Activates a routing table. */
   apply(table: RoutingTable): void {
     this.routes = new Map(table.routes.map((route) => [route.destination, route]));
     this.routingVersion = table.version;
     this.placement.apply(table);
   }
 
-  /** The route that a client's packet names; undefined for none, or without a routing table. */
+  /** Finds the route of a packet's destination; undefined for none, or without a routing table. */
   findRoute({ destination }: FlowPacket): Route | undefined {
     return this.routes?.get(destination);
   }
 
-  /** Routes one datagram of a client. */
+  /** Decodes and routes a datagram of a client. */
   route(bytes: Buffer): void {
     const packet = this.receive(bytes);
     if (packet) {
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Routes a packet that another balancer could not deliver; it goes no further way round.
-   * @param agent the agent that holds its flow, as the other balancer knows it
+   * Routes a packet that another balancer could not deliver; it takes no second detour.
+   * @param agent the holder of its flow according to the other balancer
    */
   routeDetoured(bytes: Buffer, agent: Endpoint): void {
     const packet = this.receive(bytes);
@@ -137,7 +137,7 @@
     }
   }
 
-  /** An agent's target did not take a packet: offers it to the next agent. */
+  /** Offers a packet that an agent has refused to the next agent. */
   handleRefusal(agent: Endpoint, message: NotHeldMessage): void {
     const { format, cache, directory, environment } = this.dependencies;
     const packet = format.decodeFromClient(message.payload);
@@ -159,7 +159,7 @@
     }
   }
 
-  /** The targets of all agents of a search do not hold a packet's flow. */
+  /** Handles the outcome of a search in which no target held the packet's flow. */
   handleNoneHolds(message: NoneHoldsMessage): void {
     const packet = this.dependencies.format.decodeFromClient(message.payload);
     if (!packet || packet.opens) {
@@ -175,7 +175,7 @@
     }
   }
 
-  /** No agent of a group of a search knows a packet's flow; their targets were not asked. */
+  /** Handles the outcome of a query: no agent of the group knows the flow; no target was offered it. */
   handleNoneKnows(message: NoneKnowsMessage): void {
     const packet = this.dependencies.format.decodeFromClient(message.payload);
     const search = packet && this.findActiveSearch(packet, message.searchId);
@@ -184,7 +184,7 @@
     }
   }
 
-  /** An agent's target holds a flow. */
+  /** Records that an agent's target holds a flow, and delivers the packets that wait for it. */
   confirmHolder(flow: FlowKey, agent: Endpoint): void {
     this.counters.flowsFound++;
     this.searches.endHolderSearch(flow);
@@ -194,17 +194,17 @@
     }
   }
 
-  /** Ends the timer. */
+  /** Cancels the timer. */
   stop(): void {
     this.holderSearch.stop();
   }
 
-  /** An agent that was away is back: hands it what has waited for it. */
+  /** Delivers the packets that were delayed while an agent did not report. */
   handleAgentReturned(agent: Endpoint): void {
     this.forwarder.deliverDelayed(agent);
   }
 
-  /** Drops what is too old to matter. */
+  /** Removes expired entries. */
   expire(now: number): void {
     this.searches.expire(now);
     this.forwarder.expire(now);
@@ -226,20 +226,20 @@
 
   private continueFlow(packet: FlowPacket, route: Route): void {
     const { cache, directory, environment } = this.dependencies;
-    const known = cache.get(packet.flow, environment.now());
-    if (known) {
-      this.placement.recordPacket(packet, known.usage);
+    const cached = cache.get(packet.flow, environment.now());
+    if (cached) {
+      this.placement.recordPacket(packet, cached.usage);
     }
-    if (known && directory.find(known.agent)) {
-      this.forwarder.deliver(packet, getServiceNames(route), known.agent, 0);
+    if (cached && directory.find(cached.agent)) {
+      this.forwarder.deliver(packet, getServiceNames(route), cached.agent, 0);
     } else {
       this.holderSearch.find(packet, route);
     }
   }
 
   /**
-   * The search for a packet's holder that is still under way; undefined when it has ended, so
-   * that a late outcome begins nothing.
+   * Finds the search that a message belongs to; undefined when it has ended, so that a late
+   * outcome has no effect.
    */
   private findActiveSearch(packet: FlowPacket, searchId: number): FlowSearch | undefined {
     const search = this.searches.find(searchId, this.dependencies.environment.now());
@@ -247,13 +247,13 @@
   }
 
   /**
-   * The search that a refused packet belongs to. Ids begin anew with each run, so a late
-   * refusal of a packet that an earlier run sent may name the search of another flow.
+   * Finds or creates the search of a refused packet. Search ids restart with each process, so a
+   * late refusal of a packet that an earlier process sent may carry the id of another flow's search.
    */
   private findOrResumeSearch(packet: FlowPacket, route: Route, searchId: number): FlowSearch {
-    const known = this.findActiveSearch(packet, searchId);
-    if (known) {
-      return known;
+    const active = this.findActiveSearch(packet, searchId);
+    if (active) {
+      return active;
     }
     return packet.opens
       ? this.placement.resumeSearch(packet, route)
--- a/src/packets/flow-search.ts
+++ b/src/packets/flow-search.ts
@@ -1,88 +1,88 @@
 /**
- * The search for the agent whose target holds a flow, or takes a new one: a packet is
- * offered to one agent after the other until one keeps it.
+ * State of a search for the agent whose target holds a flow, or accepts a new one: a packet is
+ * offered to one agent after the other until one accepts it.
  *
- * A search notes who has refused. For a flow that is open a refusal holds for good: a
- * target that does not hold it never will. So the note outlives the packet, and the
- * client's next copy goes only to agents that have not refused yet.
+ * A search records the agents that refused. For an open flow a refusal is final: a target that
+ * does not hold the flow never will. So the record outlives the packet, and the client's next
+ * retransmission goes only to agents that have not refused yet.
  */
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 import type { Route } from './routing-table';
 
-/** Searches noted at once; the least recently used is dropped beyond that. */
+/** Maximum number of searches; the least recently used is evicted beyond that. */
 const MAXIMUM_SEARCHES = 8_192;
 
-/** A search through agents, or through groups of them at the same time. */
+/** One pass of a search through a chain of agents, or through several groups in parallel. */
 export interface SearchRound {
   readonly agents: readonly Endpoint[];
-  /** Once none of the agents knows the flow, all offer the packet to their targets. */
+  /** Whether all agents offer the packet to their targets once none knows the flow. */
   readonly isFollowedByOffer: boolean;
-  /** Agents whose groups have not told yet that none knows the flow; none where it is not in groups. */
+  /** Agents whose groups have not answered the query yet; empty without groups. */
   readonly outstanding: Set<Endpoint>;
 }
 
-/** One search. */
+/** State of one search. */
 export interface FlowSearch {
   readonly id: number;
   readonly flow: FlowKey;
   readonly route: Route;
-  /** The service that may take the packet when it opens a flow; else all of the route's. */
+  /** For an opening packet the one service chosen for the flow; else all services of the route. */
   readonly services: readonly string[];
   readonly refusedBy: Set<Endpoint>;
-  /** Agents that do not know the flow; their targets, which may hold it, were not asked. */
+  /** Agents that do not know the flow; their targets may hold it, as they were not offered it. */
   readonly unknownTo: Set<Endpoint>;
-  /** Agents that a packet was offered to, longest ago first; some have not answered. */
+  /** Agents that a packet was offered to, oldest offer first; some have not answered. */
   readonly offeredTo: Set<Endpoint>;
-  /** Times that a packet was sent through the agents. */
+  /** Number of times that a packet was sent through the agents. */
   attempts: number;
-  /** Those times since the last outcome of any. */
+  /** Attempts since the latest outcome of any attempt. */
   unansweredAttempts: number;
-  /** Those times at which all agents went by what they know, and no target was touched. */
+  /** Attempts in which all agents decided by their own knowledge, and no target got the packet. */
   conclusiveAttempts: number;
-  /** The latest round of groups; undefined before the first. */
+  /** The latest round; undefined before the first. */
   round: SearchRound | undefined;
-  /** It has been told that only silent agents are left. */
+  /** Whether the event that only unresponsive agents are left has been reported. */
   hasStalled: boolean;
   usedAt: number;
 }
 
-/** Notes that a packet is offered to an agent now. */
+/** Records an offer of a packet to an agent as the latest. */
 export function recordOffer(search: FlowSearch, agent: Endpoint): void {
   search.offeredTo.delete(agent);
   search.offeredTo.add(agent);
 }
 
 /**
- * Of agents that have not refused, those to be asked next: those that were not asked yet, or
- * the one that was asked longest ago, since a packet or its refusal may have been lost.
+ * Selects the agents to be offered a packet next, among those that have not refused: those
+ * without an offer yet, or the one with the oldest offer, since it or its refusal may be lost.
  */
 export function selectNextAgents<T extends { readonly address: Endpoint }>(
   search: FlowSearch,
   candidates: readonly T[],
 ): readonly T[] {
-  const unasked = candidates.filter(({ address }) => !search.offeredTo.has(address));
-  if (unasked.length > 0) {
-    return unasked;
+  const withoutOffer = candidates.filter(({ address }) => !search.offeredTo.has(address));
+  if (withoutOffer.length > 0) {
+    return withoutOffer;
   }
   for (const address of search.offeredTo) {
-    const longestAgo = candidates.filter((one) => one.address === address);
-    if (longestAgo.length > 0) {
-      return longestAgo;
+    const oldest = candidates.filter((candidate) => candidate.address === address);
+    if (oldest.length > 0) {
+      return oldest;
     }
   }
   return [];
 }
 
-/** The searches under way. */
+/** The current searches of one balancer. */
 export class FlowSearches {
   private readonly searches = new Map<number, FlowSearch>();
-  /** Searches for the holders of open flows. */
+  /** Searches for the holders of open flows, by flow. */
   private readonly holderSearches = new Map<FlowKey, FlowSearch>();
   private nextId = 1;
 
   constructor(
-    /** Milliseconds after its last use at which a search is dropped. */
+    /** Time after its last use at which a search is removed, in milliseconds. */
     private readonly lifetime: number,
   ) {}
 
@@ -90,24 +90,24 @@
     return this.searches.size;
   }
 
-  /** Begins a search for a target that takes a new flow; earlier notes on it are void. */
+  /** Begins a search for a target that accepts a new flow; ends an earlier one for the same key. */
   beginOpening(flow: FlowKey, route: Route, services: readonly string[], now: number): FlowSearch {
     this.endHolderSearch(flow);
     return this.begin(flow, route, services, now);
   }
 
-  /** The search for the holder of an open flow, begun now unless one is noted. */
+  /** Returns the recorded search for the holder of an open flow, or begins one. */
   findOrBegin(flow: FlowKey, route: Route, services: readonly string[], now: number): FlowSearch {
-    const known = this.holderSearches.get(flow);
-    if (known) {
-      return this.touch(known, now);
+    const existing = this.holderSearches.get(flow);
+    if (existing) {
+      return this.touch(existing, now);
     }
     const search = this.begin(flow, route, services, now);
     this.holderSearches.set(flow, search);
     return search;
   }
 
-  /** The search of an id, which counts as used now. */
+  /** Finds a search by id and marks it as used. */
   find(id: number, now: number): FlowSearch | undefined {
     const search = this.searches.get(id);
     return search && this.touch(search, now);
@@ -120,7 +120,7 @@
     }
   }
 
-  /** The holder of a flow is known, or the flow is a new one. */
+  /** Ends the search for a flow whose holder is known, or which is a new flow. */
   endHolderSearch(flow: FlowKey): void {
     const search = this.holderSearches.get(flow);
     if (search) {
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -1,10 +1,10 @@
 /**
- * The balancer's search for the agent whose target holds an open flow.
+ * The balancer's search for the holder of an open flow: the agent whose target has its state.
  *
- * A packet of an unknown flow travels through the agents, which ask each other and then
- * offer it to their targets; the balancer sends it once and hears the outcome once. Its
- * own notes say which agents have refused, so that copies go only to the others, and
- * a flow is declared dead only against the directory of that moment.
+ * A packet of an unknown flow is forwarded from agent to agent, first as a query and then as an
+ * offer to their targets; the balancer sends it once and gets one outcome. It records which
+ * agents have refused, so that retransmissions go only to the others, and resets a flow only
+ * after checking against the current directory.
  */
 import type { Endpoint, Environment, TimerHandle } from '../environment';
 import { Events } from '../logging/events';
@@ -22,27 +22,27 @@
 import { SearchDispatch } from './search-dispatch';
 import { GROUP_SIZE } from './search-order';
 
-/** Times that a packet is sent through agents where none is lost: the likely ones, then the rest. */
+/** Attempts without message loss: one through the likely agents, one through the rest. */
 const EXPECTED_ATTEMPTS = 2;
 
-/** What the search works with. */
+/** Dependencies of the holder search. */
 export interface HolderSearchDependencies {
   readonly environment: Environment;
   readonly locality: Locality;
-  /** Where agents send the outcome. */
+  /** Address to which agents send the outcome. */
   readonly address: Endpoint;
-  /** Milliseconds that a search has before the next packet of its flow begins another. */
+  /** Minimum time limit of a search in milliseconds; then the next packet of its flow starts another. */
   readonly searchTimeout: number;
   readonly directory: AgentDirectory;
   readonly cache: FlowCache;
   readonly searches: FlowSearches;
   readonly link: PacketLink;
   readonly forwarder: PacketForwarder;
-  /** Whether the view is not one that may lack what the store has lost. */
+  /** Whether the view can lack no entries that a restored store has lost. */
   isViewConverged(): boolean;
 }
 
-/** The searches for holders of one balancer. */
+/** All holder searches of one balancer. */
 export class HolderSearch {
   private readonly pendingSearches: PendingSearches;
   private readonly dispatch: SearchDispatch;
@@ -57,12 +57,12 @@
     });
   }
 
-  /** Ends the timer. */
+  /** Cancels the timer. */
   stop(): void {
     this.timer?.cancel();
   }
 
-  /** Finds the holder of a packet's flow. */
+  /** Starts a search for the holder of a packet's flow, or lets the packet wait for one in progress. */
   find(packet: FlowPacket, route: Route): void {
     if (this.recentResets.has(packet.flow, this.dependencies.environment.now())) {
       this.repeatReset(packet);
@@ -76,15 +76,15 @@
     this.offerNext(packet, this.findOrBeginSearch(packet, route));
   }
 
-  /** The search for a packet's holder, begun now unless one is noted. */
+  /** Returns the recorded search for the holder of a packet's flow, or a new one. */
   findOrBeginSearch(packet: FlowPacket, route: Route): FlowSearch {
     const { environment, searches } = this.dependencies;
     return searches.findOrBegin(packet.flow, route, getServiceNames(route), environment.now());
   }
 
   /**
-   * No agent of a group knows a packet's flow. Once none of any group does, all groups offer it
-   * to their targets; an agent out of reach thus keeps every other target from being touched.
+   * Handles the answer of a group whose agents do not know a flow. All groups offer the packet to
+   * their targets only once every group has answered, so one unreachable agent prevents all offers.
    */
   handleNoneKnows(packet: FlowPacket, search: FlowSearch, agents: readonly Endpoint[]): void {
     const { round, unknownTo } = search;
@@ -105,23 +105,23 @@
     }
   }
 
-  /** The targets of some agents do not hold a packet's flow: goes on with the others. */
+  /** Records agents whose targets do not hold a flow, and continues with the others. */
   handleNoneHolds(packet: FlowPacket, search: FlowSearch, agents: readonly Endpoint[]): void {
     agents.forEach((agent) => search.refusedBy.add(agent));
     search.unansweredAttempts = 0;
     this.offerNext(packet, search);
   }
 
-  /** Offers a packet to the agents that have not refused it yet. */
+  /** Takes the next step of a search with the agents that have not refused the packet yet. */
   offerNext(packet: FlowPacket, search: FlowSearch): void {
     if (this.isAwaitingOutcome(search)) {
       return;
     }
     const { cache, environment } = this.dependencies;
     const untried = this.findUntried(search);
-    const offered = cache.get(packet.flow, environment.now())?.offeredTo;
+    const openingOffers = cache.get(packet.flow, environment.now())?.offeredTo;
     const likely = untried.find(
-      ({ address }) => offered?.has(address) && !search.offeredTo.has(address),
+      ({ address }) => openingOffers?.has(address) && !search.offeredTo.has(address),
     );
     if (likely) {
       this.offerTo(likely, packet, search);
@@ -129,7 +129,7 @@
     }
     const plan = planSearch(untried, search, this.createView());
     switch (plan.kind) {
-      case 'ask':
+      case 'query':
         this.dispatch.queryInParts(plan.heard, plan.awaited, packet, search);
         this.waitForAgents(packet, search);
         return;
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Agents of a search's services that may hold its flow, as far as is known. */
+  /** Finds the agents of a search's services that may hold its flow. */
   private findUntried({ refusedBy, services }: FlowSearch): AgentEntry[] {
     const { directory, environment } = this.dependencies;
     const now = environment.now();
@@ -173,14 +173,14 @@
     };
   }
 
-  /** A packet waits until more agents are heard, or have been silent for long enough. */
+  /** Keeps a packet until more agents have reported or have exceeded the time for a report. */
   private waitForAgents(packet: FlowPacket, search: FlowSearch): void {
     search.unansweredAttempts = 0;
     this.waitForOutcome(packet, search, GROUP_SIZE);
     this.pendingSearches.keepForRetry({ packet, route: search.route });
   }
 
-  /** Only agents are left that say nothing: the flow is told dead once they are heard, or removed. */
+  /** Reports that only unresponsive agents are left; no reset until they report or are removed. */
   private reportStall(packet: FlowPacket, search: FlowSearch, silent: number): void {
     if (!search.hasStalled) {
       search.hasStalled = true;
@@ -190,18 +190,18 @@
     }
   }
 
-  /** A flow's holder is known: packets that wait for it. */
+  /** Ends the search for a flow whose holder is known; returns the packets that wait for it. */
   takeWaiting(flow: FlowKey): readonly WaitingPacket[] {
     this.recentResets.forget(flow);
     return this.pendingSearches.takeWaiting(flow);
   }
 
-  /** A flow is opened anew: what is noted of an earlier one is void. */
+  /** Forgets the reset of an earlier flow with the same key, since it is opened again. */
   forgetReset(flow: FlowKey): void {
     this.recentResets.forget(flow);
   }
 
-  /** Drops notes that are too old. */
+  /** Removes expired entries. */
   expire(now: number): void {
     this.recentResets.expire(now);
   }
@@ -227,13 +227,13 @@
     this.startTimer();
   }
 
-  /** Whether a search, or groups of its present round, are still under way and not overdue. */
+  /** Whether the current round of a search is still in progress and not overdue. */
   private isAwaitingOutcome({ flow, refusedBy, round }: FlowSearch): boolean {
     const isOpen = round?.agents.some((agent) => !refusedBy.has(agent)) ?? false;
     return isOpen && this.pendingSearches.isPending(flow);
   }
 
-  /** Begins another search for each flow whose search has had no outcome, with the packet that came last. */
+  /** Starts another search, with the latest packet, for each flow whose search timed out. */
   private restartOverdue(): void {
     const { environment } = this.dependencies;
     this.timer = undefined;
@@ -246,7 +246,7 @@
     }
   }
 
-  /** Packets that have waited for two searches are dropped: their client repeats them. */
+  /** Drops packets that have waited for two searches; their client retransmits them. */
   private restartSearch(waiting: readonly WaitingPacket[]): void {
     const latest = waiting.filter(({ hasWaited }) => !hasWaited).at(-1);
     if (!latest) {
@@ -254,24 +254,18 @@
     }
     this.find(latest.packet, latest.route);
     waiting
-      .filter((one) => one !== latest)
-      .forEach((one) => this.pendingSearches.enqueue({ ...one, hasWaited: true }));
+      .filter((other) => other !== latest)
+      .forEach((other) => this.pendingSearches.enqueue({ ...other, hasWaited: true }));
   }
 
   private startTimer(): void {
-    const { environment, searchTimeout: searchTimeout } = this.dependencies;
+    const { environment, searchTimeout } = this.dependencies;
     this.timer ??= environment.startTimer(searchTimeout, () => this.restartOverdue());
   }
 
-  /** Every agent known has refused the packet: the flow is dead if every agent is known. */
+  /** Ends a search that all known agents refused; resets the flow if the view has all agents. */
   private conclude(packet: FlowPacket, search: FlowSearch): void {
-    const {
-      directory,
-      environment,
-      isViewConverged: isViewConverged,
-      forwarder: forwarder,
-      searches,
-    } = this.dependencies;
+    const { directory, environment, isViewConverged, forwarder, searches } = this.dependencies;
     searches.end(search);
     const waiting = this.pendingSearches.takeWaiting(packet.flow);
     const isEveryAgentKnown = directory.isComplete && isViewConverged();
@@ -301,10 +295,10 @@
 
 function groupByFlow(waiting: readonly WaitingPacket[]): Map<FlowKey, WaitingPacket[]> {
   const groups = new Map<FlowKey, WaitingPacket[]>();
-  for (const one of waiting) {
-    const group = groups.get(one.packet.flow) ?? [];
-    groups.set(one.packet.flow, group);
-    group.push(one);
+  for (const entry of waiting) {
+    const group = groups.get(entry.packet.flow) ?? [];
+    groups.set(entry.packet.flow, group);
+    group.push(entry);
   }
   return groups;
 }
--- a/src/packets/packet-balancer-contracts.ts
+++ b/src/packets/packet-balancer-contracts.ts
@@ -1,4 +1,4 @@
-/** Settings, needs and figures of a packet balancer. */
+/** Settings, dependencies and metrics of a packet balancer. */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import type { AgentRegistryPort, CollectionPort, StoreProbePort } from './collection-port';
 import type { ChoiceSettings } from './choice/choice-settings';
@@ -13,29 +13,29 @@
 
 /** Settings of a packet balancer. */
 export interface PacketBalancerSettings extends LocalitySettings {
-  /** Where other nodes reach this balancer. */
+  /** Address at which other nodes reach this balancer. */
   readonly address: Endpoint;
-  /** Where clients' packets arrive. */
+  /** Address at which clients' packets arrive. */
   readonly packetAddress: Endpoint;
-  /** Processors that this balancer may use. */
+  /** CPUs that this balancer may use. */
   readonly capacity: number;
-  /** Megabits a second that its link carries. */
+  /** Bandwidth of its network link in megabits per second. */
   readonly linkSpeed: number;
-  /** Other balancers that may be running; may be out of date. */
+  /** Addresses of other balancers; may be out of date. */
   readonly seeds: readonly Endpoint[];
-  /** Milliseconds in which a change of the routing table must be in force. */
+  /** Time in which a changed routing table must be active, in milliseconds. */
   readonly applyTime: number;
-  /** Milliseconds for which a flow may rest. */
+  /** Time for which a flow may be idle, in milliseconds. */
   readonly flowLifetime: number;
-  /** Whether packets lost on the way to an agent are sent once more. */
+  /** Whether packets lost between balancer and agent are retransmitted. */
   readonly repairHops: boolean;
-  /** How agents are chosen for new flows; `DEFAULT_CHOICE` when undefined. */
+  /** Settings for the choice of agents for new flows; `DEFAULT_CHOICE` when undefined. */
   readonly choice?: ChoiceSettings;
-  /** Whether a start is shortened (docs/design/restart.md). */
+  /** Whether the shortened start is used (docs/design/restart.md). */
   readonly earlyStart: boolean;
 }
 
-/** What a packet balancer needs from its process. */
+/** Dependencies that the process provides to a packet balancer. */
 export interface PacketBalancerDependencies {
   readonly environment: Environment;
   readonly codec: PacketFrameCodec;
@@ -43,16 +43,16 @@
   readonly format: PacketFormat;
   readonly routingTables: CollectionPort<RoutingTable>;
   readonly registry: AgentRegistryPort;
-  /** Zones out of service; undefined in a deployment that evacuates none. */
+  /** Evacuated zones; undefined in a deployment without evacuations. */
   readonly evacuatedZones: CollectionPort<EvacuatedZone> | undefined;
   readonly storeProbe: StoreProbePort;
   readonly snapshots: SnapshotPort;
   sendToClient(client: Endpoint, packet: Buffer): void;
-  /** Hands a client's packet on to where another balancer takes clients' packets. */
+  /** Forwards a client's packet to the packet address of another balancer. */
   relay(packetAddress: Endpoint, packet: Buffer): void;
 }
 
-/** Figures of a packet balancer. */
+/** Metrics of a packet balancer. */
 export interface PacketBalancerFigures extends StoreCalls, HopCounters, LocalityFigures {
   readonly routingVersion: number;
   readonly agentsKnown: number;
@@ -60,22 +60,22 @@
   readonly flowsCached: number;
   readonly framesRejected: number;
   readonly packetsRelayed: number;
-  /** Clients' packets that have waited for the start of this balancer. */
+  /** Clients' packets that were held back until this balancer had started. */
   readonly packetsKeptAtStart: number;
-  /** Clients' packets that another balancer has got because this one had just started. */
+  /** Clients' packets that were relayed to another balancer because this one had just started. */
   readonly packetsRelayedAtStart: number;
-  /** Those of the waiting ones that waited too long, or were too many. */
+  /** Held back packets that were dropped, because of their age or their number. */
   readonly packetsDroppedAtStart: number;
   readonly ready: boolean;
   readonly readsStore: boolean;
-  /** The era of the store's latest answer; 0 before any, or without eras. */
+  /** The era of the store's latest answer; 0 before any, or in a store without eras. */
   readonly storeEra: number;
-  /** The store's revision through which the registry is known. */
+  /** The store revision up to which the registry is known. */
   readonly registryRevision: number;
-  /** Zones out of service. */
+  /** Number of evacuated zones. */
   readonly zonesEvacuated: number;
-  /** Targets that get no flows but trials, since they are far worse than their services. */
+  /** Targets that get only trial flows, since they perform far worse than their service. */
   readonly agentsSetAside: number;
-  /** Calls made to register or remove agents on their behalf. */
+  /** Store calls that register or remove agents on their behalf. */
   readonly registryCalls: number;
 }
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -1,6 +1,6 @@
 /**
- * A balancer of the packet interface: receives clients' packets and sends each to the
- * agent beside the target that holds, or will hold, its flow.
+ * A balancer of the packet interface: receives clients' packets and sends each to the agent of
+ * the target that holds, or will hold, its flow.
  */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
@@ -43,9 +43,9 @@
 
 const FLOW_CACHE_CAPACITY = 500_000;
 const MAINTENANCE_INTERVAL_MS = 1_000;
-/** Milliseconds after its start in which a balancer that relays takes no traffic by itself. */
+/** Time after the start of a relaying balancer in which it does not route packets itself. */
 const RELAY_DISCOVERY_TIME_MS = 5_000;
-/** Milliseconds after its start in which the code of a weak balancer is still slow. */
+/** Time after its start in which a balancer with little CPU runs code that is not optimized yet. */
 const WARM_UP_TIME_MS = 8_000;
 
 /** One packet balancer. */
@@ -60,9 +60,9 @@
   private readonly peers: PeerExchange;
   private readonly reports: AgentReportHandler;
   private readonly view: RegistryView;
-  private readonly upkeep: RegistryReconciler;
+  private readonly reconciler: RegistryReconciler;
   private readonly subscriptions: AgentSubscriptions;
-  private readonly reading: StoreReading;
+  private readonly storeReading: StoreReading;
   private readonly evacuations: ZoneEvacuationView;
   private readonly locality: Locality;
   private readonly timers: NodeTimers;
@@ -73,7 +73,7 @@
   private readonly startupGate: StartupGate;
   private readonly startupRelay: StartupRelay;
   private readonly viewConvergence = new ViewConvergence();
-  /** The store's era that agents have been told. */
+  /** The store's era that was last sent to agents. */
   private announcedEra = 0;
   private packetsRelayed = 0;
   private startedAt = 0;
@@ -98,7 +98,7 @@
       this.link.send(agent, probe),
     );
     this.router = this.createRouter();
-    this.upkeep = new RegistryReconciler(
+    this.reconciler = new RegistryReconciler(
       environment,
       this.directory,
       registry,
@@ -115,43 +115,43 @@
       onAgentReturned: (agent) => this.router.handleAgentReturned(agent),
       onHeardAgentsChanged: () => this.updateReadiness(),
     });
-    this.reading = this.createReading();
+    this.storeReading = this.createStoreReading();
     this.startupGate = this.createGate();
   }
 
   start(): void {
     this.startedAt = this.dependencies.environment.now();
     this.viewConvergence.start(this.startedAt);
-    this.reading.start();
+    this.storeReading.start();
     this.peers.start();
     this.peers.requestView();
     this.timers.scheduleRepeating(FAST_RETRY_INTERVAL_MS, () => {
       if (!this.hasView) {
         this.peers.requestView();
       }
-      this.reading.updateReading();
+      this.storeReading.updateReading();
       this.subscribe();
     });
     this.timers.scheduleRepeating(INITIAL_PROBE_INTERVAL_MS, () => this.locality.sendDueProbes());
     this.timers.scheduleRepeating(MAINTENANCE_INTERVAL_MS, () => this.maintain());
   }
 
-  /** Takes no new part of the traffic from now on; packets that still come are served. */
+  /** Becomes not ready and announces that to peers; packets that still arrive are routed. */
   beginStop(): void {
     this.stopping = true;
     this.updateReadiness();
     this.peers.broadcastStatus();
   }
 
-  /** Takes other seeds, which the settings name now. */
+  /** Adds seeds from reloaded settings. */
   replaceSeeds(seeds: readonly Endpoint[]): void {
     seeds.forEach((seed) => this.peers.addPeer(seed));
   }
 
-  /** Ends all timers and calls. */
+  /** Stops all timers and calls to the store. */
   stop(): void {
     this.stopping = true;
-    this.reading.stop();
+    this.storeReading.stop();
     this.peers.stop();
     this.router.stop();
     this.hops.stop();
@@ -161,8 +161,8 @@
   }
 
   /**
-   * Whether this balancer can serve any flow: it has a table, all agents, and hears some;
-   * or it relays and its zone needs that.
+   * Whether this balancer can serve any flow: it has a table, a complete list of agents, and
+   * reports from some of them; or it relays and its zone needs it to.
    */
   get isReady(): boolean {
     const now = this.dependencies.environment.now();
@@ -191,18 +191,18 @@
       packetsRelayedAtStart: this.startupGate.relayedOn,
       packetsDroppedAtStart: this.startupGate.dropped,
       ready: this.isReady,
-      readsStore: this.reading.isReading,
-      storeEra: Math.max(this.reading.era, this.view.position.era),
+      readsStore: this.storeReading.isReading,
+      storeEra: Math.max(this.storeReading.era, this.view.position.era),
       registryRevision: this.view.revision,
       zonesEvacuated: this.evacuations.current.zones.length,
-      registryCalls: this.upkeep.calls,
-      ...this.reading.calls,
+      registryCalls: this.reconciler.calls,
+      ...this.storeReading.calls,
       ...this.hops.counters,
       ...this.locality.figures,
     };
   }
 
-  /** What a peer may take over. */
+  /** The state that a peer may adopt. */
   get snapshot(): PeerSnapshot {
     return {
       routingTable: this.table.current,
@@ -213,7 +213,7 @@
     };
   }
 
-  /** A datagram of a client. */
+  /** Routes a datagram of a client, or holds it until this balancer can serve flows. */
   handleClientDatagram(bytes: Buffer): void {
     if (!this.startupGate.handlePacket(bytes)) {
       this.routeDatagram(bytes);
@@ -230,12 +230,12 @@
     this.dependencies.relay(destination, bytes);
   }
 
-  /** Smoothed round trip to an agent in milliseconds; undefined before it is measured. */
+  /** Returns the smoothed round-trip time to an agent in milliseconds; undefined before it is measured. */
   getRoundTrip(agent: Endpoint): number | undefined {
     return this.hops.getRoundTrip(agent);
   }
 
-  /** A frame of another node. */
+  /** Handles a frame of another node. */
   handleFrame(bytes: Buffer, from: Endpoint): void {
     const message = this.link.receiveFrom(from, bytes);
     const unpacked = message && this.hops.receive(from, message);
@@ -258,7 +258,7 @@
     return { storeEra: this.view.position.era, asksEra: isAsking ? 1 : 0 };
   }
 
-  /** Agents are told of another era at once: some have lost their entries, and all know how old they are. */
+  /** Sends agents a changed era at once: the store may have lost entries, and agents know the age of theirs. */
   private announceEra(): void {
     const { era } = this.view.position;
     if (era !== this.announcedEra) {
@@ -272,17 +272,18 @@
     return this.table.current !== undefined && this.directory.isComplete && knowsZones;
   }
 
-  /** Whether any flow can be routed or relayed now, by a balancer that is wanted or not. */
+  /** Whether any flow can be routed or relayed now, whether or not this balancer should be ready. */
   private get canServe(): boolean {
     const now = this.dependencies.environment.now();
     if (this.relay.canRelay(now)) {
       return true;
     }
-    const maySeeNone = this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
-    return this.hasView && (maySeeNone || this.directory.hasHeardAny(now));
+    const mayLackAgents =
+      this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
+    return this.hasView && (mayLackAgents || this.directory.hasHeardAny(now));
   }
 
-  /** Clients' packets wait here until any flow can be served. */
+  /** Creates the gate that holds clients' packets until any flow can be served. */
   private createGate(): StartupGate {
     const { environment, format } = this.dependencies;
     return new StartupGate({
@@ -395,7 +396,7 @@
     });
   }
 
-  /** Nothing is repeated for an agent, or a zone, that is silent. */
+  /** Creates the hop repair; it does not retransmit to agents without a recent report. */
   private createHopRepair(): HopRepair {
     const { directory, link } = this;
     return new HopRepair({
@@ -429,8 +430,8 @@
       onAgents: (agents) => this.view.mergeAgents(agents),
       getRegistryPosition: () => this.view.position,
       onDelta: (delta, era) => this.view.applyDelta(delta, era),
-      getReaders: () => this.reading.getLatestReaders(),
-      onReaders: (readers) => this.reading.mergeReaders(readers),
+      getReaders: () => this.storeReading.getLatestReaders(),
+      onReaders: (readers) => this.storeReading.mergeReaders(readers),
     });
   }
 
@@ -439,8 +440,8 @@
     this.startupGate.processBacklog();
   }
 
-  /** A balancer that starts first asks others; those that others ask first read at once. */
-  private createReading(): StoreReading {
+  /** Creates the store reader; a seed reads the store at once, other balancers first ask their peers. */
+  private createStoreReading(): StoreReading {
     const { environment, registry, routingTables, evacuatedZones, storeProbe } = this.dependencies;
     const { address, applyTime, linkSpeed, seeds } = this.settings;
     return new StoreReading({
@@ -474,8 +475,8 @@
 
   private get ownStatus(): BalancerStatus {
     const { zone, packetAddress, capacity } = this.settings;
-    const told = this.relay.prefersRelaying && !this.isWarmedUp ? 0 : capacity;
-    return { zone, packetAddress, capacity: told, isReady: this.isReady };
+    const announcedCapacity = this.relay.prefersRelaying && !this.isWarmedUp ? 0 : capacity;
+    return { zone, packetAddress, capacity: announcedCapacity, isReady: this.isReady };
   }
 
   private get isWarmedUp(): boolean {
@@ -495,7 +496,7 @@
     }
   }
 
-  /** Another table is in force: routes go by it, and agents are told what it says of services. */
+  /** Activates a changed table, and sends agents its service profiles if they differ. */
   private applyTable(table: RoutingTable, hasOtherProfiles: boolean): void {
     this.router.apply(table);
     this.peers.notifyWaitingPeers();
@@ -506,17 +507,17 @@
     this.updateReadiness();
   }
 
-  /** Zones went out of service or came back: tells their agents, and other balancers. */
+  /** Notifies the agents of zones that were evacuated or restored, and other balancers. */
   private announceZones(zones: readonly string[]): void {
     this.subscriptions.makeDueInZones(zones);
     this.subscribe();
-    if (this.reading.isReading) {
+    if (this.storeReading.isReading) {
       this.peers.broadcastStatus();
     }
     this.updateReadiness();
   }
 
-  /** A balancer that relays needs no reports. */
+  /** Subscribes to the reports of agents; a balancer that relays needs none. */
   private subscribe(): void {
     const now = this.dependencies.environment.now();
     const isRelaying = this.relay.canRelay(now);
@@ -526,7 +527,7 @@
       return;
     }
     this.directory.startListening(now);
-    this.subscriptions.sendDue(now, this.reading.isRecent);
+    this.subscriptions.sendDue(now, this.storeReading.isRecent);
   }
 
   private reportRelaying(isRelaying: boolean): void {
@@ -542,7 +543,7 @@
     this.startupGate.processBacklog();
     this.router.expire(this.dependencies.environment.now());
     this.hops.expire(this.dependencies.environment.now());
-    this.upkeep.reconcile(this.reading.isReading);
+    this.reconciler.reconcile(this.storeReading.isReading);
     this.subscriptions.expire();
     this.updateReadiness();
   }
--- a/src/packets/packet-forwarder.ts
+++ b/src/packets/packet-forwarder.ts
@@ -1,4 +1,4 @@
-/** What a balancer does with a client's packet in the end: delivers, resets or drops it. */
+/** Carries out a balancer's decision about a client's packet: delivers, resets or drops it. */
 import { formatEndpoint } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import type { EventFields, EventKind } from '../logging/events';
@@ -12,30 +12,30 @@
 import type { HopRepair } from './repair/hop-repair';
 import type { ZoneDetour } from './zone-detour';
 
-/** Counters of what became of clients' packets. */
+/** Counters of the outcomes of clients' packets. */
 export interface RoutingCounters extends SpillCounters {
   packetsReceived: number;
   packetsMalformed: number;
   packetsWithoutRoute: number;
   packetsDropped: number;
   flowsPlaced: number;
-  /** Placed at a target of which too little is known; part of `flowsPlaced`, as the next two. */
+  /** Placed at a target with insufficient data; part of `flowsPlaced`, as the next two. */
   flowsPlacedDoubtful: number;
-  /** Placed at a target that is silent or set aside, as nothing better took them. */
+  /** Placed at an unresponsive or ejected target, since no better one accepts flows. */
   flowsPlacedLastResort: number;
-  /** Placed at a target that is set aside, to see how it does. */
+  /** Placed at an ejected target to test whether it has recovered. */
   trialFlows: number;
-  /** Openings refused since their requests would have been answered too late. */
+  /** New flows refused since their requests would miss the deadline. */
   openingsRefused: number;
   flowsFound: number;
   searchesStarted: number;
   resetsSent: number;
   resetsRepeated: number;
-  /** Sent through a balancer of a third zone, since their own zone could not be reached. */
+  /** Sent through a balancer of a third zone, since the target's zone was unreachable. */
   packetsDetoured: number;
 }
 
-/** What the outlet works with. */
+/** Dependencies of the packet forwarder. */
 export interface PacketForwarderDependencies {
   readonly environment: Environment;
   readonly format: PacketFormat;
@@ -47,7 +47,7 @@
   sendToClient(client: Endpoint, packet: Buffer): void;
 }
 
-/** The outlet of one balancer. */
+/** Delivers, resets or drops the packets of one balancer. */
 export class PacketForwarder {
   readonly counters: RoutingCounters = {
     packetsReceived: 0,
@@ -70,15 +70,16 @@
     packetsDetoured: 0,
   };
   private readonly delayed = new DelayedDeliveries();
-  /** Packets that have come through another balancer. */
+  /** Packets that arrived by a detour from another balancer. */
   private readonly detoured = new WeakSet<FlowPacket>();
 
   constructor(private readonly dependencies: PacketForwarderDependencies) {}
 
   /**
-   * Sends a packet to an agent; keeps it for a while when the agent is away. One that is heard
-   * acknowledges packets whose loss matters, and gets them once more if it doesn't.
-   * @param services services that may receive it
+   * Sends a packet to an agent. An agent with a recent report acknowledges packets whose loss
+   * matters, and they are retransmitted if it does not; for other agents the packet is also retained
+   * for a short time.
+   * @param services services that may receive the packet
    * @param searchId the search that it belongs to; 0 for none
    */
   deliver(
@@ -102,7 +103,7 @@
     }
   }
 
-  /** Sends an agent that is not heard a packet, or a search with it; keeps it for a while. */
+  /** Sends a packet, or a search with it, to an agent without a recent report; retains it for a short time. */
   sendToSilent(packet: FlowPacket, message: DelayableMessage, agent: Endpoint): void {
     const { directory, environment, link } = this.dependencies;
     const now = environment.now();
@@ -116,12 +117,12 @@
     link.send(agent, message);
   }
 
-  /** A packet has come through another balancer: it is delivered or dropped here. */
+  /** Marks a packet that arrived by a detour, so that it does not take another. */
   markDetoured(packet: FlowPacket): void {
     this.detoured.add(packet);
   }
 
-  /** Sends a packet to a zone out of reach through a third one; false when there is no such way. */
+  /** Sends a packet to an unreachable zone through a third one; returns false if that is not possible. */
   private sendByDetour(packet: FlowPacket, { address, zone }: AgentEntry, now: number): boolean {
     const { detours, directory, link } = this.dependencies;
     if (this.detoured.has(packet) || !directory.isZoneSilent(zone, now)) {
@@ -137,43 +138,43 @@
     return true;
   }
 
-  /** Hands an agent that was away what has waited for it. */
+  /** Sends the packets retained for an agent that reports again. */
   deliverDelayed(agent: Endpoint): void {
     const { environment, link } = this.dependencies;
     const messages = this.delayed.take(agent, environment.now());
     messages.forEach((message) => link.send(agent, message));
   }
 
-  /** An agent does not hold a flow: what is kept of it for that agent is void. */
+  /** Drops the retained packets of a flow that an agent does not hold. */
   discardDelayed(agent: Endpoint, flow: FlowKey): void {
     this.delayed.removeFlow(agent, flow);
   }
 
-  /** Drops delayed packets that are too old. */
+  /** Removes expired packets. */
   expire(now: number): void {
     this.delayed.expire(now);
   }
 
-  /** Tells a client that its flow is dead. */
+  /** Sends a client a reset: its flow does not exist or is refused. */
   reset(packet: FlowPacket, reason: string, fields: EventFields = {}): void {
     this.counters.resetsSent++;
     this.reportEvent(Events.flowReset, packet, { reason, ...fields });
     this.sendReset(packet);
   }
 
-  /** Tells a client once more that its flow is dead. */
+  /** Sends a client a reset again. */
   repeatReset(packet: FlowPacket): void {
     this.counters.resetsRepeated++;
     this.sendReset(packet);
   }
 
-  /** Leaves a packet to the client's next copy. */
+  /** Drops a packet; the client retransmits it. */
   drop(packet: FlowPacket, reason: string): void {
     this.counters.packetsDropped++;
     this.reportEvent(Events.packetDropped, packet, { reason, opens: packet.opens });
   }
 
-  /** Reports an event of a client's packet. */
+  /** Reports an event about a client's packet. */
   reportEvent(event: EventKind, packet: FlowPacket, fields: EventFields): void {
     this.dependencies.environment.report(event, {
       client: formatEndpoint(packet.client),
--- a/src/packets/pending-deliveries.ts
+++ b/src/packets/pending-deliveries.ts
@@ -1,6 +1,6 @@
 /**
- * Remembers for a while who sent each packet that was handed to the target, so that a
- * packet the target returns goes back to its sender. A fixed ring: the token is its slot.
+ * Records the sender of each packet recently sent to the target, so that a packet that the target
+ * rejects can be sent back. A ring buffer of fixed size; the token gives the slot.
  */
 import type { Endpoint } from '../environment';
 import type { SearchMessage } from './packet-messages';
@@ -8,12 +8,12 @@
 const RING_CAPACITY = 4_096;
 const TOKEN_RANGE = 2 ** 32;
 
-/** One packet at the target. */
+/** A packet that was sent to the target. */
 export interface PendingDelivery {
   readonly token: number;
   readonly balancer: Endpoint;
   readonly searchId: number;
-  /** The search that goes on when the target returns the packet; undefined for none. */
+  /** The search to continue when the target rejects the packet; undefined for none. */
   readonly search: SearchMessage | undefined;
 }
 
@@ -22,12 +22,12 @@
   private readonly ring: (PendingDelivery | undefined)[] = new Array<undefined>(RING_CAPACITY);
   private lastToken: number;
 
-  /** @param firstToken differs from run to run, so that another run's tokens mean nothing */
+  /** @param firstToken random for each process, so that tokens of an earlier process match nothing */
   constructor(firstToken: number) {
     this.lastToken = firstToken % TOKEN_RANGE;
   }
 
-  /** Notes a delivery and returns its token, which is never 0. */
+  /** Records a delivery and returns its token, which is never 0. */
   add(balancer: Endpoint, searchId: number, search?: SearchMessage): number {
     this.lastToken = (this.lastToken + 1) % TOKEN_RANGE || 1;
     const token = this.lastToken;
@@ -35,7 +35,7 @@
     return token;
   }
 
-  /** Takes the delivery of a token out; undefined when it is too old or unknown. */
+  /** Removes and returns the delivery of a token; undefined when it is unknown or was overwritten. */
   take(token: number): PendingDelivery | undefined {
     const slot = token % RING_CAPACITY;
     const found = this.ring[slot];
--- a/src/packets/pending-searches.ts
+++ b/src/packets/pending-searches.ts
@@ -1,50 +1,51 @@
 /**
- * Packets of flows whose holder is being searched for: they wait for the outcome, which the
- * first packet of each flow brings about, and begin another search when none comes in time.
+ * Time limits of the holder searches in progress, and the packets that wait for their outcomes.
+ * The first packet of a flow starts its search; a waiting packet starts another one if the
+ * outcome does not arrive in time.
  */
 import type { FlowKey, FlowPacket } from './flow-packet';
 import type { Route } from './routing-table';
 
-/** Packets of one flow that wait for its answer; the client repeats the others. */
+/** Maximum waiting packets of a flow; the client retransmits those dropped beyond it. */
 const MAXIMUM_WAITING_PER_FLOW = 16;
 const MAXIMUM_FLOWS = 4_096;
 
 const MINIMUM_TIMEOUT_MS = 40;
 const MAXIMUM_TIMEOUT_MS = 400;
-/** Milliseconds that a whole processor needs to send and to read the outcome, with much to spare. */
+/** Generous time in which a balancer with one full CPU sends a search and reads its outcome. */
 const BASE_SEARCH_TIME_MS = 20;
 
 /**
- * Milliseconds for each agent of a search, which visits it twice: sending across zones, and an
- * agent's turn while it handles others.
+ * Time for each agent of a search, which visits it twice: latency between zones, and queueing
+ * while the agent handles other messages.
  */
 const TIME_PER_AGENT_MS = 4;
 
-/** Milliseconds in which a search has its outcome, for a balancer with so many processors. */
+/** Computes the time limit of a search in milliseconds, for a balancer with `capacity` CPUs. */
 export function computeSearchTimeout(capacity: number): number {
   return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, BASE_SEARCH_TIME_MS / capacity));
 }
 
-/** A packet that waits for its flow's holder. */
+/** A packet that waits until the holder of its flow is existing. */
 export interface WaitingPacket {
   readonly packet: FlowPacket;
   readonly route: Route;
-  /** A search for which it has waited had no outcome: it begins no other one. */
+  /** Whether it has waited for a search that timed out already; it starts no other one. */
   readonly hasWaited?: boolean;
 }
 
 interface PendingSearch {
   dueAt: number;
-  /** A packet that begins another search by itself, as it has not been offered to anybody. */
+  /** A packet that was not offered to any agent yet; it starts the next search. */
   retry: WaitingPacket | undefined;
   readonly waiting: WaitingPacket[];
 }
 
-/** Searches under way, by flow, oldest first. */
+/** Searches in progress by flow, oldest first. */
 export class PendingSearches {
   private readonly searches = new Map<FlowKey, PendingSearch>();
 
-  /** @param timeout milliseconds that a search has for its outcome at least */
+  /** @param timeout minimum time limit of a search, in milliseconds */
   constructor(private readonly timeout: number) {}
 
   get size(): number {
@@ -57,25 +58,25 @@
   }
 
   /**
-   * A search for the holder of a flow begins, or goes on through other agents; further packets
-   * are to wait, up to a bound.
-   * @param agents number of agents that it goes through
-   * @param unansweredAttempts searches before it that have had no outcome: each doubles the time that it has
+   * Starts the time limit of a search, or restarts it when the search continues through other
+   * agents; further packets of the flow wait, up to a limit.
+   * @param agents number of agents that the search visits in one chain
+   * @param unansweredAttempts earlier attempts without outcome: each doubles the time limit
    */
   beginOrExtend(flow: FlowKey, agents: number, now: number, unansweredAttempts = 0): void {
     const shortest = Math.max(this.timeout, agents * TIME_PER_AGENT_MS);
     const doubled = Math.min(MAXIMUM_TIMEOUT_MS, shortest * 2 ** unansweredAttempts);
     const dueAt = now + Math.max(shortest, doubled);
-    const known = this.searches.get(flow);
-    if (known) {
-      known.dueAt = dueAt;
-      known.retry = undefined;
+    const existing = this.searches.get(flow);
+    if (existing) {
+      existing.dueAt = dueAt;
+      existing.retry = undefined;
     } else if (this.searches.size < MAXIMUM_FLOWS) {
       this.searches.set(flow, { dueAt, retry: undefined, waiting: [] });
     }
   }
 
-  /** Keeps the packet that a flow is searched for with, until the next search for it begins. */
+  /** Retains the packet of a search that could not send it yet, until the next search for its flow. */
   keepForRetry(packet: WaitingPacket): void {
     const search = this.searches.get(packet.packet.flow);
     if (search) {
@@ -83,7 +84,7 @@
     }
   }
 
-  /** Keeps another packet of a flow that is searched for. */
+  /** Retains another packet of a flow while its search is in progress. */
   enqueue(waiting: WaitingPacket): void {
     const search = this.searches.get(waiting.packet.flow);
     if (search && search.waiting.length < MAXIMUM_WAITING_PER_FLOW) {
@@ -91,14 +92,14 @@
     }
   }
 
-  /** The holder is known, or need not be: takes out what waits for it. */
+  /** Removes a search that has ended and returns the packets that waited for it. */
   takeWaiting(flow: FlowKey): readonly WaitingPacket[] {
     const search = this.searches.get(flow);
     this.searches.delete(flow);
     return search?.waiting ?? [];
   }
 
-  /** Takes out what has waited too long for the outcome. */
+  /** Removes searches past their time limit and returns their packets. */
   takeOverdue(now: number): WaitingPacket[] {
     const overdue: WaitingPacket[] = [];
     for (const [flow, { dueAt, retry, waiting }] of this.searches) {
--- a/src/packets/search-dispatch.ts
+++ b/src/packets/search-dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a packet of a flow whose holder is not known through agents: in a chain, in groups at the same
- * time, or to one that is silent.
+ * Sends a packet of a flow with unknown holder through agents: in one chain, in several groups in
+ * parallel, or to one unresponsive agent.
  */
 import type { Endpoint } from '../environment';
 import type { AgentEntry } from './agent-directory';
@@ -19,27 +19,27 @@
 import type { PacketForwarder } from './packet-forwarder';
 import { GROUP_SIZE, orderSearch, splitIntoGroups } from './search-order';
 
-/** Agents of one round of groups: a balancer sends and hears 20 messages for each stage of it. */
+/** Maximum agents in a round of groups: 20 messages sent and 20 received in each phase. */
 const MAXIMUM_ROUND_SIZE = 20 * GROUP_SIZE;
 
-/** What the dispatch works with. */
+/** Dependencies of the search dispatch. */
 export interface SearchDispatchDependencies {
-  /** Where agents send the outcome. */
+  /** Address to which agents send the outcome. */
   readonly address: Endpoint;
   readonly locality: Locality;
   readonly link: PacketLink;
   readonly forwarder: PacketForwarder;
-  /** A packet goes out in chains of so many agents at most; their outcome is awaited from now on. */
+  /** Starts the time limit for the outcome of chains with at most `agents` agents each. */
   waitForOutcome(packet: FlowPacket, search: FlowSearch, agents: number): void;
 }
 
-/** The dispatch of one balancer. */
+/** Sends the search messages of one balancer. */
 export class SearchDispatch {
   constructor(private readonly dependencies: SearchDispatchDependencies) {}
 
   /**
-   * Asks agents whether they know a packet's flow. Those that are heard will answer; those that are
-   * not stand in groups of their own, since one that is down ends the way of its group.
+   * Queries agents whether they know a packet's flow. Agents without a recent report are put in
+   * separate groups, since one that is down stops the query of its group.
    */
   queryInParts(
     heard: readonly AgentEntry[],
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Sends a packet through agents: first through the few where its flow was placed in all
-   * likelihood, then through those that know all flows of their targets, then through the rest.
+   * Sends a packet through agents: first through the few where its flow was most likely placed,
+   * then through those that know all flows of their targets, then through the rest.
    */
   sendThroughAgents(agents: readonly AgentEntry[], packet: FlowPacket, search: FlowSearch): void {
     const conclusive = agents.filter((agent) => this.isConclusive(agent));
@@ -62,18 +62,18 @@
     this.send(packet, search, isFirst || conclusive.length === 0 ? agents : conclusive);
   }
 
-  /** None of some agents knows a packet's flow: all of them offer it to their targets. */
+  /** Lets agents that do not know a packet's flow offer the packet to their targets. */
   offerToAll(packet: FlowPacket, search: FlowSearch, agents: readonly Endpoint[]): void {
     this.sendToGroups(packet, search, agents, SearchPhase.offer);
   }
 
   /**
-   * Offers a packet to an agent that is silent to this balancer, and yet may be there. Without need its
-   * target is not touched: an agent that knows all flows of its target goes by that.
+   * Offers a packet to an agent that does not report to this balancer but may be running. Its target
+   * gets the packet only if needed: an agent that knows all flows of its target decides by itself.
    */
   offerToSilent(agent: AgentEntry, packet: FlowPacket, search: FlowSearch): void {
     const { address } = agent;
-    const { link, forwarder: forwarder } = this.dependencies;
+    const { link, forwarder } = this.dependencies;
     recordOffer(search, address);
     if (!link.supportsConclusiveSearch(address)) {
       forwarder.deliver(packet, search.services, address, search.id);
@@ -83,7 +83,7 @@
     forwarder.sendToSilent(packet, message, address);
   }
 
-  /** Sends a packet through agents; further packets of its flow wait for the outcome. */
+  /** Sends a packet through agents; further packets of the flow wait for the outcome. */
   private send(packet: FlowPacket, search: FlowSearch, agents: readonly AgentEntry[]): void {
     const { link, locality } = this.dependencies;
     const ordered = locality.orderForSearch(packet.flow, agents);
@@ -114,25 +114,25 @@
     search.unansweredAttempts++;
   }
 
-  /** Searches groups of agents at the same time; those that do not know the flow are not asked again. */
+  /** Searches groups of agents in parallel; agents that do not know the flow are not queried again. */
   private searchGroups(
     packet: FlowPacket,
     search: FlowSearch,
     agents: readonly Endpoint[],
     isConclusive: boolean,
   ): void {
-    const unasked = agents.filter((agent) => !search.unknownTo.has(agent));
-    search.round = { agents, outstanding: new Set(unasked), isFollowedByOffer: true };
+    const unqueried = agents.filter((agent) => !search.unknownTo.has(agent));
+    search.round = { agents, outstanding: new Set(unqueried), isFollowedByOffer: true };
     if (isConclusive) {
       this.sendToGroups(packet, search, agents, SearchPhase.conclusive);
-    } else if (unasked.length > 0) {
-      this.sendToGroups(packet, search, unasked, SearchPhase.queryOnly);
+    } else if (unqueried.length > 0) {
+      this.sendToGroups(packet, search, unqueried, SearchPhase.queryOnly);
     } else {
       this.sendToGroups(packet, search, agents, SearchPhase.offer);
     }
   }
 
-  /** Asks agents whether they know a packet's flow; each part goes its own way. */
+  /** Queries agents whether they know a packet's flow; each part is sent in groups of its own. */
   private queryAgents(
     packet: FlowPacket,
     search: FlowSearch,
--- a/src/packets/search-order.ts
+++ b/src/packets/search-order.ts
@@ -1,23 +1,23 @@
-/** The order in which agents are searched for the holder of a flow. */
+/** The order in which a search for the holder of a flow visits agents. */
 import type { Endpoint } from '../environment';
 import { CANDIDATE_COUNT } from './flow-candidates';
 
-/** Agents in the order that belongs to a flow's search. */
+/** Agents in the search order of a flow. */
 export interface SearchOrder<T> {
   readonly agents: readonly T[];
-  /** So many of the first are where the flow was placed in all likelihood. */
+  /** Number of agents at the head where the flow was most likely placed. */
   readonly likelyCount: number;
 }
 
 /**
- * Those of some agents that a search visits, in order. The first one goes only through those
- * where the flow was placed in all likelihood. A search that had no outcome may have been
- * stopped by one agent: the next attempt goes the other way round, from the last one, and
- * reaches those behind it. The attempts after that begin one agent further on.
- * @param agents in the order that belongs to the flow
- * @param attempts searches for this flow before
- * @param maximum agents that a search after the first visits at most
- * @param likelyCount agents that the first one visits at most
+ * Selects the agents that an attempt visits, in order. The first attempt visits only those where
+ * the flow was most likely placed. One unresponsive agent may have stopped an attempt without
+ * outcome: the next attempt runs in the reverse order, from the last agent, and reaches those
+ * behind it. Each later pair of attempts starts one agent further on.
+ * @param agents in the search order of the flow
+ * @param attempts number of earlier attempts for this flow
+ * @param maximum number of agents that an attempt after the first visits at most
+ * @param likelyCount number of agents that the first attempt visits at most
  */
 export function orderSearch(
   agents: readonly { readonly address: Endpoint }[],
@@ -37,10 +37,10 @@
   return order;
 }
 
-/** Agents of one group: its search is as long as that many hops, twice. */
+/** Agents in a group; a search takes this many hops in each of two phases. */
 export const GROUP_SIZE = 25;
 
-/** The agents of a round in groups that are searched at the same time. */
+/** Splits the agents of a round into groups that are searched in parallel. */
 export function splitIntoGroups(agents: readonly Endpoint[]): Endpoint[][] {
   const groups: Endpoint[][] = [];
   for (let start = 0; start < agents.length; start += GROUP_SIZE) {
--- a/src/packets/search-plan.ts
+++ b/src/packets/search-plan.ts
@@ -1,9 +1,9 @@
 /**
- * What a search for a flow's holder does next.
+ * Decides the next step of a search for a flow's holder.
  *
- * A target gets the packet only once every agent that may know the flow has been asked, or has been
- * silent for long enough. A balancer that has just started, or has relayed until now, has heard few
- * agents: those few are not all that there are.
+ * A packet is offered to targets only once every agent that may know the flow has been queried, or
+ * has exceeded the time for a report. A balancer that has just started, or has only relayed until
+ * now, has reports of few agents, and those few need not be all.
  */
 import type { Endpoint } from '../environment';
 import type { AgentEntry } from './agent-directory';
@@ -11,27 +11,27 @@
 
 /** The next step of a search. */
 export type SearchPlan =
-  /** Ask agents whether they know the flow; no target is touched. */
+  /** Query agents whether they know the flow; no target gets the packet. */
   | {
-      readonly kind: 'ask';
+      readonly kind: 'query';
       readonly heard: readonly AgentEntry[];
       readonly awaited: readonly AgentEntry[];
     }
-  /** Look again later: agents that cannot be asked yet are still awaited. */
+  /** Retry later: the reports of agents that cannot be queried yet are still pending. */
   | { readonly kind: 'wait' }
   /** Send the packet through agents, which offer it to their targets. */
   | { readonly kind: 'search'; readonly agents: readonly AgentEntry[] }
-  /** Offer the packet to one agent, which is of an earlier version. */
+  /** Offer the packet to one agent, which runs an earlier version. */
   | { readonly kind: 'offer'; readonly agent: AgentEntry }
-  /** Offer the packet to one agent that is silent; no other is left. */
+  /** Offer the packet to one unresponsive agent; no other is left. */
   | { readonly kind: 'offerSilent'; readonly agent: AgentEntry }
-  /** Every agent known has refused the packet. */
+  /** Every known agent has refused the packet. */
   | { readonly kind: 'conclude' };
 
-/** What a plan asks of an agent. */
+/** The properties of agents that a plan depends on. */
 export interface SearchView {
   isHeard(entry: AgentEntry): boolean;
-  /** Whether an agent has not had the time to be heard. */
+  /** Whether an agent has not reported yet and is still within the time for it. */
   isReportPending(entry: AgentEntry): boolean;
   supportsCompactFrames(agent: Endpoint): boolean;
   supportsGroupSearch(agent: Endpoint): boolean;
@@ -46,18 +46,18 @@
   search: FlowSearch,
   view: SearchView,
 ): SearchPlan {
-  const unasked = untried.filter(({ address }) => !search.unknownTo.has(address));
-  return unasked.some((entry) => view.isReportPending(entry))
-    ? planQuery(unasked, view)
+  const unqueried = untried.filter(({ address }) => !search.unknownTo.has(address));
+  return unqueried.some((entry) => view.isReportPending(entry))
+    ? planQuery(unqueried, view)
     : planOffer(untried, search, view);
 }
 
-function planQuery(unasked: readonly AgentEntry[], view: SearchView): SearchPlan {
-  const askable = unasked.filter(({ address }) => view.supportsGroupSearch(address));
+function planQuery(unqueried: readonly AgentEntry[], view: SearchView): SearchPlan {
+  const askable = unqueried.filter(({ address }) => view.supportsGroupSearch(address));
   const heard = askable.filter((entry) => view.isHeard(entry));
   const awaited = askable.filter((entry) => view.isReportPending(entry));
   const isAnyAskable = heard.length + awaited.length > 0;
-  return isAnyAskable ? { kind: 'ask', heard, awaited } : { kind: 'wait' };
+  return isAnyAskable ? { kind: 'query', heard, awaited } : { kind: 'wait' };
 }
 
 function planOffer(
--- a/src/packets/search-steps.ts
+++ b/src/packets/search-steps.ts
@@ -1,4 +1,4 @@
-/** How a search goes on from an agent that does not hold the flow. */
+/** The next step of a search after an agent that does not hold the flow. */
 import type { Endpoint } from '../environment';
 import {
   PacketMessageType,
@@ -8,7 +8,7 @@
   type SearchMessage,
 } from './packet-messages';
 
-/** What comes after one agent of a search. */
+/** The next agent of a search, or its outcome for the balancer. */
 export type SearchStep =
   | { readonly kind: 'next'; readonly agent: Endpoint; readonly message: SearchMessage }
   | {
@@ -18,8 +18,8 @@
     };
 
 /**
- * The step after an agent that did not take the packet: the next agent of the phase, the
- * first one of the next phase, or the answer to the balancer after the last one.
+ * Determines the step after an agent that did not take the packet: the next agent of the phase,
+ * the first agent of the next phase, or, after the last agent, the outcome for the balancer.
  */
 export function determineNextStep(search: SearchMessage): SearchStep {
   const { agents, balancer, payload, searchId } = search;
--- a/src/packets/traffic-relay.ts
+++ b/src/packets/traffic-relay.ts
@@ -1,33 +1,32 @@
 /**
- * A balancer with little processor time hands clients' packets on, as they came, to
- * balancers that have more: passing one on costs far less than routing it, and
- * such a balancer needs no reports of agents. It routes by itself while it knows no such
- * balancer.
+ * Relaying: a balancer with little CPU forwards clients' packets unchanged to balancers with
+ * more. Forwarding a packet takes far less CPU than routing it, and needs no reports of agents.
+ * Such a balancer routes packets itself while no other balancer is available.
  */
 import { computeRendezvousScore } from '../core/hashing';
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 
-/** Processors below which a balancer relays, and from which on it takes what others relay. */
+/** CPUs below which a balancer relays; one with at least as many routes packets that others relay. */
 export const MINIMUM_ROUTING_CAPACITY = 0.1;
-/** Milliseconds without a status after which a balancer is taken to be away. */
+/** Time without a status after which a balancer counts as unavailable. */
 const STATUS_TIMEOUT_MS = 1_100;
 
-/** Balancers noted at most. */
+/** Maximum number of balancers kept. */
 const MAXIMUM_BALANCERS = 64;
-/** Milliseconds for which a silent balancer still counts as one of its zone. */
+/** Time without a status after which a balancer no longer counts as a member of its zone. */
 const MEMBERSHIP_TIMEOUT_MS = 15_000;
-/** Milliseconds of silence after which another weak balancer stands in for one. */
+/** Time without a status after which another relaying balancer takes the place of one. */
 const STAND_IN_TIMEOUT_MS = 2_000;
 
-/** A balancer as it tells of itself. */
+/** The status that a balancer announces to its peers. */
 export interface BalancerStatus {
   readonly zone: string;
-  /** Where it takes clients' packets. */
+  /** Address at which it receives clients' packets. */
   readonly packetAddress: Endpoint;
-  /** Processors that it may use; 0 for one that relays and has just started. */
+  /** CPUs that it may use; 0 for one that relays and has just started. */
   readonly capacity: number;
-  /** It takes traffic: it is not stopping and can serve any flow. */
+  /** Whether it accepts traffic: it is not stopping and can serve any flow. */
   readonly isReady: boolean;
 }
 
@@ -36,14 +35,14 @@
   readonly heardAt: number;
 }
 
-/** The relay of one balancer. */
+/** Decides for one balancer whether, and to which balancers, it relays. */
 export class TrafficRelay {
   private readonly balancers = new Map<Endpoint, KnownBalancer>();
 
   /**
    * @param self address of this balancer
    * @param zone zone of this balancer
-   * @param capacity processors that it may use
+   * @param capacity CPUs that it may use
    */
   constructor(
     private readonly self: Endpoint,
@@ -51,12 +50,12 @@
     private readonly capacity: number,
   ) {}
 
-  /** Whether this balancer should relay when it can. */
+  /** Whether this balancer relays whenever another one is available. */
   get prefersRelaying(): boolean {
     return this.capacity < MINIMUM_ROUTING_CAPACITY;
   }
 
-  /** Takes the status of another balancer. */
+  /** Records the status of another balancer. */
   recordStatus(balancer: Endpoint, status: BalancerStatus, now: number): void {
     if (this.prefersRelaying) {
       this.balancers.set(balancer, { status, heardAt: now });
@@ -66,50 +65,52 @@
     }
   }
 
-  /** Balancers whose status matters, also those that may be away: of this zone, or all. */
+  /** Lists balancers whose status is needed, also unavailable ones: of this zone, or else of all. */
   listBalancersToPoll(now: number): Endpoint[] {
-    const hasOwn = this.listAvailable(now).some(([, one]) => this.isInOwnZone(one));
+    const hasOwnZone = this.listAvailable(now).some(([, entry]) => this.isInOwnZone(entry));
     return [...this.balancers]
-      .filter(([, one]) => this.isInOwnZone(one) || (!hasOwn && routesItself(one)))
+      .filter(([, entry]) => this.isInOwnZone(entry) || (!hasOwnZone && routesItself(entry)))
       .map(([address]) => address);
   }
 
   /**
-   * Whether this balancer should take traffic to relay it. Routers leave a balancer out that
-   * says it is not ready, as long as at least half of its zone is. So as many weak ones as
-   * make more than half take traffic: those first that have run for a while, since code that
-   * has just started is slow, then those whose addresses are lowest. One that has just started
-   * does so only if half of the zone is not ready without it.
-   * @param isWarmedUp whether this balancer has run for a while
+   * Whether this balancer should accept traffic to relay it. Network routers exclude a balancer
+   * that is not ready only while at least half of its zone is ready. So as many relaying
+   * balancers accept traffic as make more than half: warmed-up ones first, since code is slow
+   * just after the start, then those with the lowest addresses. One that is not warmed up
+   * accepts traffic only if less than half of the zone is ready without it.
+   * @param isWarmedUp whether this balancer has run for its warm-up time
    */
   isNeeded(isWarmedUp: boolean, now: number): boolean {
-    const zone = [...this.balancers].filter(
-      ([, one]) => this.isInOwnZone(one) && now - one.heardAt <= MEMBERSHIP_TIMEOUT_MS,
+    const zoneMembers = [...this.balancers].filter(
+      ([, entry]) => this.isInOwnZone(entry) && now - entry.heardAt <= MEMBERSHIP_TIMEOUT_MS,
     );
-    const routing = this.listAvailable(now).filter(([, one]) => this.isInOwnZone(one)).length;
-    const members = zone.length + 1;
-    const wanted = isWarmedUp ? Math.floor(members / 2) + 1 : Math.ceil(members / 2);
-    const before = zone.filter(
-      ([address, one]) =>
-        isWarmRelay(one) &&
-        now - one.heardAt <= STAND_IN_TIMEOUT_MS &&
+    const routingCount = this.listAvailable(now).filter(([, entry]) =>
+      this.isInOwnZone(entry),
+    ).length;
+    const memberCount = zoneMembers.length + 1;
+    const required = isWarmedUp ? Math.floor(memberCount / 2) + 1 : Math.ceil(memberCount / 2);
+    const preceding = zoneMembers.filter(
+      ([address, entry]) =>
+        isWarmRelay(entry) &&
+        now - entry.heardAt <= STAND_IN_TIMEOUT_MS &&
         (!isWarmedUp || address < this.self),
     );
-    return routing + before.length < wanted;
+    return routingCount + preceding.length < required;
   }
 
-  /** Whether some balancer would take what is relayed. */
+  /** Whether a balancer is available to relay to. */
   canRelay(now: number): boolean {
     return this.listAvailable(now).length > 0;
   }
 
   /**
-   * Where packets of a flow go: to a balancer of this zone, or of another one without it;
-   * undefined when this balancer has to route them itself.
+   * Selects the packet address to which packets of a flow are relayed: of a balancer in this zone
+   * if one is available, else in another; undefined when this balancer must route them itself.
    */
   selectDestination(flow: FlowKey, now: number): Endpoint | undefined {
     const available = this.listAvailable(now);
-    const own = available.filter(([, one]) => this.isInOwnZone(one));
+    const own = available.filter(([, entry]) => this.isInOwnZone(entry));
     let best: Endpoint | undefined;
     let bestScore = -1;
     for (const [address, { status }] of own.length > 0 ? own : available) {
@@ -124,8 +125,8 @@
 
   private listAvailable(now: number): [Endpoint, KnownBalancer][] {
     return [...this.balancers].filter(
-      ([, one]) =>
-        routesItself(one) && one.status.isReady && now - one.heardAt <= STATUS_TIMEOUT_MS,
+      ([, entry]) =>
+        routesItself(entry) && entry.status.isReady && now - entry.heardAt <= STATUS_TIMEOUT_MS,
     );
   }
 
@@ -139,12 +140,12 @@
   }
 }
 
-/** Whether a balancer takes what others relay. */
+/** Whether a balancer routes packets that others relay. */
 function routesItself({ status }: KnownBalancer): boolean {
   return status.capacity >= MINIMUM_ROUTING_CAPACITY;
 }
 
-/** Whether a balancer relays, and has run for a while. */
+/** Whether a balancer relays and is warmed up. */
 function isWarmRelay({ status }: KnownBalancer): boolean {
   return status.capacity > 0 && status.capacity < MINIMUM_ROUTING_CAPACITY;
 }
--- a/src/packets/weighted-round-robin.ts
+++ b/src/packets/weighted-round-robin.ts
@@ -1,15 +1,15 @@
 /**
- * Splits the new flows of a route over its services by weight. Smooth weighted
- * round-robin: over any stretch of flows each service gets its part, evenly mixed.
+ * Distributes the new flows of a route over its services by weight. Smooth weighted
+ * round-robin: any sequence of flows is split in proportion, with the services interleaved.
  */
 import type { Endpoint } from '../environment';
 import type { Route } from './routing-table';
 
-/** Counters of the routes that have more than one service. */
+/** Round-robin state of the routes that have more than one service. */
 export class WeightedRoundRobin {
   private readonly credits = new Map<Endpoint, Map<string, number>>();
 
-  /** The service for the route's next flow. */
+  /** Selects the service for the route's next flow. */
   selectNext(route: Route): string {
     if (route.services.length === 1) {
       return route.services[0]!.service;
@@ -31,18 +31,18 @@
     return best;
   }
 
-  /** Forgets all credits; for a new routing table. */
+  /** Clears all credits; for a new routing table. */
   reset(): void {
     this.credits.clear();
   }
 
   private getCredits(route: Route): Map<string, number> {
-    const known = this.credits.get(route.destination);
-    if (known) {
-      return known;
+    const existing = this.credits.get(route.destination);
+    if (existing) {
+      return existing;
     }
-    const fresh = new Map<string, number>();
-    this.credits.set(route.destination, fresh);
-    return fresh;
+    const created = new Map<string, number>();
+    this.credits.set(route.destination, created);
+    return created;
   }
 }
--- a/src/packets/zone-detour.ts
+++ b/src/packets/zone-detour.ts
@@ -1,16 +1,16 @@
 /**
- * The way to a zone that this balancer cannot reach, through a balancer of a third zone that may.
+ * Detours to a zone that this balancer cannot reach, through a balancer of a third zone that may.
  *
- * A packet of an open flow goes there as it came and is routed by that balancer, which never hands
- * it on: a packet takes one detour at most, so there are no loops.
+ * A packet of an open flow is forwarded unchanged and routed by that balancer, which never
+ * forwards it to another: a packet takes at most one detour, so there are no loops.
  */
 import { computeRendezvousScore } from '../core/hashing';
 import type { Endpoint } from '../environment';
 import type { FlowKey } from './flow-packet';
 
-/** Milliseconds after its last status in which a balancer may be asked; statuses come in turns. */
+/** Time after its last status in which a balancer may be used; each peer sends one only now and then. */
 const STATUS_LIFETIME_MS = 10_000;
-/** Balancers noted at most. */
+/** Maximum number of balancers kept. */
 const MAXIMUM_BALANCERS = 256;
 
 interface KnownBalancer {
@@ -18,14 +18,14 @@
   readonly heardAt: number;
 }
 
-/** The balancers of other zones. */
+/** The ready balancers of other zones. */
 export class ZoneDetour {
   private readonly balancers = new Map<Endpoint, KnownBalancer>();
 
   /** @param zone zone of this balancer */
   constructor(private readonly zone: string) {}
 
-  /** Takes the status of another balancer. */
+  /** Records the status of another balancer. */
   recordStatus(balancer: Endpoint, zone: string, isReady: boolean, now: number): void {
     this.balancers.delete(balancer);
     if (!isReady || zone === this.zone) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** The balancer through which a flow's packets reach a zone; the same for all of its packets. */
+  /** Finds the balancer for a detour to a zone, the same for all packets of a flow; undefined for none. */
   findBalancer(flow: FlowKey, targetZone: string, now: number): Endpoint | undefined {
     let best: Endpoint | undefined;
     let bestScore = -1;
