--- a/test/packet-decisions.test.ts
+++ b/test/packet-decisions.test.ts
@@ -1,4 +1,4 @@
-/** Small decisions of the packet interface, each alone. */
+/** Unit tests of delivery rules, search time limits and message encoding of the packet interface. */
 import test from 'ava';
 import { findRefusalReason, type TargetCondition } from '../src/packets/delivery-rules';
 import {
@@ -30,7 +30,7 @@
 };
 const ROUTE = { name: 'r', destination: 1, services: [{ service: 'map', weight: 1 }] };
 
-function waiting(flow: string): WaitingPacket {
+function createWaitingPacket(flow: string): WaitingPacket {
   return { packet: { flow } as FlowPacket, route: ROUTE };
 }
 
@@ -54,7 +54,7 @@
   t.is(findRefusalReason(false, ['map'], evacuated), undefined);
 });
 
-test('a silent target gets one opening packet now and then, and all of its open flows', (t) => {
+test('an unresponsive target gets single opening packets as probes, and all packets of open flows', (t) => {
   const down = { ...READY, isDown: true };
   t.is(findRefusalReason(true, ['map'], down), RefusalReason.targetDown);
   t.is(findRefusalReason(true, ['map'], { ...down, isProbeDue: true }), undefined);
@@ -62,7 +62,7 @@
   t.is(findRefusalReason(false, ['map'], { ...down, isProbeDue: true }), undefined);
 });
 
-test('a dead target gets one opening packet now and then, and nothing else', (t) => {
+test('a dead target gets single opening packets as probes, and nothing else', (t) => {
   for (const isDown of [true, false]) {
     const dead = { ...READY, isDown, isDead: true };
     t.is(findRefusalReason(true, ['map'], dead), RefusalReason.targetDown);
@@ -74,38 +74,38 @@
   }
 });
 
-test('packets wait for the holder of their flow, within bounds, and not for ever', (t) => {
-  const locator = new PendingSearches(40);
-  locator.beginOrExtend('a', 10, 0);
-  t.true(locator.isPending('a'));
+test('packets that wait for the holder of their flow are limited in number and time', (t) => {
+  const searches = new PendingSearches(40);
+  searches.beginOrExtend('a', 10, 0);
+  t.true(searches.isPending('a'));
   for (let packet = 0; packet < 40; packet++) {
-    locator.enqueue(waiting('a'));
+    searches.enqueue(createWaitingPacket('a'));
   }
-  locator.beginOrExtend('b', 10, 30);
-  locator.enqueue(waiting('b'));
-  t.deepEqual(locator.takeOverdue(39), []);
-  t.is(locator.takeOverdue(41).length, 16);
-  t.false(locator.isPending('a'));
-  t.is(locator.takeWaiting('b').length, 1);
-  t.is(locator.size, 0);
+  searches.beginOrExtend('b', 10, 30);
+  searches.enqueue(createWaitingPacket('b'));
+  t.deepEqual(searches.takeOverdue(39), []);
+  t.is(searches.takeOverdue(41).length, 16);
+  t.false(searches.isPending('a'));
+  t.is(searches.takeWaiting('b').length, 1);
+  t.is(searches.size, 0);
 });
 
-test('a search through many agents has longer for its outcome, also when it goes on', (t) => {
-  const locator = new PendingSearches(40);
-  locator.beginOrExtend('a', 10, 0);
-  locator.enqueue(waiting('a'));
-  locator.beginOrExtend('a', 64, 30);
-  t.deepEqual(locator.takeOverdue(280), []);
-  t.is(locator.takeOverdue(290).length, 1);
+test('the time limit of a search grows with its agents, also when it is continued', (t) => {
+  const searches = new PendingSearches(40);
+  searches.beginOrExtend('a', 10, 0);
+  searches.enqueue(createWaitingPacket('a'));
+  searches.beginOrExtend('a', 64, 30);
+  t.deepEqual(searches.takeOverdue(280), []);
+  t.is(searches.takeOverdue(290).length, 1);
 });
 
-test('a balancer with little processor time waits longer for answers, within bounds', (t) => {
+test('a balancer with little CPU has a longer time limit for searches, up to a maximum', (t) => {
   t.is(computeSearchTimeout(1), 40);
   t.is(computeSearchTimeout(0.1), 200);
   t.is(computeSearchTimeout(0.001), 400);
 });
 
-test('a search asks everyone once before it asks anyone again', (t) => {
+test('a search offers a packet to every agent once before it repeats an offer', (t) => {
   const search = new FlowSearches(10_000).findOrBegin('f', ROUTE, ['map'], 0);
   const agents = [{ address: 1 }, { address: 2 }, { address: 3 }];
   recordOffer(search, 2);
@@ -117,7 +117,7 @@
   t.deepEqual(selectNextAgents(search, agents), [{ address: 1 }]);
 });
 
-test('every message of the packet interface survives its frame', (t) => {
+test('every message of the packet interface is unchanged after encoding and decoding', (t) => {
   const codec = new FrameCodec<PacketMessage>(
     [{ id: 1, secret: Buffer.from('a-test-key-of-the-cluster') }],
     PACKET_MESSAGE_FIELDS,
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -1,4 +1,4 @@
-/** The search for the holder of an open flow: through agents, once for many packets. */
+/** The search for the holder of an open flow through agents, one for all packets of the flow. */
 import test from 'ava';
 import {
   PacketMessageType,
@@ -33,7 +33,7 @@
   return message;
 }
 
-test('a search visits every agent in both phases, then tells its balancer', (t) => {
+test('a search visits every agent in both phases, then notifies its balancer', (t) => {
   const agents = [5, 6, 7];
   let step: SearchStep = {
     kind: 'next',
@@ -59,23 +59,23 @@
   t.deepEqual(step.message.agents, agents);
 });
 
-test('two attempts reach all agents that any single agent keeps a search from', (t) => {
+test('two attempts reach all other agents when any single agent stops a search', (t) => {
   const agents = Array.from({ length: 9 }, (_, address) => ({ address }));
   for (let shift = 0; shift < agents.length; shift++) {
     const ranked = [...agents.slice(shift), ...agents.slice(0, shift)];
-    for (let mute = 0; mute < agents.length; mute++) {
+    for (let unresponsive = 0; unresponsive < agents.length; unresponsive++) {
       const reached = new Set<number>();
       for (const attempt of [0, 1]) {
         const order = orderSearch(ranked, attempt, 64);
         t.is(new Set(order).size, agents.length);
-        order.slice(0, order.indexOf(mute)).forEach((agent) => reached.add(agent));
+        order.slice(0, order.indexOf(unresponsive)).forEach((agent) => reached.add(agent));
       }
       t.is(reached.size, agents.length - 1);
     }
   }
 });
 
-test('a search begins where the flow was placed, is bounded, and reaches all in the end', (t) => {
+test('a search starts where the flow was placed, has a limited length, and reaches all agents', (t) => {
   const harness = new RouterHarness(new Array(100).fill(2));
   harness.router.route(harness.createData(CLIENT));
   const visited = new Set<number>();
@@ -108,7 +108,7 @@
   }
 });
 
-test('when most agents come and go, a flow keeps those of its first agents that stay', (t) => {
+test('when agents are removed, the remaining ones of the first candidates of a flow stay first', (t) => {
   const agents = Array.from({ length: 100 }, (_, index) => ({
     address: FIRST_AGENT + index * NEXT_MACHINE,
     zone: index % 5 === 0 ? 'north' : 'south',
@@ -119,7 +119,7 @@
   before.filter((agent) => left.includes(agent)).forEach((agent) => t.true(after.includes(agent)));
 });
 
-/** Outcome of one search message as its last agent tells it. */
+/** Delivers the negative outcome of a search message as its last agent sends it. */
 function answerSearch(harness: RouterHarness, search: SearchMessage): void {
   const { searchId, agents, payload } = search;
   if (search.phase === SearchPhase.queryOnly) {
@@ -139,7 +139,7 @@
   }
 }
 
-/** A search that has gone through the flow's candidates in vain; the groups asked after that. */
+/** Starts a search whose likely agents do not know the flow; returns the groups queried after that. */
 function beginGroups(agents: number): { harness: RouterHarness; groups: SearchMessage[] } {
   const harness = new RouterHarness(new Array(agents).fill(3));
   harness.router.route(harness.createData(CLIENT));
@@ -148,7 +148,7 @@
   return { harness, groups };
 }
 
-test('groups are asked at the same time, and no target is offered a packet before all are', (t) => {
+test('groups are queried in parallel, and no packet is offered to a target before all have answered', (t) => {
   const { harness, groups } = beginGroups(100);
   t.deepEqual(
     groups.map(({ phase, agents }) => [phase, agents.length]),
@@ -167,8 +167,8 @@
   t.is(harness.sent.length, 9);
 });
 
-// Guards against packets at the targets of a flow's likely agents while its holder's agent was not asked.
-test('the likely agents are only asked, and offered a packet once all others were asked too', (t) => {
+// Guards against offers to the targets of the likely agents before the holder was queried.
+test('the likely agents are only queried, and offer the packet once all others were queried too', (t) => {
   const { harness, groups } = beginGroups(100);
   const first = asSearch(harness.sent[0]!);
   t.is(first.phase, SearchPhase.queryOnly);
@@ -180,7 +180,7 @@
   t.is(new Set(offers.flatMap(({ agents }) => agents)).size, 100);
 });
 
-test('what a dead flow costs its balancer grows by two messages for 25 agents', (t) => {
+test('the search for a dead flow takes its balancer two messages more per 25 agents', (t) => {
   const sent = [10, 100, 500].map((agents) => {
     const { harness, groups } = beginGroups(agents);
     groups.forEach((group) => answerSearch(harness, group));
@@ -192,7 +192,7 @@
   t.deepEqual(sent, [1, 9, 41]);
 });
 
-test('a group whose outcome is lost is no answer', (t) => {
+test('a group whose outcome is lost does not count as an answer', (t) => {
   const { harness, groups } = beginGroups(100);
   groups.forEach((group) => answerSearch(harness, group));
   const offers = harness.sent.slice(5).map((sent) => asSearch(sent));
@@ -206,7 +206,7 @@
   t.deepEqual(harness.resets, [CLIENT]);
 });
 
-test('once the holder is found, outcomes of other groups begin nothing', (t) => {
+test('once the holder is found, outcomes of other groups have no effect', (t) => {
   const { harness, groups } = beginGroups(100);
   const [holder] = groups[2]!.agents;
   const { flow } = modelPacketFormat.decodeFromClient(harness.createData(CLIENT))!;
@@ -218,7 +218,7 @@
   t.is(harness.resets.length, 0);
 });
 
-test('agents of an earlier version are searched one after the other', (t) => {
+test('with an agent of an earlier version, agents are searched in one chain', (t) => {
   const harness = new RouterHarness([...new Array(99).fill(3), 2]);
   harness.router.route(harness.createData(CLIENT));
   answerSearch(harness, asSearch(harness.sent[0]!));
@@ -226,7 +226,7 @@
   t.is(asSearch(harness.sent[1]!).phase, SearchPhase.query);
 });
 
-test('a dead flow costs its balancer one message each way, whatever copies come', (t) => {
+test('a dead flow takes its balancer one message in each direction, whatever its retransmissions', (t) => {
   const harness = new RouterHarness([2, 2, 2, 2, 2, 2, 2]);
   for (let copy = 0; copy < 5; copy++) {
     harness.router.route(harness.createData(CLIENT));
@@ -240,7 +240,7 @@
   t.is(harness.resets.length, 2);
 });
 
-test('a flow that is opened anew is searched for again', (t) => {
+test('a flow that is opened again is searched for again', (t) => {
   const harness = new RouterHarness([2]);
   harness.router.route(harness.createData(CLIENT));
   const { searchId, agents, payload } = asSearch(harness.sent[0]!);
@@ -250,7 +250,7 @@
   t.is(harness.resets.length, 1);
 });
 
-test('an agent that became known while a search ran is searched before any reset', (t) => {
+test('an agent discovered during a search is searched before any reset', (t) => {
   const harness = new RouterHarness([2, 2, 2]);
   const [late] = harness.agents;
   const entry = harness.directory.find(late!)!;
@@ -265,9 +265,9 @@
   t.deepEqual(asSearch(harness.sent[1]!).agents, [late]);
 });
 
-test('a silent agent keeps a flow from being declared dead', (t) => {
+test('an unresponsive agent prevents the reset of a flow', (t) => {
   const harness = new RouterHarness([2, 2, 2]);
-  const silent = harness.agents[0]!;
+  const unresponsive = harness.agents[0]!;
   harness.runFor(5_000);
   for (const agent of harness.agents.slice(1)) {
     const report = harness.directory.find(agent)!.report!;
@@ -278,10 +278,10 @@
   t.is(agents.length, 2);
   harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, searchId, agents, payload });
   t.deepEqual(harness.resets, []);
-  t.is(harness.sent[1]!.to, silent);
+  t.is(harness.sent[1]!.to, unresponsive);
 });
 
-test('agents of an earlier version are offered packets in their frames, one by one', (t) => {
+test('agents of an earlier version are offered packets in frames of their version, one by one', (t) => {
   const harness = new RouterHarness([1, 1]);
   harness.router.route(harness.createData(CLIENT));
   for (let refusals = 0; refusals < 2; refusals++) {
@@ -303,7 +303,7 @@
   t.deepEqual(harness.resets, [CLIENT]);
 });
 
-test('a refusal that an earlier run asked for says nothing about another flow', (t) => {
+test('a refusal with a search id of an earlier process does not affect another flow', (t) => {
   const harness = new RouterHarness([1, 1]);
   harness.router.route(harness.createData(CLIENT));
   const [{ message }] = harness.sent as [SentMessage];
@@ -324,7 +324,7 @@
   t.deepEqual(harness.resets, [OTHER_CLIENT]);
 });
 
-test('notes of resets hold for a while, and are bounded', (t) => {
+test('recent resets expire and are limited in number', (t) => {
   const notes = new RecentResets();
   notes.add('a', 0);
   t.true(notes.has('a', 3_000));
@@ -339,7 +339,7 @@
   t.false(notes.has('f8999', 10));
 });
 
-test('after a loss of everything each dead flow costs a balancer two messages', (t) => {
+test('after a power loss each dead flow takes about two searches and two resets', (t) => {
   const world = new PacketWorld(21);
   startModelDeployment(world, 2);
   openModelFlows(world, 60, 100, 100);
@@ -353,8 +353,8 @@
   t.true(sum('resetsSent') <= 130, `${sum('resetsSent')} resets`);
 });
 
-// Guards against a storm of searches for one flow, each of which offers the packet to targets again.
-test('a refusal begins no search beside the one that is under way', (t) => {
+// Guards against many parallel searches for one flow, each of which offers the packet to targets again.
+test('a refusal starts no second search while one is in progress', (t) => {
   const harness = new RouterHarness(new Array(30).fill(3));
   harness.router.route(harness.createData(CLIENT));
   const { agents, payload, searchId } = asSearch(harness.sent[0]!);
@@ -377,7 +377,7 @@
 });
 
 // Guards against a packet that reaches a target a second time after its agent has refused it.
-test('a packet kept for a silent agent is dropped once that agent refuses it', (t) => {
+test('a packet retained for an unresponsive agent is dropped once that agent refuses it', (t) => {
   const harness = new RouterHarness([0]);
   const [agent] = harness.agents;
   harness.runFor(10_000);
@@ -397,8 +397,8 @@
   t.deepEqual(harness.sent, []);
 });
 
-// Guards against offers that are repeated while the outcome of those before is on its way.
-test('a packet that has waited for agents goes out once, and again only with a copy of the client', (t) => {
+// Guards against offers that are repeated before the outcome of earlier ones has arrived.
+test('a packet that waited for agents is sent once, and again only with a client retransmission', (t) => {
   const harness = new RouterHarness(new Array(30).fill(3));
   const late = FIRST_AGENT + 40 * NEXT_MACHINE;
   harness.directory.upsert({ address: late, service: 'map', zone: 'north' }, 1, harness.now);
@@ -424,8 +424,8 @@
   t.is(harness.sent.length, before);
 });
 
-// Guards against searches that are repeated faster than loaded agents can pass them on.
-test('each search without an outcome in time has twice as long as the one before', (t) => {
+// Guards against searches that are repeated faster than loaded agents can forward them.
+test('the time limit doubles after each search without an outcome in time', (t) => {
   const harness = new RouterHarness(new Array(30).fill(3));
   const delays: number[] = [];
   harness.router.route(harness.createData(CLIENT));
@@ -443,8 +443,8 @@
   t.true(fourth <= 500, delays.join(', '));
 });
 
-// Guards against a search that goes on for seconds with packets that have waited for one without an outcome.
-test('packets that wait for a search without outcome begin one more search, not one each', (t) => {
+// Guards against a chain of searches over seconds, started by packets that waited for a search without outcome.
+test('packets that wait for a search without outcome start one more search, not one each', (t) => {
   const harness = new RouterHarness(new Array(10).fill(3));
   for (let copy = 0; copy < 8; copy++) {
     harness.router.route(harness.createData(CLIENT));
@@ -456,7 +456,7 @@
   t.is(harness.sent.length, 2);
 });
 
-test('packets that have waited for one search are delivered once the next one has found the holder', (t) => {
+test('packets that have waited for one search are delivered once the next one finds the holder', (t) => {
   const harness = new RouterHarness(new Array(10).fill(3));
   for (let copy = 0; copy < 3; copy++) {
     harness.router.route(harness.createData(CLIENT));
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -1,4 +1,4 @@
-/** Single decisions of the packet interface. */
+/** Unit tests of the packet interface. */
 import test from 'ava';
 import { Err, Ok } from 'ts-results';
 import type { EventKind } from '../src/logging/events';
@@ -32,32 +32,32 @@
 import { createSelectionContext } from './support/selection-context';
 import { parseMetricsPlace } from '../src/runtime/packet-metrics';
 
-function heartbeat(incarnation: string, sequence: number, draining = false): TargetHeartbeat {
+function createHeartbeat(incarnation: string, sequence: number, draining = false): TargetHeartbeat {
   return { incarnation, service: 'map', slots: 5, draining, coldLeft: 0, sequence };
 }
 
-test('a late heartbeat neither undoes a drain nor brings back a replaced incarnation', (t) => {
+test('a late heartbeat neither reverts a drain nor restores a replaced incarnation', (t) => {
   const target = new TargetLifecycle('map', 770, 0);
   t.is(target.state, TargetState.unknown);
-  t.is(target.applyHeartbeat(heartbeat('a', 5), 0), 'state');
-  t.is(target.applyHeartbeat(heartbeat('a', 7, true), 1), 'state');
-  t.is(target.applyHeartbeat(heartbeat('a', 6), 2), 'none');
-  t.is(target.applyHeartbeat(heartbeat('a', 8), 3), 'none');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 5), 0), 'state');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 7, true), 1), 'state');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 6), 2), 'none');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 8), 3), 'none');
   t.is(target.state, TargetState.draining);
-  t.is(target.applyHeartbeat(heartbeat('b', 1), 4), 'incarnation');
+  t.is(target.applyHeartbeat(createHeartbeat('b', 1), 4), 'incarnation');
   t.is(target.state, TargetState.ready);
-  t.is(target.applyHeartbeat(heartbeat('a', 9, true), 5), 'none');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 9, true), 5), 'none');
   t.is(target.applyLeave({ incarnation: 'a' }), 'none');
   t.is(target.state, TargetState.ready);
   t.is(target.applyLeave({ incarnation: 'b' }), 'state');
-  t.is(target.applyHeartbeat(heartbeat('b', 2), 6), 'none');
+  t.is(target.applyHeartbeat(createHeartbeat('b', 2), 6), 'none');
   t.is(target.state, TargetState.gone);
 });
 
-test('a target that leaves before its agent knows it is gone, also for late heartbeats', (t) => {
+test('a target that shuts down before its agent knows it stays gone despite late heartbeats', (t) => {
   const target = new TargetLifecycle('map', 770, 0);
   t.is(target.applyLeave({ incarnation: 'a' }), 'state');
-  t.is(target.applyHeartbeat(heartbeat('a', 3), 1), 'none');
+  t.is(target.applyHeartbeat(createHeartbeat('a', 3), 1), 'none');
   t.is(target.state, TargetState.gone);
 });
 
@@ -77,7 +77,7 @@
   bytes: Buffer.alloc(0),
 };
 
-test('a request is busy from its first packet to the first of its answer, repeats or not', (t) => {
+test('a request is busy from its first packet to the first of its answer, despite retransmissions', (t) => {
   const tracker = new FlowTracker();
   const request = { ...EMPTY, payloadLength: 900 };
   tracker.recordDelivery(request, 7, 0);
@@ -102,7 +102,7 @@
   t.is(tracker.busyRequests, 1);
 });
 
-test('each balancer is told once that a flow is held, and again when another takes over', (t) => {
+test('a balancer is notified once that a flow is held, and again after a change of balancer', (t) => {
   const tracker = new FlowTracker();
   tracker.recordDelivery(EMPTY, 7, 0);
   t.is(tracker.recordSentPacket(EMPTY, 1), 7);
@@ -112,7 +112,7 @@
   t.is(new FlowTracker().recordSentPacket({ ...EMPTY, opens: true }, 5), undefined);
 });
 
-test('the cache keeps what is used, and falls back to another agent that was offered the flow', (t) => {
+test('the cache evicts unused flows, and falls back to another agent that was offered the flow', (t) => {
   const cache = new FlowCache(2, 1_000);
   cache.recordOpening('a', 1, 'map', 0);
   cache.recordOpening('a', 2, 'map', 200);
@@ -131,7 +131,7 @@
 
 const ROUTE = { name: 'r', destination: 2, services: [{ service: 'map', weight: 1 }] };
 
-test('a search of an open flow outlives its packet; a new opening voids it', (t) => {
+test('a search for an open flow outlives its packet; a new opening packet ends it', (t) => {
   const searches = new FlowSearches(1_000);
   const search = searches.findOrBegin('f', ROUTE, ['map'], 0);
   search.refusedBy.add(5);
@@ -143,7 +143,7 @@
   t.is(searches.size, 0);
 });
 
-test('delayed packets are bounded in number and age', (t) => {
+test('delayed packets are limited in number and age', (t) => {
   const delayed = new DelayedDeliveries();
   const message = (searchId: number) => ({
     type: PacketMessageType.deliver,
@@ -159,7 +159,7 @@
   t.is(delayed.take(1, 2_000).length, 0);
 });
 
-test('a token of another run or of a slot that was reused finds nothing', (t) => {
+test('a used token, or that of an overwritten slot, finds no delivery', (t) => {
   const pending = new PendingDeliveries(2 ** 32 - 2);
   const first = pending.add(7, 1);
   t.not(pending.add(7, 2), 0);
@@ -172,7 +172,7 @@
   t.is(pending.take(old), undefined);
 });
 
-test('weights split new flows evenly mixed; a weight of 0 gets none', (t) => {
+test('new flows are split in proportion to weights; a weight of 0 gets none', (t) => {
   const rotation = new WeightedRoundRobin();
   const services = [
     { service: 'a', weight: 9 },
@@ -191,7 +191,7 @@
   ]);
 });
 
-function entryWith(address: number, fields: Partial<ReportMessage>, zone = 'north'): AgentEntry {
+function createEntry(address: number, fields: Partial<ReportMessage>, zone = 'north'): AgentEntry {
   const directory = new AgentDirectory();
   const report = createReport({ zone, ...fields });
   return directory.recordReport(address, report, 0)!;
@@ -200,43 +200,43 @@
 for (const usesExpectedWait of [true, false]) {
   const rule = usesExpectedWait ? 'expected wait' : 'least load';
 
-  test(`the least loaded ready target is chosen; draining ones never (${rule})`, (t) => {
+  test(`the least loaded ready target is selected, never a draining one (${rule})`, (t) => {
     const context = createSelectionContext({ usesExpectedWait });
     const choose = (...entries: AgentEntry[]): AgentEntry | undefined =>
       selectAgent(entries, context)?.entry;
-    const busy = entryWith(1, { busyRequests: 4 });
-    const idle = entryWith(2, { busyRequests: 1 });
-    const draining = entryWith(3, { state: TargetState.draining });
-    const away = entryWith(4, { state: TargetState.agentRestarting });
+    const busy = createEntry(1, { busyRequests: 4 });
+    const idle = createEntry(2, { busyRequests: 1 });
+    const draining = createEntry(3, { state: TargetState.draining });
+    const away = createEntry(4, { state: TargetState.agentRestarting });
     t.is(choose(busy, idle, draining, away), idle);
     t.is(choose(draining, away), undefined);
-    const cold = entryWith(5, { coldLeft: 900 });
+    const cold = createEntry(5, { coldLeft: 900 });
     t.is(choose(idle, cold), idle);
-    const far = entryWith(6, {}, 'south');
-    const near = entryWith(7, {});
+    const far = createEntry(6, {}, 'south');
+    const near = createEntry(7, {});
     t.is(choose(far, near), near);
     near.recentOpenings.push(1, 2);
     t.is(choose(far, near), far);
   });
 
-  test(`what a report says of a queue fades with its age, by an answer's time (${rule})`, (t) => {
-    const far = entryWith(1, { busyRequests: 0, slots: 1, answerTime: 10 }, 'south');
-    const near = entryWith(2, { busyRequests: 1, slots: 1, answerTime: 10 });
+  test(`the reported queue counts less with the report's age, relative to the answer time (${rule})`, (t) => {
+    const far = createEntry(1, { busyRequests: 0, slots: 1, answerTime: 10 }, 'south');
+    const near = createEntry(2, { busyRequests: 1, slots: 1, answerTime: 10 });
     const choose = (age: number): AgentEntry | undefined => {
       const context = createSelectionContext({ usesExpectedWait, getReportAge: () => age });
       return selectAgent([far, near], context)?.entry;
     };
     t.is(choose(5), far);
-    t.is(choose(300), near, 'both are thirty answers old');
+    t.is(choose(300), near, 'both reports are thirty answer times old');
   });
 
   test(`a burst at several balancers with the same reports spreads over all (${rule})`, (t) => {
     const random = new SeededRandom(5);
     const taken = new Map<number, number>();
     for (let balancer = 0; balancer < 7; balancer++) {
-      // One target is reported idle, six are busy; no report comes during the burst.
+      // One target is reported idle and six busy; no report arrives during the burst.
       const entries = [0, 1, 2, 3, 4, 5, 6].map((address) =>
-        entryWith(address, { busyRequests: address === 0 ? 0 : 4, balancerCount: 7 }),
+        createEntry(address, { busyRequests: address === 0 ? 0 : 4, balancerCount: 7 }),
       );
       const context = createSelectionContext({ usesExpectedWait, random: () => random.next() });
       for (let flow = 0; flow < 20; flow++) {
@@ -251,7 +251,7 @@
   });
 }
 
-test('a snapshot survives its encoding, and nothing else passes for one', (t) => {
+test('a snapshot is unchanged after encoding and decoding, and invalid input is rejected', (t) => {
   const profiles = [{ service: 'map', latencyGoal: 200, coldTime: 2_000, coldRate: 3.5 }];
   const routingTable = { version: 4, idleTimeout: 9, routes: [ROUTE], profiles };
   const agents = [{ address: 1, service: 's', zone: 'z', revision: 7 }];
@@ -262,12 +262,12 @@
   t.true(decodeSnapshot(Buffer.from('not bson')).err);
   const text = encodeSnapshotText(snapshot);
   t.deepEqual(decodeSnapshotText(text).unwrap(), snapshot);
-  for (const spoilt of ['', 'null', '{}', text.slice(3), text.replace('[[', '[{},[')]) {
-    t.true(decodeSnapshotText(spoilt).err, spoilt);
+  for (const invalid of ['', 'null', '{}', text.slice(3), text.replace('[[', '[{},[')]) {
+    t.true(decodeSnapshotText(invalid).err, invalid);
   }
 });
 
-/** An environment whose timers run when told to. */
+/** An environment whose timers the test runs. */
 class ManualEnvironment implements Environment {
   readonly due: (() => void)[] = [];
   readonly reported: string[] = [];
@@ -286,7 +286,7 @@
   }
 }
 
-test('a follower lists anew only when history is gone, and reports loss and return once', (t) => {
+test('a follower lists again only when the watch has expired, and reports an outage and its end once', (t) => {
   const environment = new ManualEnvironment();
   const calls: string[] = [];
   const errors: ResultCode[] = [
@@ -322,7 +322,7 @@
   ]);
 });
 
-test('log lines are bounded by kind and second, and say what was left out', (t) => {
+test('log lines are limited per event and second, and count the suppressed ones', (t) => {
   const lines: string[] = [];
   let now = 0;
   let observed = 0;
@@ -350,7 +350,7 @@
   t.is(observed, 7);
 });
 
-test('settings name the keys that a reload changed, and the metrics page has one form', (t) => {
+test('changed settings are listed by key, and the metrics address is parsed', (t) => {
   const document = {
     name: 'n',
     zone: 'z',
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -1,4 +1,4 @@
-/** The packet interface in virtual time: what holds while processes, targets and store fail. */
+/** Simulations of the packet interface: guarantees while processes, targets and the store fail. */
 import test from 'ava';
 import { Events } from '../src/logging/events';
 import { AgentDirectory } from '../src/packets/agent-directory';
@@ -21,61 +21,56 @@
 } from '../src/simulation/packets/random-faults';
 import { NO_VIOLATIONS } from './support/violations';
 
-const MAP = MAP_DESTINATION;
-const TILES = TILE_DESTINATION;
-const ROUTES = MODEL_ROUTES;
-const openFlows = openModelFlows;
-
 function startWorld(seed = 1, balancers = 3): PacketWorld {
   const world = new PacketWorld(seed);
   startModelDeployment(world, balancers);
   return world;
 }
 
-function countIn(world: PacketWorld, state: string): number {
+function countInState(world: PacketWorld, state: string): number {
   return world.clients.filter((client) => client.state === state).length;
 }
 
-test('a calm deployment serves every flow and balances them', (t) => {
+test('a deployment without faults serves and balances all flows', (t) => {
   const world = startWorld();
-  openFlows(world, 60);
+  openModelFlows(world, 60);
   world.runFor(2_000);
   const maps = world.agents.filter(({ service }) => service === 'map');
   const flows = maps.map(({ target }) => target.flows.size);
   t.true(Math.max(...flows) - Math.min(...flows) <= 6, `flows by target: ${flows.join(', ')}`);
   world.runFor(10_000);
-  t.is(countIn(world, 'done'), 60);
+  t.is(countInState(world, 'done'), 60);
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-test('flows of a killed balancer go on through the others', (t) => {
+test('flows of a killed balancer continue through the others', (t) => {
   const world = startWorld();
-  openFlows(world, 40);
+  openModelFlows(world, 40);
   world.runFor(1_000);
   world.balancers[0]!.process.kill();
   world.runFor(12_000);
-  t.is(countIn(world, 'done'), 40);
+  t.is(countInState(world, 'done'), 40);
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-test('a restarted balancer finds flows that it has never seen', (t) => {
+test('a restarted balancer finds flows that it does not know', (t) => {
   const world = startWorld(2, 1);
-  openFlows(world, 30);
+  openModelFlows(world, 30);
   world.runFor(1_000);
   world.startBalancer(world.balancers[0]!);
   world.runFor(12_000);
-  t.is(countIn(world, 'done'), 30);
+  t.is(countInState(world, 'done'), 30);
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-test('a balancer without a whole view of the agents never resets a flow', (t) => {
+test('a balancer without a complete view of the agents never resets a flow', (t) => {
   const world = startWorld(3, 1);
-  openFlows(world, 30, 40);
+  openModelFlows(world, 30, 40);
   world.runFor(1_000);
   world.store.down = true;
   const [balancer] = world.balancers;
   const [agent] = world.agents;
-  // One target is out of reach when the balancer comes back knowing nothing.
+  // One target is unreachable when the balancer restarts without any state.
   const cuts = [
     { from: agent!.name, to: balancer!.name },
     { from: balancer!.name, to: agent!.name },
@@ -87,8 +82,8 @@
     idleTimeout: 1,
     profiles: [],
     routes: [
-      { name: 'map', destination: MAP, services: [{ service: 'map', weight: 1 }] },
-      { name: 'tiles', destination: TILES, services: [{ service: 'tiles', weight: 1 }] },
+      { name: 'map', destination: MAP_DESTINATION, services: [{ service: 'map', weight: 1 }] },
+      { name: 'tiles', destination: TILE_DESTINATION, services: [{ service: 'tiles', weight: 1 }] },
     ],
   });
   world.runFor(1_000);
@@ -98,45 +93,45 @@
   t.is(balancer!.node.router.counters.resetsSent, 0);
   world.store.down = false;
   world.runFor(20_000);
-  t.is(countIn(world, 'done'), 30);
+  t.is(countInState(world, 'done'), 30);
 });
 
-test('a balancer that the store refuses takes table and view from a peer', (t) => {
+test('a balancer that the store refuses gets table and view from a peer', (t) => {
   const world = startWorld(4, 2);
   world.store.refused.add('balancer-2');
   const late = world.addBalancer('east');
   world.runFor(2_000);
   t.true(late.node.isReady);
   t.is(late.node.figures.agentsKnown, 6);
-  world.configure(5, ROUTES);
+  world.configure(5, MODEL_ROUTES);
   world.runFor(2_500);
   t.is(late.node.figures.routingVersion, 5);
 });
 
-test('a routing table never goes back', (t) => {
+test('a routing table is never replaced by an earlier version', (t) => {
   const world = startWorld(5, 2);
-  world.configure(9, ROUTES);
+  world.configure(9, MODEL_ROUTES);
   world.runFor(500);
   world.store.compact();
-  world.configure(7, ROUTES);
+  world.configure(7, MODEL_ROUTES);
   world.runFor(4_000);
   world.balancers.forEach(({ node }) => t.is(node.figures.routingVersion, 9));
 });
 
-test('forgotten history leads to a new listing', (t) => {
+test('a compacted store history leads to a new listing', (t) => {
   const world = startWorld(6, 2);
   world.store.down = true;
   world.runFor(15_000);
-  world.configure(3, ROUTES);
+  world.configure(3, MODEL_ROUTES);
   world.store.compact();
   world.store.down = false;
   world.runFor(5_000);
   world.balancers.forEach(({ node }) => t.is(node.figures.routingVersion, 3));
 });
 
-test('flows outlive the restart of the agent beside their target', (t) => {
+test('flows survive the restart of the agent of their target', (t) => {
   const world = startWorld(7);
-  openFlows(world, 40);
+  openModelFlows(world, 40);
   world.runFor(1_000);
   for (const agent of world.agents) {
     agent.node.beginStop(() => undefined);
@@ -146,20 +141,20 @@
     world.runFor(700);
   }
   world.runFor(12_000);
-  t.is(countIn(world, 'done'), 40);
+  t.is(countInState(world, 'done'), 40);
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-test('a search does not offer packets to the same targets while the holder is away', (t) => {
+test('a search does not offer packets to other targets while the holder is stopped', (t) => {
   const world = startWorld(16, 1);
   for (let index = 0; index < 20; index++) {
-    world.openFlow(MAP, 5, 2_500);
+    world.openFlow(MAP_DESTINATION, 5, 2_500);
   }
   world.runFor(1_000);
   const away = world.agents[0]!;
   const held = [...away.target.flows.keys()].length;
   t.true(held > 0);
-  // The flows rest; the balancer is replaced and has never seen them; an agent is away.
+  // The flows are idle; the balancer restarts without knowing them; one agent is stopped.
   world.startBalancer(world.balancers[0]!);
   world.runFor(1_000);
   away.node.beginStop(() => away.process.kill());
@@ -167,12 +162,12 @@
   world.startAgent(away);
   world.runFor(15_000);
   t.deepEqual(world.violations, NO_VIOLATIONS);
-  t.is(countIn(world, 'done'), 20);
+  t.is(countInState(world, 'done'), 20);
 });
 
-test('packets for an agent that is away are delivered as soon as it is back', (t) => {
+test('packets for a stopped agent are delivered as soon as it has restarted', (t) => {
   const world = startWorld(17, 1);
-  openFlows(world, 24, 40, 100);
+  openModelFlows(world, 24, 40, 100);
   world.runFor(1_000);
   const away = world.agents[0]!;
   away.node.beginStop(() => away.process.kill());
@@ -188,18 +183,18 @@
     [],
   );
   world.runFor(20_000);
-  t.is(countIn(world, 'done'), 24);
+  t.is(countInState(world, 'done'), 24);
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-/** Cuts an agent's reports off, so that balancers go on with what they believe of it. */
-function silence(world: PacketWorld, agent: WorldAgent): () => void {
+/** Blocks an agent's reports, so that balancers keep their outdated state of it; returns the undo. */
+function blockReports(world: PacketWorld, agent: WorldAgent): () => void {
   const cuts = world.balancers.map(({ name }) => ({ from: agent.name, to: name }));
   cuts.forEach((cut) => world.network.cut(cut));
   return () => cuts.forEach((cut) => world.network.heal(cut));
 }
 
-/** Counts the opening packets that reach a target from now on. */
+/** Counts the opening packets that reach a target from now on; returns the reader of the count. */
 function countOpenings(target: ModelTarget): () => number {
   let openings = 0;
   const receive = target.receive.bind(target);
@@ -210,68 +205,68 @@
   return () => openings;
 }
 
-test('a draining target gets no new flow, also from a balancer that does not know', (t) => {
+test('a draining target gets no new flow, even from a balancer without that information', (t) => {
   const world = startWorld(8);
   const draining = world.agents[0]!;
-  const heal = silence(world, draining);
+  const heal = blockReports(world, draining);
   world.drain(draining);
   const openings = countOpenings(draining.target);
-  openFlows(world, 40);
+  openModelFlows(world, 40);
   world.runFor(400);
   heal();
   world.runFor(15_000);
   t.is(openings(), 0);
   t.deepEqual(world.violations, NO_VIOLATIONS);
-  t.is(countIn(world, 'done'), 40);
+  t.is(countInState(world, 'done'), 40);
 });
 
-test('an address that another service took over gets no packets of the old one', (t) => {
+test('an address reused by another service gets no packets of the earlier one', (t) => {
   const world = startWorld(18);
   const reused = world.agents[0]!;
-  const heal = silence(world, reused);
+  const heal = blockReports(world, reused);
   world.startTarget(reused, 'tiles');
   const openings = countOpenings(reused.target);
   for (let index = 0; index < 40; index++) {
-    world.openFlow(MAP, 10, 200);
+    world.openFlow(MAP_DESTINATION, 10, 200);
   }
   world.runFor(400);
   t.is(openings(), 0);
   heal();
   world.runFor(15_000);
   t.deepEqual(world.violations, NO_VIOLATIONS);
-  t.is(countIn(world, 'done'), 40);
+  t.is(countInState(world, 'done'), 40);
 });
 
-test('a full target passes a new flow on to one that has room', (t) => {
+test('a new flow refused by a full target is placed at one with free slots', (t) => {
   const world = startWorld(9);
   world.agents[0]!.target.full = true;
   world.agents[1]!.target.full = true;
-  openFlows(world, 24, 3, 100);
+  openModelFlows(world, 24, 3, 100);
   world.runFor(5_000);
-  t.is(countIn(world, 'done'), 24);
+  t.is(countInState(world, 'done'), 24);
 });
 
-test('a new flow that no target takes is refused at once', (t) => {
+test('a new flow that no target accepts is reset at once', (t) => {
   const world = startWorld(10);
   world.agents.forEach(({ target }) => (target.full = true));
-  const client = world.openFlow(MAP, 1, 100);
+  const client = world.openFlow(MAP_DESTINATION, 1, 100);
   world.runFor(100);
   t.is(client.state, 'reset');
 });
 
-test('after all machines lose power, clients are told at once that their flows are dead', (t) => {
+test('after all machines lose power, clients get resets for their dead flows at once', (t) => {
   const world = startWorld(11);
-  openFlows(world, 40, 100, 100);
+  openModelFlows(world, 40, 100, 100);
   world.runFor(1_000);
   world.losePower(800);
-  // A client repeats after at most 1.6 s; the answer to its packet is the reset.
+  // A client retransmits after at most 1.6 s; the response to that packet is the reset.
   world.runFor(1_900);
-  t.is(countIn(world, 'reset'), 40);
+  t.is(countInState(world, 'reset'), 40);
 });
 
-test('an agent that is gone for good leaves the registry, and its dead flows are reset', (t) => {
+test('an agent that does not return is removed from the registry, and its flows are reset', (t) => {
   const world = startWorld(12);
-  openFlows(world, 20, 200, 300);
+  openModelFlows(world, 20, 200, 300);
   world.runFor(1_000);
   const lost = world.agents[0]!;
   lost.process.kill();
@@ -279,8 +274,8 @@
   world.runFor(20_000);
   t.false(world.store.agents.items.has(String(lost.address)));
   t.deepEqual(world.violations, NO_VIOLATIONS);
-  t.is(countIn(world, 'open') + countIn(world, 'reset'), 20);
-  t.true(countIn(world, 'reset') > 0);
+  t.is(countInState(world, 'open') + countInState(world, 'reset'), 20);
+  t.true(countInState(world, 'reset') > 0);
 });
 
 test('an agent that the store refuses is registered by a balancer', (t) => {
@@ -291,7 +286,7 @@
   t.true(world.store.agents.items.has(String(late.address)));
 });
 
-test('a target that leaves takes its entry with it', (t) => {
+test('the entry of a target that shuts down is removed', (t) => {
   const world = startWorld(14);
   const leaving = world.agents[0]!;
   world.drain(leaving);
@@ -305,7 +300,7 @@
 test('a forged or broken frame changes nothing and is counted', (t) => {
   const reported: string[] = [];
   const world = new PacketWorld(15, (_process, event) => reported.push(event.name));
-  world.configure(1, ROUTES);
+  world.configure(1, MODEL_ROUTES);
   const balancer = world.addBalancer('north');
   world.runFor(1_000);
   balancer.node.handleFrame(Buffer.from('not a frame'), 1);
@@ -317,7 +312,7 @@
   t.true(reported.includes(Events.frameNotAuthentic.name));
 });
 
-test('a report that a later one has overtaken is void', (t) => {
+test('a report that arrives after a later one is ignored', (t) => {
   const directory = new AgentDirectory();
   const report = (run: number, sequence: number, state: TargetStateValue): ReportMessage =>
     createReport({ run, sequence, state });
@@ -330,10 +325,10 @@
 });
 
 for (const seed of [101, 102, 103, 104, 105, 106, 107, 108]) {
-  test(`random faults break no promise, seed ${seed}`, (t) => {
+  test(`random faults cause no violations, seed ${seed}`, (t) => {
     const world = runRandomFaults(seed);
     t.deepEqual(world.violations, NO_VIOLATIONS);
-    const served = countIn(world, 'done') / world.clients.length;
+    const served = countInState(world, 'done') / world.clients.length;
     t.true(served > 0.6, `served ${served}`);
   });
 }
--- a/test/support/reports.ts
+++ b/test/support/reports.ts
@@ -1,11 +1,11 @@
-/** Reports of agents as tests need them. */
+/** Reports of agents for tests. */
 import {
   PacketMessageType,
   TargetState,
   type ReportMessage,
 } from '../../src/packets/packet-messages';
 
-/** A report of an idle, ready target of the map service, with some fields replaced. */
+/** Creates a report of an idle, ready target of the map service, with some fields replaced. */
 export function createReport(fields: Partial<ReportMessage> = {}): ReportMessage {
   return {
     type: PacketMessageType.report,
--- a/test/support/router-harness.ts
+++ b/test/support/router-harness.ts
@@ -1,4 +1,4 @@
-/** One balancer's router alone: its agents are played by the test, frame by frame. */
+/** The router of one balancer in isolation; the test acts as its agents, frame by frame. */
 import type { Endpoint, Environment } from '../../src/environment';
 import type { EventFields, EventKind } from '../../src/logging/events';
 import { AgentDirectory } from '../../src/packets/agent-directory';
@@ -17,7 +17,7 @@
 } from '../../src/simulation/packets/model-packet-format';
 import { createReport } from './reports';
 
-/** Where the balancer is reached, and the one route's destination. */
+/** Address of the balancer, and the destination of the only route. */
 export const BALANCER = 0x0a00_0001_0000;
 export const DESTINATION = 0x0b00_0001_0000;
 export const FIRST_AGENT = 0x0a00_0002_0000;
@@ -28,22 +28,22 @@
 /** A message that the router sent. */
 export interface SentMessage {
   readonly to: Endpoint;
-  /** Version of the frame that carried it. */
+  /** Version of its frame. */
   readonly version: number;
   readonly message: PacketMessage;
 }
 
-/** What a harness may have otherwise than by default. */
+/** Options of a harness that replace defaults. */
 export interface HarnessOptions {
   /** The balancer's zone; north by default. */
   readonly zone?: string;
-  /** The setting of locality; on by default. */
+  /** The `locality` setting; on by default. */
   readonly locality?: boolean;
-  /** Fields in which the agents' reports differ from an idle target's in north, by index. */
+  /** Fields by agent index that replace those of the report of an idle target in north. */
   readonly reports?: readonly Partial<ReportMessage>[];
 }
 
-/** A router with agents that all serve one route. */
+/** A router whose agents all serve one route. */
 export class RouterHarness {
   readonly codec = new PacketFrameCodec([KEY]);
   readonly directory = new AgentDirectory();
@@ -55,15 +55,15 @@
   readonly router: FlowRouter;
   readonly hops: HopRepair;
   readonly locality: Locality;
-  /** What the balancer's random source gives. */
+  /** The balancer's random source. */
   random = (): number => 0.5;
   now = 1_000;
   readonly detours = new ZoneDetour('north');
-  /** Zones out of service. */
+  /** Evacuated zones. */
   evacuatedZones: readonly string[] = [];
   private readonly timers: { readonly at: number; readonly action: () => void }[] = [];
 
-  /** @param frameVersions latest version of frames that each agent understands */
+  /** @param frameVersions latest frame version that each agent supports */
   constructor(frameVersions: readonly number[], options: HarnessOptions = {}) {
     const { environment } = this;
     const { locality = true, reports = [], zone = 'north' } = options;
@@ -118,7 +118,7 @@
     });
   }
 
-  /** A packet of a client's flow that is open somewhere. */
+  /** Creates a data packet of a client's flow. */
   createData(client: Endpoint): Buffer {
     return encodeModelPacket({
       client,
@@ -130,7 +130,7 @@
     });
   }
 
-  /** An opening packet. */
+  /** Creates an opening packet; `copy` is the number of its transmission. */
   createOpening(client: Endpoint, copy = 0): Buffer {
     return encodeModelPacket({
       client,
@@ -141,7 +141,7 @@
     });
   }
 
-  /** Lets time pass, with the timers that come due. */
+  /** Advances the time and runs the timers that are due. */
   runFor(milliseconds: number): void {
     this.now += milliseconds;
     const due = this.timers.filter(({ at }) => at <= this.now);
--- a/test/sure-search.test.ts
+++ b/test/sure-search.test.ts
@@ -1,4 +1,4 @@
-/** Agents that have seen all flows of their targets open say at once that a flow is dead. */
+/** Conclusive searches: agents that know all flows of their targets need not offer them a packet. */
 import test from 'ava';
 import {
   PacketMessageType,
@@ -12,54 +12,64 @@
 import { createReport } from './support/reports';
 import { RouterHarness } from './support/router-harness';
 
-const INTERVAL = 770;
-const COLD_TIME = 2_000;
-const SURE = 4;
+const HEARTBEAT_INTERVAL_MS = 770;
+const COLD_TIME_MS = 2_000;
+const CONCLUSIVE_VERSION = 4;
 
-function heartbeat(sequence: number, coldLeft: number, incarnation = 'i'): TargetHeartbeat {
+function createHeartbeat(sequence: number, coldLeft: number, incarnation = 'i'): TargetHeartbeat {
   return { incarnation, service: 'map', slots: 1, draining: false, coldLeft, sequence };
 }
 
 function createTarget(first: TargetHeartbeat): TargetLifecycle {
-  const target = new TargetLifecycle('map', INTERVAL, 0);
-  target.setColdTime(COLD_TIME);
+  const target = new TargetLifecycle('map', HEARTBEAT_INTERVAL_MS, 0);
+  target.setColdTime(COLD_TIME_MS);
   target.applyHeartbeat(first, 10_000);
   return target;
 }
 
-test('an agent knows its target from its start by the first heartbeat of a young one', (t) => {
-  t.true(createTarget(heartbeat(1, COLD_TIME)).isKnownFromStart);
-  t.true(createTarget(heartbeat(4, COLD_TIME - 400)).isKnownFromStart);
-  t.false(createTarget(heartbeat(2, COLD_TIME - 800)).isKnownFromStart, 'an agent was there');
-  t.false(createTarget(heartbeat(90, COLD_TIME)).isKnownFromStart, 'cold, but no start');
-  t.false(createTarget(heartbeat(90, 0)).isKnownFromStart);
-  const unknown = new TargetLifecycle('map', INTERVAL, 0);
-  unknown.applyHeartbeat(heartbeat(1, COLD_TIME), 10_000);
-  t.false(unknown.isKnownFromStart, 'nobody has told how long targets are cold');
+test('an early heartbeat of a cold target shows that its agent knows it from its start', (t) => {
+  t.true(createTarget(createHeartbeat(1, COLD_TIME_MS)).isKnownFromStart);
+  t.true(createTarget(createHeartbeat(4, COLD_TIME_MS - 400)).isKnownFromStart);
+  t.false(
+    createTarget(createHeartbeat(2, COLD_TIME_MS - 800)).isKnownFromStart,
+    'an earlier agent got its heartbeats',
+  );
+  t.false(
+    createTarget(createHeartbeat(90, COLD_TIME_MS)).isKnownFromStart,
+    'cold, but not just started',
+  );
+  t.false(createTarget(createHeartbeat(90, 0)).isKnownFromStart);
+  const unknown = new TargetLifecycle('map', HEARTBEAT_INTERVAL_MS, 0);
+  unknown.applyHeartbeat(createHeartbeat(1, COLD_TIME_MS), 10_000);
+  t.false(unknown.isKnownFromStart, 'the cold time is unknown');
 });
 
-test('a successor is known from its start, one that a late heartbeat hid for a while is not', (t) => {
-  const target = createTarget(heartbeat(90, 0));
-  target.applyHeartbeat(heartbeat(1, COLD_TIME, 'j'), 12_000);
+test('a replacing incarnation is known from its start, unless its first heartbeats were missed', (t) => {
+  const target = createTarget(createHeartbeat(90, 0));
+  target.applyHeartbeat(createHeartbeat(1, COLD_TIME_MS, 'j'), 12_000);
   t.true(target.isKnownFromStart);
-  target.applyHeartbeat(heartbeat(50, 0, 'k'), 12_100);
+  target.applyHeartbeat(createHeartbeat(50, 0, 'k'), 12_100);
   t.is(target.incarnation, 'j');
-  target.applyHeartbeat(heartbeat(51, 0, 'k'), 12_900);
+  target.applyHeartbeat(createHeartbeat(51, 0, 'k'), 12_900);
   t.is(target.incarnation, 'k');
   t.false(target.isKnownFromStart);
 });
 
-/** A router whose agents know all flows of their targets, as `knowing` says of each. */
-function createHarness(knowing: readonly FlowKnowledgeValue[]): RouterHarness {
-  const harness = new RouterHarness(knowing.map(() => SURE));
+/** Creates a router whose agents report the given knowledge of their targets' flows. */
+function createHarness(knowledge: readonly FlowKnowledgeValue[]): RouterHarness {
+  const harness = new RouterHarness(knowledge.map(() => CONCLUSIVE_VERSION));
   harness.agents.forEach((agent, index) => {
-    const report = { frameVersion: SURE, flowKnowledge: knowing[index]!, sequence: 2 };
+    const report = {
+      frameVersion: CONCLUSIVE_VERSION,
+      flowKnowledge: knowledge[index]!,
+      sequence: 2,
+    };
     harness.directory.recordReport(agent, createReport(report), harness.now);
   });
   return harness;
 }
 
-function searchesOf(harness: RouterHarness): SearchMessage[] {
+function findSearches(harness: RouterHarness): SearchMessage[] {
   return harness.sent
     .map(({ message }) => message)
     .filter((message) => message.type === PacketMessageType.search);
@@ -69,14 +79,14 @@
   harness.router.handleNoneHolds({ type: PacketMessageType.noneHolds, agents, payload, searchId });
 }
 
-test('one pass through agents that know their flows ends in a reset', (t) => {
+test('one pass through agents that know all flows of their targets ends in a reset', (t) => {
   const harness = createHarness(new Array<FlowKnowledgeValue>(40).fill(1));
   harness.router.route(harness.createData(7));
-  const [first] = searchesOf(harness);
+  const [first] = findSearches(harness);
   t.is(first!.phase, SearchPhase.conclusive);
   t.is(first!.agents.length, 10);
   answerNone(harness, first!);
-  const rest = searchesOf(harness).slice(1);
+  const rest = findSearches(harness).slice(1);
   t.deepEqual(
     rest.map(({ phase, agents }) => [phase, agents.length]),
     [
@@ -86,13 +96,13 @@
   );
   rest.forEach((search) => answerNone(harness, search));
   t.deepEqual(harness.resets, [7]);
-  t.is(searchesOf(harness).length, 3);
+  t.is(findSearches(harness).length, 3);
 });
 
-test('agents that do not know their flows are asked and offered the packet as before', (t) => {
+test('a single agent without knowledge of all flows makes the search a query', (t) => {
   const harness = createHarness([1, 1, 0, 1]);
   harness.router.route(harness.createData(7));
-  const [first] = searchesOf(harness);
+  const [first] = findSearches(harness);
   t.is(first!.phase, SearchPhase.query);
   t.is(first!.agents.length, 4);
 });
@@ -107,18 +117,18 @@
   return world;
 }
 
-function countReturned(world: PacketWorld): number {
+function countRejected(world: PacketWorld): number {
   return world.agents.reduce((sum, { node }) => sum + node.counters.packetsReturned, 0);
 }
 
-test('after a loss of all power dead flows are told so without touching targets', (t) => {
+test('after a power loss of all machines, dead flows are reset with hardly any offers to targets', (t) => {
   const world = startWorld(31, 30);
   openModelFlows(world, 60, 400, 100);
   world.runFor(1_000);
   const open = world.clients.filter(({ state }) => state === 'open');
   world.losePower(500);
   world.runFor(1_600);
-  t.true(countReturned(world) <= 5, `${countReturned(world)} packets returned by targets`);
+  t.true(countRejected(world) <= 5, `${countRejected(world)} packets rejected by targets`);
   t.is(open.filter(({ state }) => state === 'reset').length, open.length);
 });
 
@@ -136,7 +146,7 @@
   t.true(world.clients.every(({ state }) => state === 'done'));
 });
 
-test('an agent that began long after its target does not know its flows, however young it is', (t) => {
+test('an agent started long after its target does not know all of its flows, even if the target is cold', (t) => {
   for (const [gap, isKnown] of [
     [200, true],
     [400, false],
--- a/test/zone-cut.test.ts
+++ b/test/zone-cut.test.ts
@@ -1,4 +1,4 @@
-/** Two zones that cannot reach each other while a third reaches both. */
+/** Two zones that cannot reach each other, while a third zone reaches both. */
 import test from 'ava';
 import { ZoneDetour } from '../src/packets/zone-detour';
 import { ZoneReachability } from '../src/packets/zone-reachability';
@@ -22,7 +22,7 @@
   return reach;
 }
 
-test('a zone is silent once none of its agents is heard while others are', (t) => {
+test('a zone is unresponsive once none of its agents reports while those of others do', (t) => {
   const reach = createReach(['north', 'south'], 8);
   reach.recordReport('north', 500);
   t.true(reach.isSilent('south', AGENTS, 500));
@@ -32,7 +32,7 @@
   t.false(reach.isSilent('south', AGENTS, 520));
 });
 
-test('a balancer that hears nobody, and a zone of few agents, say nothing', (t) => {
+test('no zone counts as unresponsive without any reports, or with few agents', (t) => {
   const reach = createReach(['north', 'south'], 8);
   t.false(reach.isSilent('south', AGENTS, 2_000));
   const few = createReach(['north', 'south'], 3);
@@ -40,7 +40,7 @@
   t.false(few.isSilent('south', AGENTS, 2_000));
 });
 
-test('a way round goes through a ready balancer of a third zone, the same for a flow', (t) => {
+test('a detour goes through a ready balancer of a third zone, the same for all packets of a flow', (t) => {
   const detour = new ZoneDetour('north');
   t.is(detour.findBalancer('f', 'south', 0), undefined);
   detour.recordStatus(1, 'north', true, 0);
@@ -59,9 +59,10 @@
 
 function cutZones(world: PacketWorld, one: string, other: string): () => void {
   const nodes = [...world.balancers, ...world.agents];
-  const of = (zone: string): string[] => nodes.filter((n) => n.zone === zone).map((n) => n.name);
-  const cuts = of(one).flatMap((from) =>
-    of(other).flatMap((to) => [
+  const findNames = (zone: string): string[] =>
+    nodes.filter((node) => node.zone === zone).map(({ name }) => name);
+  const cuts = findNames(one).flatMap((from) =>
+    findNames(other).flatMap((to) => [
       { from, to },
       { from: to, to: from },
     ]),
@@ -82,9 +83,9 @@
   return world;
 }
 
-test('flows across a cut go on by the third zone, and nothing is broken', (t) => {
+test('flows between partitioned zones continue through the third zone without resets', (t) => {
   const world = startWorld(41);
-  // So that balancers of the north place flows in other zones.
+  // Evacuating north makes its balancers place flows in other zones.
   world.store.evacuate('north');
   world.runFor(500);
   const flows = Array.from({ length: 90 }, () => world.openFlow(MAP_DESTINATION, 40, 100));
@@ -95,7 +96,7 @@
   world.runFor(1_000);
   const before = flows.map(({ answers }) => answers);
   world.runFor(1_500);
-  const stuck = flows.filter(
+  const unanswered = flows.filter(
     ({ answers, state }, index) => state === 'open' && answers === before[index],
   );
   const detoured = world.balancers.reduce(
@@ -103,7 +104,7 @@
     0,
   );
   t.true(detoured > 0);
-  t.true(stuck.length <= 2, `${stuck.length} flows got no answer`);
+  t.true(unanswered.length <= 2, `${unanswered.length} flows got no answer`);
   heal();
   world.runFor(12_000);
   t.deepEqual(world.violations.flowsReset, []);
@@ -111,7 +112,7 @@
   t.true(flows.every(({ state }) => state === 'done'));
 });
 
-test('new flows stay on the side that their balancer reaches', (t) => {
+test('new flows are placed only in zones that their balancer reaches', (t) => {
   const world = startWorld(42);
   cutZones(world, 'north', 'south');
   world.runFor(1_000);
