--- a/src/packets/flow-router.ts
+++ b/src/packets/flow-router.ts
@@ -44,7 +44,7 @@
   readonly choice?: ChoiceSettings;
   /** Whether a zone is evacuated: its targets get no new flows. */
   isEvacuated(zone: string): boolean;
-  /** Whether the view can lack no entries that a restored store has lost; no flow is reset before. */
+  /** Whether the view has all entries that a store restored from a backup may lack; no flow is reset before. */
   isViewConverged(): boolean;
 }
 
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -38,7 +38,7 @@
   readonly searches: FlowSearches;
   readonly link: PacketLink;
   readonly forwarder: PacketForwarder;
-  /** Whether the view can lack no entries that a restored store has lost. */
+  /** Whether the view has all entries that a store restored from a backup may lack. */
   isViewConverged(): boolean;
 }
 
@@ -173,7 +173,7 @@
     };
   }
 
-  /** Keeps a packet until more agents have reported or have exceeded the time for a report. */
+  /** Retains a packet until more agents have reported or have exceeded the time for a report. */
   private waitForAgents(packet: FlowPacket, search: FlowSearch): void {
     search.unansweredAttempts = 0;
     this.waitForOutcome(packet, search, GROUP_SIZE);
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -278,9 +278,9 @@
     if (this.relay.canRelay(now)) {
       return true;
     }
-    const mayLackAgents =
+    const mayServeWithoutAgents =
       this.directory.size === 0 && now - this.startedAt > MAXIMUM_BACKLOG_TIME_MS;
-    return this.hasView && (mayLackAgents || this.directory.hasHeardAny(now));
+    return this.hasView && (mayServeWithoutAgents || this.directory.hasHeardAny(now));
   }
 
   /** Creates the gate that holds clients' packets until any flow can be served. */
--- a/src/packets/pending-searches.ts
+++ b/src/packets/pending-searches.ts
@@ -26,7 +26,7 @@
   return Math.min(MAXIMUM_TIMEOUT_MS, Math.max(MINIMUM_TIMEOUT_MS, BASE_SEARCH_TIME_MS / capacity));
 }
 
-/** A packet that waits until the holder of its flow is existing. */
+/** A packet that waits until the holder of its flow is known. */
 export interface WaitingPacket {
   readonly packet: FlowPacket;
   readonly route: Route;
