--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -145,7 +145,7 @@
   t.deepEqual(world.violations, NO_VIOLATIONS);
 });
 
-test('a search does not offer packets to other targets while the holder is stopped', (t) => {
+test('a search does not repeat offers to the same targets while the holder is stopped', (t) => {
   const world = startWorld(16, 1);
   for (let index = 0; index < 20; index++) {
     world.openFlow(MAP_DESTINATION, 5, 2_500);
