--- a/src/packets/agent-directory.ts
+++ b/src/packets/agent-directory.ts
@@ -149,7 +149,7 @@
    * Whether an agent was added after the directory became complete, so recently that other
    * balancers may not know it. The age of agents known from the start is unknown.
    */
-  isSettling(entry: AgentEntry, now: number): boolean {
+  isRecentlyAdded(entry: AgentEntry, now: number): boolean {
     return entry.knownSince > this.completeSince && now - entry.knownSince < SETTLING_TIME_MS;
   }
 
--- a/src/packets/choice/least-load.ts
+++ b/src/packets/choice/least-load.ts
@@ -102,7 +102,7 @@
   load += isReady ? 0 : UNKNOWN_STATE_PENALTY;
   load += (FAILURE_PENALTY * (entry.report?.failurePercent ?? 0)) / 100;
   load += context.isHeard(entry) ? 0 : UNRESPONSIVE_PENALTY;
-  load += context.isSettling(entry) ? NEW_AGENT_PENALTY : 0;
+  load += context.isRecentlyAdded(entry) ? NEW_AGENT_PENALTY : 0;
   return load;
 }
 
--- a/src/packets/choice/selection.ts
+++ b/src/packets/choice/selection.ts
@@ -40,7 +40,7 @@
   /** Milliseconds since an agent's latest report. */
   getReportAge(entry: AgentEntry): number;
   /** Whether the agent is so new that other balancers may not know it. */
-  isSettling(entry: AgentEntry): boolean;
+  isRecentlyAdded(entry: AgentEntry): boolean;
   /** Network cost of a flow in milliseconds; not 0 at home either where the agent is in doubt. */
   getTransferCost(entry: AgentEntry): number;
   getOutlierStatus(entry: AgentEntry): OutlierStatus;
@@ -75,7 +75,7 @@
   if (kind === 'setAside' || !context.isHeard(entry)) {
     return PlacementClass.lastResort;
   }
-  return kind === 'usual' && !context.isSettling(entry)
+  return kind === 'usual' && !context.isRecentlyAdded(entry)
     ? PlacementClass.healthy
     : PlacementClass.doubtful;
 }
--- a/src/packets/flow-placement.ts
+++ b/src/packets/flow-placement.ts
@@ -265,11 +265,11 @@
       openingRate: this.openingRates.getRate(search.services[0]!, now),
       requestsPerFlow: this.estimateRequestsPerFlow(packet, now),
       usesExpectedWait: this.choice.expectedWait,
-      competingShare: locality.rivalShare,
+      competingShare: locality.competingShare,
       getOutlierStatus: (entry) => this.outlierEjection.getStatus(entry, isTrialFlow, now),
       getReportAge: (entry) => now - (entry.heardAt ?? now),
       isHeard: (entry) => directory.isHeard(entry, now),
-      isSettling: (entry) => directory.isSettling(entry, now),
+      isRecentlyAdded: (entry) => directory.isRecentlyAdded(entry, now),
       getTransferCost: (entry) => locality.computeCost(entry, now),
       random: () => environment.random(),
     };
--- a/src/packets/holder-search.ts
+++ b/src/packets/holder-search.ts
@@ -145,7 +145,7 @@
         return;
       case 'offerSilent':
         this.reportStall(packet, search, untried.length);
-        this.dispatch.offerToSilent(plan.agent, packet, search);
+        this.dispatch.offerToUnresponsive(plan.agent, packet, search);
         return;
       case 'conclude':
         this.conclude(packet, search);
--- a/src/packets/locality/locality.ts
+++ b/src/packets/locality/locality.ts
@@ -82,7 +82,7 @@
    * Fraction of the other balancers that compete for the same agents: those of one zone, as long
    * as flows stay in their zones.
    */
-  get rivalShare(): number {
+  get competingShare(): number {
     return this.isEnabled ? 1 / Math.max(1, this.distances.zonesMeasured) : 1;
   }
 
--- a/src/packets/locality/transfer-costs.ts
+++ b/src/packets/locality/transfer-costs.ts
@@ -105,7 +105,7 @@
 
   /** Penalty as a fraction of the largest cost, 0 to 1. */
   private computePenalty(entry: AgentEntry, now: number): number {
-    if (!this.directory.isHeard(entry, now) || this.directory.isSettling(entry, now)) {
+    if (!this.directory.isHeard(entry, now) || this.directory.isRecentlyAdded(entry, now)) {
       return 1;
     }
     return (entry.report?.failurePercent ?? 0) / 100;
--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -311,7 +311,7 @@
   /** Without the setting the terms of all routes stay unknown, so requests have equal priority. */
   private learnRouteTerms(message: RouteTermsMessage): void {
     if (this.settings.priorityQueue) {
-      this.terms.learn(message);
+      this.terms.apply(message);
     }
   }
 
@@ -411,7 +411,7 @@
       lowerShare: this.settings.lowerPriorityShare,
       getTerms: (destination) => this.terms.getTerms(destination),
       getLatencyGoal: () => this.guard.latencyGoal,
-      handOver: (packet, balancer, searchId) =>
+      deliver: (packet, balancer, searchId) =>
         this.packetHandler.deliverAdmitted(packet, balancer, searchId),
     });
   }
@@ -484,7 +484,7 @@
     if (isDown && !wasDown) {
       this.logTargetState();
     }
-    this.liveness.probeIfSilent(isDown, now);
+    this.liveness.probeIfUnresponsive(isDown, now);
     this.dropAbandonedRequests(now);
     this.admission.releaseWaiting(now);
     this.reporter.reportIfWorse();
--- a/src/packets/packet-balancer.ts
+++ b/src/packets/packet-balancer.ts
@@ -436,7 +436,7 @@
   }
 
   private recordStatus(peer: Endpoint, status: BalancerStatus): void {
-    this.startupRelay.learn(peer, status, this.dependencies.environment.now());
+    this.startupRelay.recordStatus(peer, status, this.dependencies.environment.now());
     this.startupGate.processBacklog();
   }
 
--- a/src/packets/packet-forwarder.ts
+++ b/src/packets/packet-forwarder.ts
@@ -99,12 +99,12 @@
     if (entry && directory.isHeard(entry, environment.now())) {
       hops.send(agent, message, packet);
     } else {
-      this.sendToSilent(packet, message, agent);
+      this.sendToUnresponsive(packet, message, agent);
     }
   }
 
   /** Sends a packet, or a search with it, to an agent without a recent report; retains it for a short time. */
-  sendToSilent(packet: FlowPacket, message: DelayableMessage, agent: Endpoint): void {
+  sendToUnresponsive(packet: FlowPacket, message: DelayableMessage, agent: Endpoint): void {
     const { directory, environment, link } = this.dependencies;
     const now = environment.now();
     const entry = directory.find(agent);
--- a/src/packets/search-dispatch.ts
+++ b/src/packets/search-dispatch.ts
@@ -71,7 +71,7 @@
    * Offers a packet to an agent that does not report to this balancer but may be running. Its target
    * gets the packet only if needed: an agent that knows all flows of its target decides by itself.
    */
-  offerToSilent(agent: AgentEntry, packet: FlowPacket, search: FlowSearch): void {
+  offerToUnresponsive(agent: AgentEntry, packet: FlowPacket, search: FlowSearch): void {
     const { address } = agent;
     const { link, forwarder } = this.dependencies;
     recordOffer(search, address);
@@ -80,7 +80,7 @@
       return;
     }
     const message = this.createSearch(packet, search, [address], SearchPhase.conclusive);
-    forwarder.sendToSilent(packet, message, address);
+    forwarder.sendToUnresponsive(packet, message, address);
   }
 
   /** Sends a packet through agents; further packets of the flow wait for the outcome. */
--- a/src/packets/service-profile-view.ts
+++ b/src/packets/service-profile-view.ts
@@ -25,7 +25,7 @@
   }
 
   /** Applies the profiles of a routing table; those of an older one are ignored. */
-  learn(profiles: ServiceProfiles): void {
+  apply(profiles: ServiceProfiles): void {
     if (profiles.version > this.latest.version) {
       this.latest = profiles;
       this.target.setColdTime(this.ownProfile?.coldTime);
--- a/src/packets/startup/startup-relay.ts
+++ b/src/packets/startup/startup-relay.ts
@@ -55,7 +55,7 @@
   ) {}
 
   /** Records another balancer's status. */
-  learn(balancer: Endpoint, status: BalancerStatus, now: number): void {
+  recordStatus(balancer: Endpoint, status: BalancerStatus, now: number): void {
     if (status.capacity < MINIMUM_CAPACITY_RATIO * this.capacity) {
       return;
     }
--- a/src/packets/target-admission.ts
+++ b/src/packets/target-admission.ts
@@ -29,7 +29,7 @@
   /** Terms that the callers of a route expect; undefined while unknown. */
   getTerms(destination: Endpoint): RouteTerms | undefined;
   /** Forwards a packet to the target. */
-  handOver(packet: FlowPacket, balancer: Endpoint, searchId: number): void;
+  deliver(packet: FlowPacket, balancer: Endpoint, searchId: number): void;
 }
 
 /** Admission of one target. */
@@ -51,7 +51,7 @@
    * @returns whether it was queued
    */
   admit(packet: FlowPacket, balancer: Endpoint, searchId: number, now: number): boolean {
-    const { handOver, tracker } = this.dependencies;
+    const { deliver: handOver, tracker } = this.dependencies;
     if (!this.hasCapacity && tracker.completesRequest(packet)) {
       const terms = this.getTermsOrDefault(packet);
       const times = { since: now, seenAt: now };
@@ -149,7 +149,7 @@
   private release(request: WaitingRequest | undefined): void {
     if (request) {
       const { packet, balancer, searchId } = request;
-      this.dependencies.handOver(packet, balancer, searchId);
+      this.dependencies.deliver(packet, balancer, searchId);
     }
   }
 }
--- a/src/packets/target-guard.ts
+++ b/src/packets/target-guard.ts
@@ -44,7 +44,7 @@
   /** Applies the state of the deployment that a balancer reports. */
   learn({ evacuations, profiles, storeEra }: SubscribeMessage, balancer: Endpoint): void {
     this.evacuations.apply({ ...evacuations, era: storeEra }, formatEndpoint(balancer));
-    this.profiles.learn(profiles);
+    this.profiles.apply(profiles);
   }
 
   /** Whether a service may exist, by the profiles that balancers have sent. */
--- a/src/packets/target-liveness.ts
+++ b/src/packets/target-liveness.ts
@@ -36,7 +36,7 @@
   }
 
   /** Probes an unresponsive target; to be called at regular intervals. */
-  probeIfSilent(isUnresponsive: boolean, now: number): void {
+  probeIfUnresponsive(isUnresponsive: boolean, now: number): void {
     if (
       !isUnresponsive ||
       this.isConfirmedDead ||
--- a/src/packets/terms/route-terms-cache.ts
+++ b/src/packets/terms/route-terms-cache.ts
@@ -15,7 +15,7 @@
   }
 
   /** Applies terms announced by a balancer; those of an earlier table are ignored. */
-  learn(terms: AnnouncedTerms): void {
+  apply(terms: AnnouncedTerms): void {
     const { destination, version } = terms;
     const known = this.terms.get(destination);
     if (known && version < known.version) {
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -54,7 +54,7 @@
 
 test('a cold target gets its rate with overshoot and slack in any second, a warm one more', (t) => {
   const { target, profiles, limiter } = createLimiter();
-  profiles.learn(RATES);
+  profiles.apply(RATES);
   target.applyHeartbeat(createHeartbeat(1, 3_000), 0);
   t.is(countPassing(limiter, 0, 1_000), 8);
   t.is(countPassing(limiter, 1_000, 2_000), 8);
@@ -63,7 +63,7 @@
 
 test('new flows to a warm target count in the second in which it becomes cold', (t) => {
   const { target, profiles, limiter } = createLimiter();
-  profiles.learn(RATES);
+  profiles.apply(RATES);
   target.applyHeartbeat(createHeartbeat(1, 0), 0);
   t.is(countPassing(limiter, 0, 60), 6);
   target.applyHeartbeat(createHeartbeat(2, 2_000), 60);
@@ -73,7 +73,7 @@
 test('an agent that knows neither age nor rate passes only the slack', (t) => {
   const { target, profiles, limiter } = createLimiter();
   t.is(countPassing(limiter, 0, 1_000), 5);
-  profiles.learn(RATES);
+  profiles.apply(RATES);
   t.is(countPassing(limiter, 1_060, 1_900), 8);
   target.applyHeartbeat(createHeartbeat(9, 0), 1_900);
   t.is(countPassing(limiter, 1_900, 2_000), 10);
@@ -83,20 +83,20 @@
 
 test('a new agent reserves a second for what its earlier incarnation may have forwarded', (t) => {
   const { target, profiles, limiter } = createLimiter(0);
-  profiles.learn(RATES);
+  profiles.apply(RATES);
   target.applyHeartbeat(createHeartbeat(5, 2_000), 10);
   t.is(countPassing(limiter, 0, 1_050), 0);
   t.is(countPassing(limiter, 1_050, 1_800), 8);
   const fresh = createLimiter(0);
-  fresh.profiles.learn(RATES);
+  fresh.profiles.apply(RATES);
   fresh.target.applyHeartbeat(createHeartbeat(1, 2_000), 10);
   t.is(countPassing(fresh.limiter, 10, 900), 8);
 });
 
 test('rates of an earlier table change nothing; a service without a rate has no limit', (t) => {
   const { profiles, limiter } = createLimiter();
-  profiles.learn({ version: 5, services: [] });
-  profiles.learn(RATES);
+  profiles.apply({ version: 5, services: [] });
+  profiles.apply(RATES);
   t.is(countPassing(limiter, 0, 1_000), 100);
   const unlimited = new ColdStartLimiter(
     new TargetLifecycle('map', 770, 0),
--- a/test/expected-wait.test.ts
+++ b/test/expected-wait.test.ts
@@ -87,7 +87,7 @@
   const [silent, aside, settling, busy] = createAgents([{}, {}, {}, { busyRequests: 3 }]);
   const context = createSelectionContext({
     isHeard: (entry) => entry !== silent,
-    isSettling: (entry) => entry === settling,
+    isRecentlyAdded: (entry) => entry === settling,
     getOutlierStatus: (entry) =>
       entry === aside ? { kind: 'setAside', isTrialDue: false } : { kind: 'usual' },
   });
@@ -101,7 +101,7 @@
 test('a doubtful target is selected where the wait at all others is long', (t) => {
   const busy = { busyRequests: 9 };
   const entries = createAgents([{}, busy, busy, busy]);
-  const context = createSelectionContext({ isSettling: (entry) => entry === entries[0] });
+  const context = createSelectionContext({ isRecentlyAdded: (entry) => entry === entries[0] });
   t.is(selectAgent(entries, context)?.entry, entries[0]);
 });
 
--- a/test/packet-directory.test.ts
+++ b/test/packet-directory.test.ts
@@ -45,10 +45,10 @@
   const directory = new AgentDirectory();
   const known = directory.upsert({ address: AGENT, service: 's', zone: 'z' }, 4, 1_000);
   directory.markComplete(1_000);
-  t.false(directory.isSettling(known, 1_000));
+  t.false(directory.isRecentlyAdded(known, 1_000));
   const late = directory.upsert({ address: AGENT + 1, service: 's', zone: 'z' }, 5, 1_100);
-  t.true(directory.isSettling(late, 3_000));
-  t.false(directory.isSettling(late, 3_200));
+  t.true(directory.isRecentlyAdded(late, 3_000));
+  t.false(directory.isRecentlyAdded(late, 3_200));
 });
 
 test("an agent's own reports take precedence over the entry of an earlier target", (t) => {
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -156,7 +156,7 @@
     lowerShare: 10,
     getTerms: () => undefined,
     getLatencyGoal: () => 0,
-    handOver: (packet, balancer) => {
+    deliver: (packet, balancer) => {
       tracker.recordDelivery(packet, balancer, 0);
       handedOver.push(packet.flow);
     },
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -130,18 +130,18 @@
 
 test('a starting balancer forwards packets only to stronger ones, each flow to one of them', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.3);
-  relay.learn(1, createStatus(11, 0.3), 0);
+  relay.recordStatus(1, createStatus(11, 0.3), 0);
   t.is(relay.chooseDestination('f', 4, 0), undefined, 'an equal one starts too');
-  relay.learn(2, createStatus(12, 1.35, 'south'), 0);
+  relay.recordStatus(2, createStatus(12, 1.35, 'south'), 0);
   t.is(relay.chooseDestination('f', 4, 0), 12);
-  relay.learn(3, createStatus(13, 1.35), 0);
+  relay.recordStatus(3, createStatus(13, 1.35), 0);
   t.is(relay.chooseDestination('f', 4, 0), 12, 'the destination of its opening packet');
   t.is(relay.chooseDestination('g', 4, 0), 13, 'the home zone first');
   t.is(relay.chooseDestination('h', 4, 5_000), undefined, 'no recent status');
   t.is(relay.findDestination('g', 1_500), 13, 'existing flows only');
   t.is(relay.findDestination('g', 5_000), undefined, 'the balancer is unresponsive');
   t.is(relay.chooseDestination('g', 4, 5_000), undefined);
-  relay.learn(2, createStatus(12, 1.35, 'south'), 5_000);
+  relay.recordStatus(2, createStatus(12, 1.35, 'south'), 5_000);
   t.is(relay.chooseDestination('g', 4, 5_000), 12, 'another balancer takes its flows');
   relay.clear();
   t.false(relay.hasRelayedFlows);
@@ -149,11 +149,11 @@
 
 test('one strong balancer does not get the traffic of a large cluster', (t) => {
   const relay = new StartupRelay(OWN_ZONE, 0.324);
-  relay.learn(2, createStatus(12, 1.35), 0);
+  relay.recordStatus(2, createStatus(12, 1.35), 0);
   t.false(relay.canRelay(24, 0));
-  relay.learn(3, createStatus(13, 1.35), 0);
+  relay.recordStatus(3, createStatus(13, 1.35), 0);
   t.true(relay.canRelay(24, 0));
-  relay.learn(3, { ...createStatus(13, 1.35), isReady: false }, 10);
+  relay.recordStatus(3, { ...createStatus(13, 1.35), isReady: false }, 10);
   t.false(relay.canRelay(24, 10));
 });
 
@@ -483,7 +483,7 @@
     lowerShare: 10,
     getTerms: () => undefined,
     getLatencyGoal: () => 0,
-    handOver: (packet, balancer) => tracker.recordDelivery(packet, balancer, 0),
+    deliver: (packet, balancer) => tracker.recordDelivery(packet, balancer, 0),
   });
   const requests = Array.from({ length: 20 }, (_, index) => {
     const common = { client: 0x6440_0007_9c41 + index, destination: MAP_DESTINATION };
--- a/test/route-terms.test.ts
+++ b/test/route-terms.test.ts
@@ -84,8 +84,8 @@
 test('an agent uses the terms of the later table, whichever is announced last', (t) => {
   const view = new RouteTermsCache();
   const { destination } = createRoute(80, 'live');
-  view.learn({ ...URGENT, destination, version: 7 });
-  view.learn({ ...USUAL, destination, version: 6 });
+  view.apply({ ...URGENT, destination, version: 7 });
+  view.apply({ ...USUAL, destination, version: 6 });
   t.is(view.getTerms(destination)!.priority, 1);
   t.is(view.getTerms(destination + 1), undefined);
 });
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -65,23 +65,23 @@
     { checkVacant: (answer) => answers.push(answer) },
     () => void deaths++,
   );
-  liveness.probeIfSilent(true, 1_000);
-  liveness.probeIfSilent(true, 1_100);
+  liveness.probeIfUnresponsive(true, 1_000);
+  liveness.probeIfUnresponsive(true, 1_100);
   t.is(answers.length, 1, 'one probe at a time');
   answers.shift()!(false);
   t.false(liveness.isDead);
-  liveness.probeIfSilent(true, 1_100);
+  liveness.probeIfUnresponsive(true, 1_100);
   t.is(answers.length, 0, 'not at once again');
-  liveness.probeIfSilent(true, 1_600);
+  liveness.probeIfUnresponsive(true, 1_600);
   answers.shift()!(true);
   t.true(liveness.isDead);
   t.is(deaths, 1);
   liveness.recordActivity();
   t.false(liveness.isDead);
-  liveness.probeIfSilent(true, 3_000);
+  liveness.probeIfUnresponsive(true, 3_000);
   liveness.recordActivity();
   answers.shift()!(true);
   t.false(liveness.isDead, 'it sent a packet after the probe had started');
-  liveness.probeIfSilent(false, 4_000);
+  liveness.probeIfUnresponsive(false, 4_000);
   t.is(answers.length, 0, 'no probe of a target that is responsive');
 });
--- a/test/support/selection-context.ts
+++ b/test/support/selection-context.ts
@@ -11,7 +11,7 @@
     competingShare: 1,
     isHeard: () => true,
     getReportAge: () => 0,
-    isSettling: () => false,
+    isRecentlyAdded: () => false,
     getTransferCost: ({ zone }) => (zone === 'north' ? 0 : 2),
     getOutlierStatus: () => ({ kind: 'usual' }),
     random: () => 0,
