--- a/src/balancer/balancer-membership.ts
+++ b/src/balancer/balancer-membership.ts
@@ -17,33 +17,33 @@
   type PingAnswerMessage,
   type PingMessage,
   type PingRequestMessage,
-  type TargetRumour,
+  type ServiceTargetNotice,
 } from '../wire/messages';
 import type { BalancerContext } from './balancer-context';
 import { MemberList } from './member-list';
-import { RumourQueue } from './rumour-queue';
+import { GossipQueue } from './gossip-queue';
 
-const INDIRECT_PROBES = 3;
-const RUMOURS_PER_MESSAGE = 6;
+const INDIRECT_PROBE_COUNT = 3;
+const UPDATES_PER_MESSAGE = 6;
 const MEMBERS_PER_LIST_PART = 20;
 /** Multiplies log2 of the group's size: how often a rumour is sent before it is dropped. */
-const RUMOUR_FACTOR = 3;
+const TRANSMISSION_MULTIPLIER = 3;
 /** Every so many probes one goes to a dead member or a seed, to find the other side of a cut. */
-const RECONNECT_EVERY = 3;
-const FORGET_EVERY = 60;
+const INTERVALS_PER_RECONNECT = 3;
+const INTERVALS_PER_EXPIRY = 60;
 
 /** Told of what gossip brings. */
 export interface GossipListener {
   /** A peer has all tables through this revision, and `beyond` sums up what it has after that. */
-  peerHasThrough(revision: number, beyond: number, from: Endpoint): void;
+  handlePeerRevision(revision: number, aheadDigest: number, from: Endpoint): void;
   /** News of a target; returns true when it was news here. */
-  targetRumour(rumour: TargetRumour): boolean;
-  membersChanged(): void;
+  applyTargetNotice(rumour: ServiceTargetNotice): boolean;
+  handleMembersChanged(): void;
   /** Revision through which this balancer has all tables. */
-  haveThrough(): number;
+  getCompleteRevision(): number;
   /** Digest of the tables that it has beyond that. */
-  beyond(): number;
-  allTargetRumours(): TargetRumour[];
+  getAheadDigest(): number;
+  listTargetNotices(): ServiceTargetNotice[];
 }
 
 interface Probe {
@@ -53,12 +53,12 @@
 
 /** The balancer's view of its peers. */
 export class BalancerMembership {
-  private readonly list = new MemberList();
-  private readonly memberRumours = new RumourQueue<MemberRecord>();
-  private readonly targetRumours = new RumourQueue<TargetRumour>();
+  private readonly memberList = new MemberList();
+  private readonly memberUpdates = new GossipQueue<MemberRecord>();
+  private readonly targetUpdates = new GossipQueue<ServiceTargetNotice>();
   private readonly probes = new Map<number, Probe>();
-  private readonly relayed = new Map<number, { requester: Endpoint; sequence: number }>();
-  private own: MemberRecord;
+  private readonly relayedProbes = new Map<number, { requester: Endpoint; sequence: number }>();
+  private ownRecord: MemberRecord;
   private sequence = 0;
   private ticks = 0;
   private running = false;
@@ -69,32 +69,32 @@
     private readonly listener: GossipListener,
   ) {
     const { name, endpoint, zone, incarnation } = context.settings;
-    this.own = { name, endpoint, zone, incarnation, state: MemberState.alive };
+    this.ownRecord = { name, endpoint, zone, incarnation, state: MemberState.alive };
   }
 
   /** This balancer's own record. */
   get self(): MemberRecord {
-    return this.own;
+    return this.ownRecord;
   }
 
   /** True once a peer has answered, or when there is none to ask. */
   get hasJoined(): boolean {
-    return this.joined || this.seeds().length === 0;
+    return this.joined || this.listSeeds().length === 0;
   }
 
   /** Other balancers that are not dead. */
-  live(): MemberRecord[] {
-    return this.list.live();
+  listLive(): MemberRecord[] {
+    return this.memberList.listLive();
   }
 
   /** Other balancers that take part fully: neither dead nor leaving. */
-  active(): MemberRecord[] {
-    return this.list.live().filter((member) => member.state !== MemberState.leaving);
+  listActive(): MemberRecord[] {
+    return this.memberList.listLive().filter((member) => member.state !== MemberState.leaving);
   }
 
   /** Every other balancer known, dead ones too. */
-  known(): MemberRecord[] {
-    return this.list.all();
+  listKnown(): MemberRecord[] {
+    return this.memberList.listAll();
   }
 
   /** Up to `count` different live members at random. */
@@ -102,7 +102,7 @@
     const chosen = new Map<string, MemberRecord>();
     const tries = count * 3;
     for (let attempt = 0; attempt < tries && chosen.size < count; attempt++) {
-      const member = this.list.randomLive(this.context.environment.random());
+      const member = this.memberList.pickRandomLive(this.context.environment.random());
       if (member) {
         chosen.set(member.name, member);
       }
@@ -123,57 +123,57 @@
 
   /** Announces the planned stop. */
   leave(): void {
-    this.changeOwn(MemberState.leaving);
+    this.changeOwnState(MemberState.leaving);
   }
 
   /** Takes members as known, without spreading them as news. */
-  adopt(members: readonly MemberRecord[]): void {
+  addMembers(members: readonly MemberRecord[]): void {
     const now = this.context.environment.now();
-    const others = members.filter((member) => member.name !== this.own.name);
-    others.forEach((member) => this.list.apply(member, now));
+    const others = members.filter((member) => member.name !== this.ownRecord.name);
+    others.forEach((member) => this.memberList.apply(member, now));
     this.joined = this.joined || others.length > 0;
   }
 
   /** Spreads news of a target. */
-  spread(rumour: TargetRumour): void {
-    this.targetRumours.add(`${rumour.service}/${rumour.target}`, rumour);
+  queueTargetNotice(notice: ServiceTargetNotice): void {
+    this.targetUpdates.add(`${notice.service}/${notice.target}`, notice);
   }
 
-  receivePing(message: PingMessage, from: Endpoint): void {
-    this.takeGossip(message, from);
-    const gossip = this.gossip(message.sequence);
-    const members = [...this.doubtsAbout(message.sender), ...gossip.members];
-    this.context.send(from, { type: MessageType.pingAnswer, ...gossip, members });
+  handlePing(message: PingMessage, from: Endpoint): void {
+    this.applyGossip(message, from);
+    const gossipFields = this.createGossip(message.sequence);
+    const members = [...this.findContradictingRecord(message.sender), ...gossipFields.members];
+    this.context.send(from, { type: MessageType.pingAnswer, ...gossipFields, members });
   }
 
-  receivePingAnswer(message: PingAnswerMessage, from: Endpoint): void {
+  handlePingAnswer(message: PingAnswerMessage, from: Endpoint): void {
     this.joined = true;
-    this.takeGossip(message, from);
+    this.applyGossip(message, from);
     const probe = this.probes.get(message.sequence);
     if (probe) {
       probe.answered = true;
     }
-    const relay = this.relayed.get(message.sequence);
-    if (relay) {
-      this.relayed.delete(message.sequence);
-      const answer = { ...message, sequence: relay.sequence };
-      this.context.send(relay.requester, answer);
+    const relayedProbe = this.relayedProbes.get(message.sequence);
+    if (relayedProbe) {
+      this.relayedProbes.delete(message.sequence);
+      const answer = { ...message, sequence: relayedProbe.sequence };
+      this.context.send(relayedProbe.requester, answer);
     }
   }
 
-  receivePingRequest(message: PingRequestMessage, from: Endpoint): void {
-    this.takeGossip(message, from);
-    const sequence = this.nextSequence();
-    this.relayed.set(sequence, { requester: from, sequence: message.sequence });
-    this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.relayed.delete(sequence));
-    this.context.send(message.subject, { type: MessageType.ping, ...this.gossip(sequence) });
+  handlePingRequest(message: PingRequestMessage, from: Endpoint): void {
+    this.applyGossip(message, from);
+    const sequence = this.allocateSequence();
+    this.relayedProbes.set(sequence, { requester: from, sequence: message.sequence });
+    this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.relayedProbes.delete(sequence));
+    this.context.send(message.subject, { type: MessageType.ping, ...this.createGossip(sequence) });
   }
 
   /** Answers a joining balancer with all members and target news. */
-  receiveJoin(message: JoinMessage, from: Endpoint): void {
-    this.takeMember(message.sender);
-    const members = [this.own, ...this.list.live()];
-    const targets = this.listener.allTargetRumours();
+  handleJoin(message: JoinMessage, from: Endpoint): void {
+    this.applyMember(message.sender);
+    const members = [this.ownRecord, ...this.memberList.listLive()];
+    const targets = this.listener.listTargetNotices();
     const parts = Math.max(1, Math.ceil(members.length / MEMBERS_PER_LIST_PART));
     const targetsPerPart = Math.ceil(targets.length / parts);
     for (let part = 0; part < parts; part++) {
@@ -184,22 +184,22 @@
         targets: targets.slice(part * targetsPerPart, (part + 1) * targetsPerPart),
       });
     }
-    this.listener.peerHasThrough(message.haveThrough, 0, from);
+    this.listener.handlePeerRevision(message.haveThrough, 0, from);
   }
 
-  receiveMemberList(message: MemberListMessage): void {
+  handleMemberList(message: MemberListMessage): void {
     this.joined = true;
-    message.members.forEach((member) => this.takeMember(member));
-    message.targets.forEach((rumour) => this.listener.targetRumour(rumour));
+    message.members.forEach((member) => this.applyMember(member));
+    message.targets.forEach((notice) => this.listener.applyTargetNotice(notice));
   }
 
   /** What a prober must hear to refute it: that it counts as suspect or dead here. */
-  private doubtsAbout(sender: MemberRecord): MemberRecord[] {
-    const believed = this.list.get(sender.name);
-    return believed && believed.state !== sender.state ? [believed] : [];
+  private findContradictingRecord(sender: MemberRecord): MemberRecord[] {
+    const known = this.memberList.get(sender.name);
+    return known && known.state !== sender.state ? [known] : [];
   }
 
-  private seeds(): Endpoint[] {
+  private listSeeds(): Endpoint[] {
     const { peers, endpoint } = this.context.settings;
     return peers.filter((peer) => peer !== endpoint);
   }
@@ -208,8 +208,8 @@
     if (!this.running || this.hasJoined) {
       return;
     }
-    const seeds = this.seeds();
-    const seed = seeds[Math.floor(this.context.environment.random() * seeds.length)]!;
+    const candidates = this.listSeeds();
+    const seed = candidates[Math.floor(this.context.environment.random() * candidates.length)]!;
     this.sendJoin(seed);
     this.context.environment.startTimer(PROBE_TIMEOUT_MS, () => this.join());
   }
@@ -217,8 +217,8 @@
   private sendJoin(seed: Endpoint): void {
     this.context.send(seed, {
       type: MessageType.join,
-      sender: this.own,
-      haveThrough: this.listener.haveThrough(),
+      sender: this.ownRecord,
+      haveThrough: this.listener.getCompleteRevision(),
     });
   }
 
@@ -227,25 +227,25 @@
       return;
     }
     this.ticks++;
-    this.probeOne();
-    if (this.ticks % RECONNECT_EVERY === 0) {
+    this.probeRandomMember();
+    if (this.ticks % INTERVALS_PER_RECONNECT === 0) {
       this.reconnect();
     }
-    if (this.ticks % FORGET_EVERY === 0) {
-      this.list.forgetOld(this.context.environment.now());
+    if (this.ticks % INTERVALS_PER_EXPIRY === 0) {
+      this.memberList.removeExpired(this.context.environment.now());
     }
     this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.tick());
   }
 
-  private probeOne(): void {
-    const sequence = this.nextSequence();
-    const subject = this.list.randomLive(this.context.environment.random());
+  private probeRandomMember(): void {
+    const sequence = this.allocateSequence();
+    const subject = this.memberList.pickRandomLive(this.context.environment.random());
     if (!subject) {
       return;
     }
     const probe: Probe = { subject, answered: false };
     this.probes.set(sequence, probe);
-    this.context.send(subject.endpoint, { type: MessageType.ping, ...this.gossip(sequence) });
+    this.context.send(subject.endpoint, { type: MessageType.ping, ...this.createGossip(sequence) });
     const { environment } = this.context;
     environment.startTimer(PROBE_TIMEOUT_MS, () => this.probeIndirectly(probe, sequence));
     environment.startTimer(PROBE_INTERVAL_MS, () => this.concludeProbe(probe, sequence));
@@ -255,11 +255,11 @@
     if (probe.answered) {
       return;
     }
-    for (const helper of this.sample(INDIRECT_PROBES)) {
+    for (const helper of this.sample(INDIRECT_PROBE_COUNT)) {
       if (helper.name !== probe.subject.name) {
         this.context.send(helper.endpoint, {
           type: MessageType.pingRequest,
-          ...this.gossip(sequence),
+          ...this.createGossip(sequence),
           subject: probe.subject.endpoint,
         });
       }
@@ -268,13 +268,13 @@
 
   private concludeProbe(probe: Probe, sequence: number): void {
     this.probes.delete(sequence);
-    const current = this.list.get(probe.subject.name);
+    const current = this.memberList.get(probe.subject.name);
     if (probe.answered || !current || current.state === MemberState.dead) {
       return;
     }
     if (current.incarnation === probe.subject.incarnation) {
       const { state } = current;
-      this.takeMember({
+      this.applyMember({
         ...current,
         state: state === MemberState.leaving ? MemberState.dead : MemberState.suspect,
       });
@@ -287,94 +287,94 @@
    */
   private reconnect(): void {
     const { environment } = this.context;
-    const dead = this.list.randomDead(environment.random());
-    if (dead) {
-      const gossip = this.gossip(this.nextSequence());
-      const members = [dead, ...gossip.members];
-      this.context.send(dead.endpoint, { type: MessageType.ping, ...gossip, members });
+    const deadMember = this.memberList.pickRandomDead(environment.random());
+    if (deadMember) {
+      const gossipFields = this.createGossip(this.allocateSequence());
+      const members = [deadMember, ...gossipFields.members];
+      this.context.send(deadMember.endpoint, { type: MessageType.ping, ...gossipFields, members });
     }
-    const live = new Set(this.list.live().map((member) => member.endpoint));
-    const strangers = this.seeds().filter((seed) => !live.has(seed));
-    if (strangers.length > 0) {
+    const liveEndpoints = new Set(this.memberList.listLive().map((member) => member.endpoint));
+    const unknownSeeds = this.listSeeds().filter((seed) => !liveEndpoints.has(seed));
+    if (unknownSeeds.length > 0) {
       // A probe, not a join: a join is answered with every member, and many may knock at once.
-      const stranger = strangers[Math.floor(environment.random() * strangers.length)]!;
-      this.context.send(stranger, {
+      const seed = unknownSeeds[Math.floor(environment.random() * unknownSeeds.length)]!;
+      this.context.send(seed, {
         type: MessageType.ping,
-        ...this.gossip(this.nextSequence()),
+        ...this.createGossip(this.allocateSequence()),
       });
     }
   }
 
-  private nextSequence(): number {
+  private allocateSequence(): number {
     return ++this.sequence;
   }
 
-  private gossip(sequence: number): GossipFields {
-    const transmissions = RUMOUR_FACTOR * Math.ceil(Math.log2(this.list.liveCount + 2));
+  private createGossip(sequence: number): GossipFields {
+    const maximumTransmissions = TRANSMISSION_MULTIPLIER * Math.ceil(Math.log2(this.memberList.liveCount + 2));
     return {
       sequence,
-      sender: this.own,
-      haveThrough: this.listener.haveThrough(),
-      beyond: this.listener.beyond(),
-      members: this.memberRumours.take(RUMOURS_PER_MESSAGE, transmissions),
-      targets: this.targetRumours.take(RUMOURS_PER_MESSAGE, transmissions),
+      sender: this.ownRecord,
+      haveThrough: this.listener.getCompleteRevision(),
+      beyond: this.listener.getAheadDigest(),
+      members: this.memberUpdates.takeBatch(UPDATES_PER_MESSAGE, maximumTransmissions),
+      targets: this.targetUpdates.takeBatch(UPDATES_PER_MESSAGE, maximumTransmissions),
     };
   }
 
-  private takeGossip(message: GossipFields, from: Endpoint): void {
-    this.takeMember(message.sender);
-    message.members.forEach((member) => this.takeMember(member));
-    for (const rumour of message.targets) {
-      if (this.listener.targetRumour(rumour)) {
-        this.spread(rumour);
+  private applyGossip(message: GossipFields, from: Endpoint): void {
+    this.applyMember(message.sender);
+    message.members.forEach((member) => this.applyMember(member));
+    for (const notice of message.targets) {
+      if (this.listener.applyTargetNotice(notice)) {
+        this.queueTargetNotice(notice);
       }
     }
-    this.listener.peerHasThrough(message.haveThrough, message.beyond, from);
+    this.listener.handlePeerRevision(message.haveThrough, message.beyond, from);
   }
 
-  private takeMember(record: MemberRecord): void {
-    if (record.name === this.own.name) {
+  private applyMember(record: MemberRecord): void {
+    if (record.name === this.ownRecord.name) {
       this.refute(record);
       return;
     }
-    const before = this.list.get(record.name)?.state;
-    if (!this.list.apply(record, this.context.environment.now())) {
+    const previousState = this.memberList.get(record.name)?.state;
+    if (!this.memberList.apply(record, this.context.environment.now())) {
       return;
     }
-    this.memberRumours.add(record.name, record);
-    this.reportChange(record, before);
+    this.memberUpdates.add(record.name, record);
+    this.reportStateChange(record, previousState);
     if (record.state === MemberState.suspect) {
-      this.startSuspicion(record);
+      this.startSuspicionTimer(record);
     }
-    this.listener.membersChanged();
+    this.listener.handleMembersChanged();
   }
 
   private refute(record: MemberRecord): void {
-    const doubted = record.state !== MemberState.alive && record.state !== this.own.state;
-    if (doubted && record.incarnation >= this.own.incarnation) {
-      this.own = { ...this.own, incarnation: record.incarnation + 1 };
-      this.memberRumours.add(this.own.name, this.own);
+    const isContradicted = record.state !== MemberState.alive && record.state !== this.ownRecord.state;
+    if (isContradicted && record.incarnation >= this.ownRecord.incarnation) {
+      this.ownRecord = { ...this.ownRecord, incarnation: record.incarnation + 1 };
+      this.memberUpdates.add(this.ownRecord.name, this.ownRecord);
     }
   }
 
-  private changeOwn(state: MemberStateValue): void {
-    this.own = { ...this.own, incarnation: this.own.incarnation + 1, state };
-    this.memberRumours.add(this.own.name, this.own);
+  private changeOwnState(state: MemberStateValue): void {
+    this.ownRecord = { ...this.ownRecord, incarnation: this.ownRecord.incarnation + 1, state };
+    this.memberUpdates.add(this.ownRecord.name, this.ownRecord);
   }
 
-  private startSuspicion(record: MemberRecord): void {
+  private startSuspicionTimer(record: MemberRecord): void {
     this.context.environment.startTimer(SUSPICION_TIMEOUT_MS, () => {
-      const current = this.list.get(record.name);
-      const unrefuted = current?.incarnation === record.incarnation;
-      if (unrefuted && current?.state === MemberState.suspect) {
-        this.takeMember({ ...record, state: MemberState.dead });
+      const current = this.memberList.get(record.name);
+      const isUnrefuted = current?.incarnation === record.incarnation;
+      if (isUnrefuted && current?.state === MemberState.suspect) {
+        this.applyMember({ ...record, state: MemberState.dead });
       }
     });
   }
 
-  private reportChange(record: MemberRecord, before: MemberStateValue | undefined): void {
+  private reportStateChange(record: MemberRecord, previousState: MemberStateValue | undefined): void {
     const event = MEMBER_EVENTS[record.state];
-    if (record.state !== before) {
+    if (record.state !== previousState) {
       this.context.environment.report(event, { member: record.name, zone: record.zone });
     }
   }
--- a/src/balancer/balancer-node.ts
+++ b/src/balancer/balancer-node.ts
@@ -18,12 +18,12 @@
   type Message,
   type ReplyMessage,
   type TargetNotice,
-  type TargetRumour,
+  type ServiceTargetNotice,
 } from '../wire/messages';
 import type { BalancerContext, BalancerNodeSettings } from './balancer-context';
 import { BalancerMembership } from './balancer-membership';
 import { DirectoryRouting, type FlowRouting } from './flow-routing';
-import { LearntBudget } from './learnt-hosts';
+import { FlowCacheBudget } from './flow-host-cache';
 import { StoreReader } from './store-reader';
 import { TableAcceptance } from './table-acceptance';
 import { TableDistribution } from './table-distribution';
@@ -41,7 +41,7 @@
 export type RoutingFactory = (
   service: string,
   states: TargetStates,
-  budget: LearntBudget,
+  budget: FlowCacheBudget,
 ) => FlowRouting;
 
 /** What a balancer is given by its surroundings. */
@@ -74,9 +74,9 @@
   readonly acceptance: TableAcceptance;
   private readonly context: BalancerContext;
   private readonly link: FrameLink;
-  private readonly reader: StoreReader;
-  private readonly states = new TargetStates();
-  private readonly learntBudget: LearntBudget;
+  private readonly storeReader: StoreReader;
+  private readonly targetStates = new TargetStates();
+  private readonly cacheBudget: FlowCacheBudget;
   private readonly routings = new Map<string, FlowRouting>();
   private datagramsForwarded = 0;
   private datagramsDropped = 0;
@@ -88,47 +88,47 @@
     private readonly dependencies: BalancerDependencies,
   ) {
     const { environment, store, codec, transport } = dependencies;
-    this.learntBudget = new LearntBudget(settings.learntFlows);
+    this.cacheBudget = new FlowCacheBudget(settings.learntFlows);
     this.link = new FrameLink(codec, transport, environment);
     this.context = { settings, environment, send: (to, message) => this.link.send(to, message) };
     this.distribution = new TableDistribution(this.context, {
-      sample: (count) => this.membership.sample(count),
-      active: () => this.membership.active(),
-      changed: (tables) => this.tablesChanged(tables),
+      sampleMembers: (count) => this.membership.sample(count),
+      listActiveMembers: () => this.membership.listActive(),
+      handleChangedTables: (tables) => this.invalidateRoutings(tables),
     });
     this.membership = new BalancerMembership(this.context, {
-      peerHasThrough: (revision, beyond, from) =>
-        this.distribution.peerHasThrough(revision, beyond, from),
-      targetRumour: (rumour) => this.applyNotice(rumour.service, rumour),
-      membersChanged: () => undefined,
-      haveThrough: () => this.distribution.cache.revision,
-      beyond: () => this.distribution.cache.aheadDigest,
-      allTargetRumours: () => this.states.all(),
+      handlePeerRevision: (revision, beyond, from) =>
+        this.distribution.handlePeerRevision(revision, beyond, from),
+      applyTargetNotice: (rumour) => this.applyNotice(rumour.service, rumour),
+      handleMembersChanged: () => undefined,
+      getCompleteRevision: () => this.distribution.cache.revision,
+      getAheadDigest: () => this.distribution.cache.aheadDigest,
+      listTargetNotices: () => this.targetStates.listAll(),
     });
-    this.reader = new StoreReader(this.context, store, {
-      activeNames: () => this.membership.active().map((member) => member.name),
-      haveThrough: () => this.distribution.cache.revision,
-      take: (delta) => this.distribution.take(delta, undefined),
-      takeMachines: (machines) => this.noticeLeavingMachines(machines),
+    this.storeReader = new StoreReader(this.context, store, {
+      listActiveNames: () => this.membership.listActive().map((member) => member.name),
+      getCompleteRevision: () => this.distribution.cache.revision,
+      applyDelta: (delta) => this.distribution.applyAndPush(delta, undefined),
+      handleMachineList: (machines) => this.notifyLeavingMachines(machines),
     });
     this.acceptance = new TableAcceptance(this.context, store, {
-      distribute: (table, copies, done) => this.distribute(table, copies, done),
+      distributeTable: (table, copies, done) => this.distributeTable(table, copies, done),
     });
   }
 
   start(): void {
     this.membership.start();
-    this.reader.start();
+    this.storeReader.start();
   }
 
   /** Begins a planned stop: peers hear of it; forwarding goes on. */
   beginStop(): void {
     this.membership.leave();
-    this.reader.stop();
+    this.storeReader.stop();
   }
 
   stop(): void {
-    this.reader.stop();
+    this.storeReader.stop();
     this.membership.stop();
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Milliseconds since the last caller's datagram. */
-  get quietFor(): number {
+  get idleTimeMs(): number {
     return this.dependencies.environment.now() - this.lastDatagramAt;
   }
 
@@ -155,25 +155,25 @@
       framesRejected: this.link.framesRejected,
       knownFlows,
       tableRevision: this.distribution.cache.revision,
-      members: this.membership.live().length + 1,
-      storeReader: this.reader.isReading,
+      members: this.membership.listLive().length + 1,
+      storeReader: this.storeReader.isReading,
     };
   }
 
   /** Every known member with this balancer first. */
-  members(): MemberRecord[] {
-    return [this.membership.self, ...this.membership.known()];
+  listMembers(): MemberRecord[] {
+    return [this.membership.self, ...this.membership.listKnown()];
   }
 
   /** Targets that do not simply serve, as far as known here. */
-  leavingTargets(): TargetRumour[] {
-    return this.states.all().filter((rumour) => rumour.state !== AgentState.serving);
+  listUnavailableTargets(): ServiceTargetNotice[] {
+    return this.targetStates.listAll().filter((notice) => notice.state !== AgentState.serving);
   }
 
   /** Takes a caller's datagram that arrived at a service's address. */
   receiveDatagram(service: string, caller: Endpoint, payload: Buffer): void {
     this.lastDatagramAt = this.dependencies.environment.now();
-    const host = this.isReady ? this.routingOf(service)?.route(caller) : undefined;
+    const host = this.isReady ? this.getOrCreateRouting(service)?.route(caller) : undefined;
     if (!host) {
       this.datagramsDropped++;
       this.dependencies.environment.report(Events.serviceUnknown, { service });
@@ -197,98 +197,98 @@
   receiveFrame(frame: Buffer, from: Endpoint): void {
     const message = this.link.receive(frame);
     if (message) {
-      this.receive(message, from);
+      this.handleMessage(message, from);
     }
   }
 
-  private receive(message: Message, from: Endpoint): void {
+  private handleMessage(message: Message, from: Endpoint): void {
     switch (message.type) {
       case MessageType.reply:
-        this.receiveReply(message, from);
+        this.handleReply(message, from);
         break;
       case MessageType.hello:
-        this.receiveHello(message, from);
+        this.handleHello(message, from);
         break;
       case MessageType.tableRequest:
-        this.distribution.receiveRequest(message, from);
+        this.distribution.handleRequest(message, from);
         break;
       case MessageType.tableDelta:
-        this.distribution.receiveDelta(message, from);
+        this.distribution.handleDelta(message, from);
         break;
       case MessageType.tableConfirm:
-        this.distribution.receiveConfirm(message);
+        this.distribution.handleConfirm(message);
         break;
       default:
-        this.receiveGossip(message, from);
+        this.handleGossip(message, from);
     }
   }
 
-  private receiveGossip(message: Message, from: Endpoint): void {
+  private handleGossip(message: Message, from: Endpoint): void {
     switch (message.type) {
       case MessageType.ping:
-        this.membership.receivePing(message, from);
+        this.membership.handlePing(message, from);
         break;
       case MessageType.pingAnswer:
-        this.membership.receivePingAnswer(message, from);
+        this.membership.handlePingAnswer(message, from);
         break;
       case MessageType.pingRequest:
-        this.membership.receivePingRequest(message, from);
+        this.membership.handlePingRequest(message, from);
         break;
       case MessageType.join:
-        this.membership.receiveJoin(message, from);
+        this.membership.handleJoin(message, from);
         break;
       case MessageType.memberList:
-        this.membership.receiveMemberList(message);
+        this.membership.handleMemberList(message);
         break;
       default:
         this.dependencies.environment.report(Events.frameUnexpected, { type: message.type });
     }
   }
 
-  private receiveReply(message: ReplyMessage, from: Endpoint): void {
+  private handleReply(message: ReplyMessage, from: Endpoint): void {
     if (message.hosted === 1) {
-      this.routingOf(message.service)?.learn(message.caller, message.target, from);
+      this.getOrCreateRouting(message.service)?.recordHost(message.caller, message.target, from);
     }
     this.repliesSent++;
     this.dependencies.callers.send(message.service, message.caller, message.payload);
   }
 
-  private receiveHello(message: HelloMessage, from: Endpoint): void {
+  private handleHello(message: HelloMessage, from: Endpoint): void {
     const { service, target, incarnation, stateSequence, state } = message;
-    const own = { target, incarnation, stateSequence, state };
-    const believed = this.states.get(service, target);
-    for (const notice of [own, ...message.notices]) {
+    const ownNotice = { target, incarnation, stateSequence, state };
+    const knownNotice = this.targetStates.get(service, target);
+    for (const notice of [ownNotice, ...message.notices]) {
       if (this.applyNotice(service, notice)) {
-        this.membership.spread({ service, ...notice });
+        this.membership.queueTargetNotice({ service, ...notice });
       }
     }
     const table = this.distribution.cache.get(service);
     const isNewer = table !== undefined && table.revision > message.tableRevision;
-    const others = this.membership.sample(BALANCERS_PER_HELLO_ANSWER);
+    const otherBalancers = this.membership.sample(BALANCERS_PER_HELLO_ANSWER);
     this.link.send(from, {
       type: MessageType.helloAnswer,
       service,
       tables: isNewer ? [table] : [],
-      balancers: [this.settings.endpoint, ...others.map((member) => member.endpoint)],
-      notices: believed ? [believed] : [],
+      balancers: [this.settings.endpoint, ...otherBalancers.map((member) => member.endpoint)],
+      notices: knownNotice ? [knownNotice] : [],
     });
   }
 
   private applyNotice(service: string, notice: TargetNotice): boolean {
-    const isNews = this.states.apply(service, notice);
-    if (isNews) {
+    const hasChanged = this.targetStates.apply(service, notice);
+    if (hasChanged) {
       this.routings.get(service)?.invalidate(this.distribution.cache.get(service));
     }
-    return isNews;
+    return hasChanged;
   }
 
-  private tablesChanged(tables: readonly ServiceTable[]): void {
+  private invalidateRoutings(tables: readonly ServiceTable[]): void {
     for (const table of tables) {
       this.routings.get(table.service)?.invalidate(table);
     }
   }
 
-  private routingOf(service: string): FlowRouting | undefined {
+  private getOrCreateRouting(service: string): FlowRouting | undefined {
     const known = this.routings.get(service);
     if (known) {
       return known;
@@ -306,26 +306,26 @@
   private createRouting(service: string): FlowRouting {
     const factory = this.dependencies.routing;
     return factory
-      ? factory(service, this.states, this.learntBudget)
-      : new DirectoryRouting(service, this.states, this.learntBudget);
+      ? factory(service, this.targetStates, this.cacheBudget)
+      : new DirectoryRouting(service, this.targetStates, this.cacheBudget);
   }
 
-  private distribute(table: ServiceTable, copies: number, done: (confirmed: number) => void): void {
+  private distributeTable(table: ServiceTable, copies: number, done: (confirmed: number) => void): void {
     const { revision } = table;
     const delta = { fromRevision: revision, throughRevision: revision, tables: [table] };
-    this.distribution.take(delta, undefined);
-    this.distribution.confirmCopies(table, copies, done);
+    this.distribution.applyAndPush(delta, undefined);
+    this.distribution.replicateTable(table, copies, done);
   }
 
   /** Tells the agents on leaving machines, as the machine list has them. */
-  private noticeLeavingMachines(machines: readonly MachineRecord[]): void {
-    const leaving = new Set(machines.filter((one) => one.leaving).map((one) => one.address));
-    if (leaving.size === 0) {
+  private notifyLeavingMachines(machines: readonly MachineRecord[]): void {
+    const leavingAddresses = new Set(machines.filter((one) => one.leaving).map((one) => one.address));
+    if (leavingAddresses.size === 0) {
       return;
     }
     for (const { service, rows } of this.distribution.cache.listTables()) {
       for (const { target, address } of rows) {
-        if (leaving.has(getEndpointAddress(address))) {
+        if (leavingAddresses.has(getEndpointAddress(address))) {
           this.link.send(address, { type: MessageType.drainNotice, service, target });
         }
       }
--- a/src/balancer/flow-routing.ts
+++ b/src/balancer/flow-routing.ts
@@ -3,15 +3,15 @@
 import { computeBucket, computeServiceSeed } from '../core/hashing';
 import { computeOwners } from '../core/ownership';
 import type { ServiceTable } from '../core/table';
-import { LearntHosts, type LearntBudget, type LearntHost } from './learnt-hosts';
+import { FlowHostCache, type FlowCacheBudget, type FlowHost } from './flow-host-cache';
 import type { TargetStates } from './target-states';
 
 /** The seam at which ways of routing differ; the simulator's baselines implement it too. */
 export interface FlowRouting {
   /** The agent for a datagram; undefined when the service has none. */
-  route(caller: Endpoint): LearntHost | undefined;
+  route(caller: Endpoint): FlowHost | undefined;
   /** A reply showed that a target hosts the flow. */
-  learn(caller: Endpoint, target: string, endpoint: Endpoint): void;
+  recordHost(caller: Endpoint, target: string, endpoint: Endpoint): void;
   /** The table or a target's state changed. */
   invalidate(table: ServiceTable | undefined): void;
   /** Flows whose host is remembered. */
@@ -20,68 +20,68 @@
 
 /** Learnt host, else the owner of the flow's bucket in this balancer's view. */
 export class DirectoryRouting implements FlowRouting {
-  private readonly learnt: LearntHosts;
+  private readonly cache: FlowHostCache;
   private readonly seed: number;
   /** Hosts by target name, so that flows share one object a target. */
-  private hosts = new Map<string, LearntHost>();
-  private owners: readonly (LearntHost | undefined)[] | undefined;
+  private hostsByTarget = new Map<string, FlowHost>();
+  private bucketOwners: readonly (FlowHost | undefined)[] | undefined;
   private table: ServiceTable | undefined;
 
   /** @param budget bounds the flows whose host is remembered, over all services */
   constructor(
     private readonly service: string,
-    private readonly states: TargetStates,
-    budget: LearntBudget,
+    private readonly targetStates: TargetStates,
+    budget: FlowCacheBudget,
   ) {
-    this.learnt = new LearntHosts(budget);
+    this.cache = new FlowHostCache(budget);
     this.seed = computeServiceSeed(service);
   }
 
   get knownFlows(): number {
-    return this.learnt.size;
+    return this.cache.size;
   }
 
-  route(caller: Endpoint): LearntHost | undefined {
-    const host = this.learnt.get(caller);
-    if (host && !this.states.isStopped(this.service, host.target)) {
+  route(caller: Endpoint): FlowHost | undefined {
+    const host = this.cache.get(caller);
+    if (host && !this.targetStates.isStopped(this.service, host.target)) {
       return host;
     }
-    this.owners ??= this.computeOwnerHosts();
-    return this.owners[computeBucket(caller, this.seed)];
+    this.bucketOwners ??= this.computeBucketOwners();
+    return this.bucketOwners[computeBucket(caller, this.seed)];
   }
 
-  learn(caller: Endpoint, target: string, endpoint: Endpoint): void {
-    const known = this.learnt.get(caller);
+  recordHost(caller: Endpoint, target: string, endpoint: Endpoint): void {
+    const known = this.cache.get(caller);
     if (known?.target === target && known.endpoint === endpoint) {
       return;
     }
-    this.learnt.set(caller, this.hostFor(target, endpoint));
+    this.cache.set(caller, this.getOrCreateHost(target, endpoint));
   }
 
   invalidate(table: ServiceTable | undefined): void {
     this.table = table;
-    this.owners = undefined;
+    this.bucketOwners = undefined;
   }
 
-  private hostFor(target: string, endpoint: Endpoint): LearntHost {
-    const known = this.hosts.get(target);
+  private getOrCreateHost(target: string, endpoint: Endpoint): FlowHost {
+    const known = this.hostsByTarget.get(target);
     if (known?.endpoint === endpoint) {
       return known;
     }
     const host = { target, endpoint };
-    this.hosts.set(target, host);
+    this.hostsByTarget.set(target, host);
     return host;
   }
 
-  private computeOwnerHosts(): readonly (LearntHost | undefined)[] {
+  private computeBucketOwners(): readonly (FlowHost | undefined)[] {
     const rows = this.table?.rows ?? [];
     const withShare = rows.filter((row) => row.share > 0);
-    const serving = withShare.filter((row) => this.states.isServing(this.service, row.target));
+    const serving = withShare.filter((row) => this.targetStates.isServing(this.service, row.target));
     const eligible = serving.length > 0 ? serving : withShare.length > 0 ? withShare : rows;
     const endpoints = new Map(eligible.map((row) => [row.target, row.address]));
-    const owners = computeOwners(this.service, [...endpoints.keys()].sort());
-    return owners.map((owner) =>
-      owner === undefined ? undefined : this.hostFor(owner, endpoints.get(owner)!),
+    const ownerNames = computeOwners(this.service, [...endpoints.keys()].sort());
+    return ownerNames.map((owner) =>
+      owner === undefined ? undefined : this.getOrCreateHost(owner, endpoints.get(owner)!),
     );
   }
 }
--- a/src/balancer/member-list.ts
+++ b/src/balancer/member-list.ts
@@ -40,33 +40,33 @@
   }
 
   /** Members that are not dead. */
-  live(): MemberRecord[] {
-    return this.currentLiveNames().map((name) => this.members.get(name)!.record);
+  listLive(): MemberRecord[] {
+    return this.getLiveNames().map((name) => this.members.get(name)!.record);
   }
 
   get liveCount(): number {
-    return this.currentLiveNames().length;
+    return this.getLiveNames().length;
   }
 
   /** A live member at random. */
-  randomLive(random: number): MemberRecord | undefined {
-    const names = this.currentLiveNames();
+  pickRandomLive(random: number): MemberRecord | undefined {
+    const names = this.getLiveNames();
     const name = names[Math.floor(random * names.length)];
     return name === undefined ? undefined : this.members.get(name)!.record;
   }
 
   /** A dead member at random: it may be back after a partition. */
-  randomDead(random: number): MemberRecord | undefined {
-    const dead = this.all().filter((record) => record.state === MemberState.dead);
+  pickRandomDead(random: number): MemberRecord | undefined {
+    const dead = this.listAll().filter((record) => record.state === MemberState.dead);
     return dead[Math.floor(random * dead.length)];
   }
 
-  all(): MemberRecord[] {
+  listAll(): MemberRecord[] {
     return [...this.members.values()].map(({ record }) => record);
   }
 
   /** Forgets members that have long been dead. */
-  forgetOld(now: number): void {
+  removeExpired(now: number): void {
     for (const [name, { record, changedAt }] of this.members) {
       if (!isLive(record) && now - changedAt > DEAD_MEMBER_RETENTION_MS) {
         this.members.delete(name);
@@ -75,10 +75,10 @@
   }
 
   /** Rebuilt only when asked for after a change: a list of many members changes many at once. */
-  private currentLiveNames(): readonly string[] {
+  private getLiveNames(): readonly string[] {
     if (this.liveNamesAreStale) {
       this.liveNamesAreStale = false;
-      this.liveNames = this.all()
+      this.liveNames = this.listAll()
         .filter(isLive)
         .map((record) => record.name);
     }
@@ -90,9 +90,9 @@
   return record.state !== MemberState.dead;
 }
 
-function supersedes(fresh: MemberRecord, known: MemberRecord): boolean {
-  if (fresh.incarnation !== known.incarnation) {
-    return fresh.incarnation > known.incarnation;
+function supersedes(update: MemberRecord, known: MemberRecord): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  return STATE_RANK[fresh.state] > STATE_RANK[known.state];
+  return STATE_RANK[update.state] > STATE_RANK[known.state];
 }
--- a/src/balancer/store-reader.ts
+++ b/src/balancer/store-reader.ts
@@ -13,18 +13,18 @@
 import type { HallholdError } from '../errors/hallhold-error';
 import type { BalancerContext } from './balancer-context';
 
-const RANK_INTERVAL = 2_000;
-const RETRY_INTERVAL = 1_000;
+const RANK_INTERVAL_MS = 2_000;
+const RETRY_INTERVAL_MS = 1_000;
 const RENDEZVOUS_KEY = 'store-reader';
 
 /** What the reader needs from its surroundings. */
-export interface ReaderSurroundings {
+export interface StoreReaderDependencies {
   /** Names of the other balancers that take part. */
-  activeNames(): string[];
+  listActiveNames(): string[];
   /** Revision through which this balancer has all tables. */
-  haveThrough(): number;
-  take(delta: TableDelta): void;
-  takeMachines(machines: readonly MachineRecord[]): void;
+  getCompleteRevision(): number;
+  applyDelta(delta: TableDelta): void;
+  handleMachineList(machines: readonly MachineRecord[]): void;
 }
 
 /** Watches the store while this balancer is among the readers. */
@@ -36,7 +36,7 @@
   constructor(
     private readonly context: BalancerContext,
     private readonly store: StorePort,
-    private readonly surroundings: ReaderSurroundings,
+    private readonly dependencies: StoreReaderDependencies,
   ) {}
 
   /** True while this balancer is one of the store's readers. */
@@ -46,7 +46,7 @@
 
   start(): void {
     this.running = true;
-    this.evaluate();
+    this.updateRole();
   }
 
   stop(): void {
@@ -54,7 +54,7 @@
     this.stopReading();
   }
 
-  private evaluate(): void {
+  private updateRole(): void {
     if (!this.running) {
       return;
     }
@@ -67,19 +67,19 @@
     if (this.reading) {
       this.pollMachines();
     }
-    this.context.environment.startTimer(RANK_INTERVAL, () => this.evaluate());
+    this.context.environment.startTimer(RANK_INTERVAL_MS, () => this.updateRole());
   }
 
   private isAmongReaders(): boolean {
     const own = this.context.settings.name;
-    const ranked = rankByRendezvous(RENDEZVOUS_KEY, [...this.surroundings.activeNames(), own]);
+    const ranked = rankByRendezvous(RENDEZVOUS_KEY, [...this.dependencies.listActiveNames(), own]);
     return ranked.indexOf(own) < MAXIMUM_STORE_READERS;
   }
 
   private startReading(): void {
     this.reading = true;
     this.context.environment.report(Events.storeReaderStarted, {});
-    this.list();
+    this.listTables();
   }
 
   private stopReading(): void {
@@ -91,7 +91,7 @@
     this.watch = undefined;
   }
 
-  private list(): void {
+  private listTables(): void {
     this.store.list((result) => {
       if (!this.reading) {
         return;
@@ -100,7 +100,7 @@
         this.retryLater(result.val);
         return;
       }
-      this.surroundings.take(result.val);
+      this.dependencies.applyDelta(result.val);
       this.openWatch(result.val.throughRevision);
     });
   }
@@ -109,12 +109,12 @@
     this.watch?.close();
     this.watch = this.store.watch(
       fromRevision,
-      (delta) => this.surroundings.take(delta),
-      (error) => this.watchEnded(error),
+      (delta) => this.dependencies.applyDelta(delta),
+      (error) => this.handleWatchEnd(error),
     );
   }
 
-  private watchEnded(error: HallholdError): void {
+  private handleWatchEnd(error: HallholdError): void {
     this.watch = undefined;
     if (this.reading) {
       this.retryLater(error);
@@ -123,17 +123,17 @@
 
   private retryLater(error: HallholdError): void {
     this.context.environment.report(Events.storeUnavailable, { reason: error.message });
-    this.context.environment.startTimer(RETRY_INTERVAL, () => {
+    this.context.environment.startTimer(RETRY_INTERVAL_MS, () => {
       if (this.reading && !this.watch) {
-        this.list();
+        this.listTables();
       }
     });
   }
 
   private pollMachines(): void {
-    this.store.machines((result) => {
+    this.store.listMachines((result) => {
       if (result.ok) {
-        this.surroundings.takeMachines(result.val);
+        this.dependencies.handleMachineList(result.val);
       }
     });
   }
--- a/src/balancer/table-acceptance.ts
+++ b/src/balancer/table-acceptance.ts
@@ -20,13 +20,13 @@
 import type { BalancerContext } from './balancer-context';
 
 /** Copies at peers, besides the store and this node, before an edit counts as accepted. */
-const COPIES_WANTED = 2;
-const PURSUE_INTERVAL = 500;
-const WRITE_AGAIN_FOR = 10_000;
-const UNKNOWN_SAID_AFTER = 5_000;
-const PURSUE_FOR = 600_000;
+const REQUIRED_COPIES = 2;
+const RETRY_INTERVAL_MS = 500;
+const WRITE_RETRY_PERIOD_MS = 10_000;
+const UNKNOWN_OUTCOME_DELAY_MS = 5_000;
+const RETRY_PERIOD_MS = 600_000;
 /** Outcomes kept for `status`. */
-const OUTCOMES_KEPT = 1_000;
+const MAXIMUM_STATUSES = 1_000;
 
 /** An operator's edit of one service's rows. */
 export interface TableEdit {
@@ -53,19 +53,19 @@
   | { readonly state: 'refused'; readonly error: HallholdError };
 
 /** Receives the outcome of an edit. */
-export type EditAnswer = (result: Result<AcceptedEdit, HallholdError>) => void;
+export type EditCallback = (result: Result<AcceptedEdit, HallholdError>) => void;
 
 /** What acceptance needs from its surroundings. */
-export interface AcceptanceSurroundings {
+export interface TableAcceptanceDependencies {
   /** Puts an accepted table in force here and has it copied. */
-  distribute(table: ServiceTable, copies: number, done: (confirmed: number) => void): void;
+  distributeTable(table: ServiceTable, copies: number, onDone: (confirmed: number) => void): void;
 }
 
 interface PendingEdit {
   readonly edit: TableEdit;
   readonly startedAt: number;
-  readonly answer: EditAnswer;
-  answered: boolean;
+  readonly callback: EditCallback;
+  isAnswered: boolean;
 }
 
 /** Takes operators' edits to the store. */
@@ -75,23 +75,23 @@
   constructor(
     private readonly context: BalancerContext,
     private readonly store: StorePort,
-    private readonly surroundings: AcceptanceSurroundings,
+    private readonly dependencies: TableAcceptanceDependencies,
   ) {}
 
   /** The status of an edit by its write id; undefined when this balancer has not seen it. */
-  status(writeId: string): EditStatus | undefined {
+  getStatus(writeId: string): EditStatus | undefined {
     return this.statuses.get(writeId);
   }
 
   /**
    * Submits an edit; answers once. Error 1102 on a conflict, 1104 when the outcome is
-   * not known yet (it is pursued, see {@link status}), 1201 when the store was never reached.
+   * not known yet (it is pursued, see {@link getStatus}), 1201 when the store was never reached.
    */
-  submit(edit: TableEdit, answer: EditAnswer): void {
+  submit(edit: TableEdit, callback: EditCallback): void {
     const startedAt = this.context.environment.now();
-    const pending: PendingEdit = { edit, startedAt, answer, answered: false };
-    this.remember(edit.writeId, { state: 'pending' });
-    this.context.environment.startTimer(UNKNOWN_SAID_AFTER, () => this.sayUnknown(pending));
+    const pending: PendingEdit = { edit, startedAt, callback: callback, isAnswered: false };
+    this.recordStatus(edit.writeId, { state: 'pending' });
+    this.context.environment.startTimer(UNKNOWN_OUTCOME_DELAY_MS, () => this.reportUnknownOutcome(pending));
     this.write(pending);
   }
 
@@ -99,22 +99,22 @@
     const { edit } = pending;
     this.store.write(edit, edit.baseRevision, (result) => {
       if (result.ok) {
-        this.accept(pending, result.val);
+        this.acceptEdit(pending, result.val);
       } else if (result.val.resultCode.retry === 'never') {
         this.readBack(pending);
       } else {
-        this.pursueLater(pending);
+        this.scheduleRetry(pending);
       }
     });
   }
 
-  private pursueLater(pending: PendingEdit): void {
+  private scheduleRetry(pending: PendingEdit): void {
     const elapsed = this.context.environment.now() - pending.startedAt;
-    if (elapsed > PURSUE_FOR) {
+    if (elapsed > RETRY_PERIOD_MS) {
       return;
     }
-    this.context.environment.startTimer(PURSUE_INTERVAL, () => {
-      if (elapsed < WRITE_AGAIN_FOR) {
+    this.context.environment.startTimer(RETRY_INTERVAL_MS, () => {
+      if (elapsed < WRITE_RETRY_PERIOD_MS) {
         this.write(pending);
       } else {
         this.readBack(pending);
@@ -126,65 +126,65 @@
     const { edit } = pending;
     this.store.read(edit.service, (result) => {
       if (result.err) {
-        this.pursueLater(pending);
+        this.scheduleRetry(pending);
         return;
       }
       const stored = result.val;
-      const written = stored?.recentWriteIds.includes(edit.writeId) ?? false;
-      if (written) {
-        this.accept(pending, stored!.table.revision, stored!.table);
+      const isWritten = stored?.recentWriteIds.includes(edit.writeId) ?? false;
+      if (isWritten) {
+        this.acceptEdit(pending, stored!.table.revision, stored!.table);
       } else if ((stored?.table.revision ?? 0) === edit.baseRevision) {
-        this.pursueLater(pending);
+        this.scheduleRetry(pending);
       } else {
-        this.refuse(pending, conflictError(edit, stored));
+        this.refuseEdit(pending, createConflictError(edit, stored));
       }
     });
   }
 
-  private accept(pending: PendingEdit, revision: number, stored?: ServiceTable): void {
+  private acceptEdit(pending: PendingEdit, revision: number, stored?: ServiceTable): void {
     const { service, rows, writeId } = pending.edit;
     const table = stored ?? { service, rows, writeId, revision };
-    this.surroundings.distribute(table, COPIES_WANTED, (copies) => {
+    this.dependencies.distributeTable(table, REQUIRED_COPIES, (copies) => {
       const accepted = { revision, copies };
       this.context.environment.report(Events.tableAccepted, { service, revision, copies });
-      this.conclude(pending, { state: 'accepted', accepted }, new Ok(accepted));
+      this.finishEdit(pending, { state: 'accepted', accepted }, new Ok(accepted));
     });
   }
 
-  private refuse(pending: PendingEdit, error: HallholdError): void {
+  private refuseEdit(pending: PendingEdit, error: HallholdError): void {
     const { service } = pending.edit;
     this.context.environment.report(Events.tableRefused, { service, reason: error.message });
-    this.conclude(pending, { state: 'refused', error }, new Err(error));
+    this.finishEdit(pending, { state: 'refused', error }, new Err(error));
   }
 
-  private sayUnknown(pending: PendingEdit): void {
-    if (pending.answered) {
+  private reportUnknownOutcome(pending: PendingEdit): void {
+    if (pending.isAnswered) {
       return;
     }
     const { service, writeId } = pending.edit;
     this.context.environment.report(Events.tableOutcomeUnknown, { service, writeId });
-    pending.answered = true;
+    pending.isAnswered = true;
     const text = 'the store has not answered; whether the edit took effect is not known yet';
-    pending.answer(
+    pending.callback(
       new Err(new HallholdError(ResultCodes.tableOutcomeUnknown, text, [`write id ${writeId}`])),
     );
   }
 
-  private conclude(
+  private finishEdit(
     pending: PendingEdit,
-    status: EditStatus,
+    newStatus: EditStatus,
     result: Result<AcceptedEdit, HallholdError>,
   ): void {
-    this.remember(pending.edit.writeId, status);
-    if (!pending.answered) {
-      pending.answered = true;
-      pending.answer(result);
+    this.recordStatus(pending.edit.writeId, newStatus);
+    if (!pending.isAnswered) {
+      pending.isAnswered = true;
+      pending.callback(result);
     }
   }
 
-  private remember(writeId: string, status: EditStatus): void {
-    this.statuses.set(writeId, status);
-    if (this.statuses.size > OUTCOMES_KEPT) {
+  private recordStatus(writeId: string, newStatus: EditStatus): void {
+    this.statuses.set(writeId, newStatus);
+    if (this.statuses.size > MAXIMUM_STATUSES) {
       const oldest = this.statuses.keys().next().value as string;
       this.statuses.delete(oldest);
     }
@@ -201,14 +201,14 @@
 }
 
 /** Names the rows that collide, or else those that others changed meanwhile. */
-function conflictError(edit: TableEdit, stored: StoredTable | undefined): HallholdError {
-  const theirs = stored?.table.rows ?? [];
+function createConflictError(edit: TableEdit, stored: StoredTable | undefined): HallholdError {
+  const storedRows = stored?.table.rows ?? [];
   const revision = stored?.table.revision ?? 0;
-  const colliding = findConflictingRows(edit.baseRows, theirs, edit.rows).map(
+  const conflicts = findConflictingRows(edit.baseRows, storedRows, edit.rows).map(
     (row) =>
       `row ${row.target}: was ${describeRow(row.base)}; now ${describeRow(row.theirs)}; yours ${describeRow(row.ours)}`,
   );
-  const changed = findChangedRows(edit.baseRows, theirs).map(
+  const otherChanges = findChangedRows(edit.baseRows, storedRows).map(
     (row) =>
       `row ${row.target} changed meanwhile to ${describeRow(row.after)}; yours does not collide`,
   );
@@ -216,6 +216,6 @@
   return new HallholdError(
     ResultCodes.tableConflict,
     text,
-    colliding.length > 0 ? colliding : changed,
+    conflicts.length > 0 ? conflicts : otherChanges,
   );
 }
--- a/src/balancer/table-distribution.ts
+++ b/src/balancer/table-distribution.ts
@@ -17,21 +17,21 @@
 } from '../wire/messages';
 import type { BalancerContext } from './balancer-context';
 
-const REQUEST_PAUSE = 300;
+const MINIMUM_REQUEST_INTERVAL_MS = 300;
 /** Rows per datagram, so that a delta stays well under 64 KiB. */
-const ROWS_PER_PART = 250;
-const CONFIRM_RETRY_INTERVAL = 400;
-const CONFIRM_ATTEMPTS = 5;
+const MAXIMUM_ROWS_PER_PART = 250;
+const CONFIRM_RETRY_INTERVAL_MS = 400;
+const MAXIMUM_CONFIRM_ATTEMPTS = 5;
 
 /** What the distribution needs from its surroundings. */
-export interface DistributionSurroundings {
-  sample(count: number): MemberRecord[];
-  active(): MemberRecord[];
+export interface TableDistributionDependencies {
+  sampleMembers(count: number): MemberRecord[];
+  listActiveMembers(): MemberRecord[];
   /** Tables that are new in force here. */
-  changed(tables: readonly ServiceTable[]): void;
+  handleChangedTables(tables: readonly ServiceTable[]): void;
 }
 
-interface PendingConfirm {
+interface PendingReplication {
   readonly delta: TableDelta;
   readonly wanted: number;
   readonly confirmed: Set<string>;
@@ -42,15 +42,15 @@
 /** Spreads tables among balancers. */
 export class TableDistribution {
   readonly cache = new TableCache();
-  private readonly pending = new Map<number, PendingConfirm>();
-  private lastRequest = -Infinity;
+  private readonly pending = new Map<number, PendingReplication>();
+  private lastRequestAt = -Infinity;
   private nextConfirmId = 1;
   /** True once a peer or the store has said that nothing newer is missing. */
   private caughtUp = false;
 
   constructor(
     private readonly context: BalancerContext,
-    private readonly surroundings: DistributionSurroundings,
+    private readonly dependencies: TableDistributionDependencies,
   ) {}
 
   /** Whether this balancer has a table as new as any peer it has asked. */
@@ -59,43 +59,43 @@
   }
 
   /** Takes news from the store, a peer's push or an own accepted write, and passes it on. */
-  take(delta: TableDelta, from: Endpoint | undefined): void {
+  applyAndPush(delta: TableDelta, from: Endpoint | undefined): void {
     if (this.apply(delta, from)) {
-      this.push(delta);
+      this.pushToSample(delta);
     }
   }
 
   /** Takes a delta without pushing it on: the peers have it. */
-  adopt(delta: TableDelta): void {
-    const { changed, hasGap: gap } = this.cache.apply(delta);
-    this.caughtUp = this.caughtUp || !gap;
-    this.surroundings.changed(changed);
+  applyWithoutPush(delta: TableDelta): void {
+    const { changed, hasGap: hasGap } = this.cache.apply(delta);
+    this.caughtUp = this.caughtUp || !hasGap;
+    this.dependencies.handleChangedTables(changed);
   }
 
   /**
    * A peer has all through `revision`, and `beyond` sums up what it has after that:
    * asks it if it has anything that this node may lack.
    */
-  peerHasThrough(revision: number, beyond: number, from: Endpoint): void {
-    const hasOthers = beyond !== 0 && beyond !== this.cache.aheadDigest;
-    if (revision > this.cache.revision || hasOthers) {
-      this.request(from);
+  handlePeerRevision(revision: number, beyond: number, from: Endpoint): void {
+    const hasOtherTables = beyond !== 0 && beyond !== this.cache.aheadDigest;
+    if (revision > this.cache.revision || hasOtherTables) {
+      this.requestTables(from);
     }
     if (revision <= this.cache.revision && this.cache.revision > 0) {
       this.caughtUp = true;
     }
   }
 
-  receiveRequest(message: TableRequestMessage, from: Endpoint): void {
+  handleRequest(message: TableRequestMessage, from: Endpoint): void {
     const delta = this.cache.createDelta(message.haveThrough);
     for (const part of splitDelta(delta)) {
       this.context.send(from, { type: MessageType.tableDelta, ...part, pushed: 0, confirmId: 0 });
     }
   }
 
-  receiveDelta(message: TableDeltaMessage, from: Endpoint): void {
+  handleDelta(message: TableDeltaMessage, from: Endpoint): void {
     if (message.pushed === 1) {
-      this.take(message, from);
+      this.applyAndPush(message, from);
     } else {
       this.apply(message, from);
     }
@@ -108,35 +108,35 @@
     }
   }
 
-  receiveConfirm(message: TableConfirmMessage): void {
+  handleConfirm(message: TableConfirmMessage): void {
     const pending = this.pending.get(message.confirmId);
     if (!pending) {
       return;
     }
     pending.confirmed.add(message.name);
     if (pending.confirmed.size >= pending.wanted) {
-      this.conclude(message.confirmId, pending);
+      this.finishReplication(message.confirmId, pending);
     }
   }
 
   /** Has a table copied to peers, in other zones first; `done` gets how many confirmed. */
-  confirmCopies(table: ServiceTable, wanted: number, done: (copies: number) => void): void {
+  replicateTable(table: ServiceTable, wanted: number, done: (copies: number) => void): void {
     const { revision } = table;
     const delta = { fromRevision: revision, throughRevision: revision, tables: [table] };
-    const reachable = Math.min(wanted, this.surroundings.active().length);
+    const reachable = Math.min(wanted, this.dependencies.listActiveMembers().length);
     const pending = { delta, wanted: reachable, confirmed: new Set<string>(), done, attempts: 0 };
     const id = this.nextConfirmId++;
     this.pending.set(id, pending);
-    this.pursue(id, pending);
+    this.pushUntilConfirmed(id, pending);
   }
 
   /** Applies a delta; returns true when any table in it was new here. */
   private apply(delta: TableDelta, from: Endpoint | undefined): boolean {
-    const { changed, hasGap: gap } = this.cache.apply(delta);
-    if (!gap) {
+    const { changed, hasGap: hasGap } = this.cache.apply(delta);
+    if (!hasGap) {
       this.caughtUp = true;
     } else if (from !== undefined) {
-      this.request(from);
+      this.requestTables(from);
     }
     if (changed.length === 0) {
       return false;
@@ -144,58 +144,58 @@
     for (const { service, revision } of changed) {
       this.context.environment.report(Events.tableApplied, { service, revision });
     }
-    this.surroundings.changed(changed);
+    this.dependencies.handleChangedTables(changed);
     return true;
   }
 
-  private pursue(id: number, pending: PendingConfirm): void {
+  private pushUntilConfirmed(id: number, pending: PendingReplication): void {
     if (!this.pending.has(id)) {
       return;
     }
-    if (pending.wanted === 0 || pending.attempts >= CONFIRM_ATTEMPTS) {
-      this.conclude(id, pending);
+    if (pending.wanted === 0 || pending.attempts >= MAXIMUM_CONFIRM_ATTEMPTS) {
+      this.finishReplication(id, pending);
       return;
     }
     pending.attempts++;
-    for (const member of this.copyHolders(pending)) {
+    for (const member of this.selectReplicas(pending)) {
       this.pushTo(member.endpoint, pending.delta, id);
     }
-    this.context.environment.startTimer(CONFIRM_RETRY_INTERVAL, () => this.pursue(id, pending));
+    this.context.environment.startTimer(CONFIRM_RETRY_INTERVAL_MS, () => this.pushUntilConfirmed(id, pending));
   }
 
-  private copyHolders(pending: PendingConfirm): MemberRecord[] {
+  private selectReplicas(pending: PendingReplication): MemberRecord[] {
     const { random } = this.context.environment;
-    const fresh = this.surroundings
-      .active()
+    const candidates = this.dependencies
+      .listActiveMembers()
       .filter((member) => !pending.confirmed.has(member.name))
       .map((member) => ({ member, order: random.call(this.context.environment) }));
-    const elsewhere = (member: MemberRecord): number =>
+    const rankZone = (member: MemberRecord): number =>
       member.zone === this.context.settings.zone ? 1 : 0;
-    fresh.sort((a, b) => elsewhere(a.member) - elsewhere(b.member) || a.order - b.order);
-    return fresh.slice(0, pending.wanted + 1).map(({ member }) => member);
+    candidates.sort((a, b) => rankZone(a.member) - rankZone(b.member) || a.order - b.order);
+    return candidates.slice(0, pending.wanted + 1).map(({ member }) => member);
   }
 
-  private conclude(id: number, pending: PendingConfirm): void {
+  private finishReplication(id: number, pending: PendingReplication): void {
     this.pending.delete(id);
     pending.done(pending.confirmed.size);
   }
 
   /** A delta too large for one datagram is not pushed: peers ask for it in parts. */
-  private push(delta: TableDelta): void {
+  private pushToSample(delta: TableDelta): void {
     if (splitDelta(delta).length > 1) {
       return;
     }
-    for (const member of this.surroundings.sample(TABLE_PUSH_FANOUT)) {
+    for (const member of this.dependencies.sampleMembers(TABLE_PUSH_FANOUT)) {
       this.pushTo(member.endpoint, delta, 0);
     }
   }
 
-  private request(from: Endpoint): void {
+  private requestTables(from: Endpoint): void {
     const now = this.context.environment.now();
-    if (now - this.lastRequest < REQUEST_PAUSE) {
+    if (now - this.lastRequestAt < MINIMUM_REQUEST_INTERVAL_MS) {
       return;
     }
-    this.lastRequest = now;
+    this.lastRequestAt = now;
     this.context.send(from, { type: MessageType.tableRequest, haveThrough: this.cache.revision });
   }
 
@@ -215,7 +215,7 @@
   let tables: ServiceTable[] = [];
   let rows = 0;
   for (const table of ordered) {
-    if (rows > 0 && rows + table.rows.length > ROWS_PER_PART) {
+    if (rows > 0 && rows + table.rows.length > MAXIMUM_ROWS_PER_PART) {
       const throughRevision = tables[tables.length - 1]!.revision;
       parts.push({ fromRevision, throughRevision, tables });
       fromRevision = throughRevision;
--- a/src/balancer/target-states.ts
+++ b/src/balancer/target-states.ts
@@ -1,15 +1,15 @@
 /** What this balancer has heard of targets that are not simply serving. */
-import { AgentState, type TargetNotice, type TargetRumour } from '../wire/messages';
+import { AgentState, type TargetNotice, type ServiceTargetNotice } from '../wire/messages';
 
 /** Whether `fresh` is later news than `known`: by run, by the agent's own count, by severity. */
-function isNewer(fresh: TargetNotice, known: TargetNotice): boolean {
-  if (fresh.incarnation !== known.incarnation) {
-    return fresh.incarnation > known.incarnation;
+function isNewer(update: TargetNotice, known: TargetNotice): boolean {
+  if (update.incarnation !== known.incarnation) {
+    return update.incarnation > known.incarnation;
   }
-  if (fresh.stateSequence !== known.stateSequence) {
-    return fresh.stateSequence > known.stateSequence;
+  if (update.stateSequence !== known.stateSequence) {
+    return update.stateSequence > known.stateSequence;
   }
-  return fresh.state > known.state;
+  return update.state > known.state;
 }
 
 /** Newest notice per target. */
@@ -20,8 +20,8 @@
   apply(service: string, notice: TargetNotice): boolean {
     const targets = this.services.get(service) ?? new Map<string, TargetNotice>();
     const known = targets.get(notice.target);
-    const isNews = known ? isNewer(notice, known) : notice.state !== AgentState.serving;
-    if (!isNews) {
+    const isChange = known ? isNewer(notice, known) : notice.state !== AgentState.serving;
+    if (!isChange) {
       return false;
     }
     targets.set(notice.target, notice);
@@ -43,7 +43,7 @@
   }
 
   /** Everything known, for a joining balancer. */
-  all(): TargetRumour[] {
+  listAll(): ServiceTargetNotice[] {
     return [...this.services].flatMap(([service, targets]) =>
       [...targets.values()].map((notice) => ({ service, ...notice })),
     );
--- a/src/bench/balance-cluster.ts
+++ b/src/bench/balance-cluster.ts
@@ -106,7 +106,7 @@
     this.tables[this.tables.indexOf(old)] = table;
     const reader = this.random.pick(this.balancers.filter((one) => one.process.isRunning));
     const delta = { fromRevision, throughRevision: this.revision, tables: [table] };
-    reader.node.distribution.take(delta, undefined);
+    reader.node.distribution.applyAndPush(delta, undefined);
     return table;
   }
 
@@ -224,9 +224,9 @@
       incarnation: index + 1,
       state: MemberState.alive,
     }));
-    node.membership.adopt(members);
+    node.membership.addMembers(members);
     const delta = { fromRevision: 0, throughRevision: this.revision, tables: this.tables };
-    node.distribution.adopt(delta);
+    node.distribution.applyWithoutPush(delta);
   }
 
   private startAgent(agent: BenchAgent): void {
--- a/src/bench/silent-store.ts
+++ b/src/bench/silent-store.ts
@@ -6,5 +6,5 @@
   watch: () => ({ close: () => undefined }),
   read: () => undefined,
   write: () => undefined,
-  machines: () => undefined,
+  listMachines: () => undefined,
 };
--- a/src/operator/tables-controller.ts
+++ b/src/operator/tables-controller.ts
@@ -63,7 +63,7 @@
   /** How far an edit is, by its write id. */
   @Get('writes/:writeId')
   writeStatus(@Param('writeId') writeId: string): unknown {
-    const status = this.balancer.acceptance.status(writeId);
+    const status = this.balancer.acceptance.getStatus(writeId);
     if (!status) {
       throw httpError(ResultCodes.tableUnknownService, `no write ${writeId} at this balancer`);
     }
--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -123,7 +123,7 @@
   encodeCompact(message: CompactMessage): Buffer {
     const frame = this.encodeFrame(message);
     frame[BODY_OFFSET] = message.type;
-    this.seal(frame, COMPACT_FRAME_VERSION);
+    this.sealFrame(frame, COMPACT_FRAME_VERSION);
     return frame;
   }
 
@@ -132,7 +132,7 @@
     if (frame[0] !== COMPACT_FRAME_VERSION) {
       return super.decode(frame);
     }
-    const body = this.open(frame, COMPACT_FRAME_VERSION);
+    const body = this.openFrame(frame, COMPACT_FRAME_VERSION);
     if (body.err) {
       return body;
     }
@@ -148,7 +148,7 @@
       return this.encode(report);
     }
     const frame = encodeReport(report, BODY_OFFSET);
-    this.seal(frame, COMPACT_FRAME_VERSION);
+    this.sealFrame(frame, COMPACT_FRAME_VERSION);
     return frame;
   }
 
--- a/src/packets/packet-message-schema.ts
+++ b/src/packets/packet-message-schema.ts
@@ -4,14 +4,14 @@
  */
 import type { MessageSchema } from '../wire/frame-codec';
 import {
-  binary,
+  unpackBinary,
   FieldError,
-  integer,
-  listOf,
-  oneOf,
-  positive,
-  text,
-  tuple,
+  unpackInteger,
+  createListUnpacker,
+  createEnumUnpacker,
+  unpackNonNegativeNumber,
+  unpackText,
+  unpackTuple,
   type FieldCodec,
 } from '../wire/field-codecs';
 import {
@@ -47,13 +47,13 @@
 
 /** Checks a received agent; throws a `FieldError` if it is malformed. */
 export function unpackAgent(value: unknown): AgentRecord {
-  const [address, service, zone] = tuple(value, 3);
-  return { address: integer(address), service: text(service), zone: text(zone) };
+  const [address, service, zone] = unpackTuple(value, 3);
+  return { address: unpackInteger(address), service: unpackText(service), zone: unpackText(zone) };
 }
 
 /** Nodes that support only the first frame version send none. */
 function unpackFrameVersion(value: unknown): number {
-  return value === undefined ? FIRST_FRAME_VERSION : integer(value);
+  return value === undefined ? FIRST_FRAME_VERSION : unpackInteger(value);
 }
 
 /** Packs agents with the revisions of their registrations for sending. */
@@ -66,8 +66,8 @@
   if (Array.isArray(value) && value.length === 3) {
     return { ...unpackAgent(value), revision: 0 };
   }
-  const [address, service, zone, revision] = tuple(value, 4);
-  return { ...unpackAgent([address, service, zone]), revision: integer(revision) };
+  const [address, service, zone, revision] = unpackTuple(value, 4);
+  return { ...unpackAgent([address, service, zone]), revision: unpackInteger(revision) };
 }
 
 function packDelta(delta: RegistryDelta | undefined): unknown {
@@ -83,14 +83,14 @@
   if (value === undefined || value === null) {
     return undefined;
   }
-  const [from, to, packed, removals] = tuple(value, 4);
-  const agents = listOf(unpackListedAgent)(packed);
-  const removed = listOf(oneOf(0, 1))(removals);
+  const [from, to, packed, removals] = unpackTuple(value, 4);
+  const agents = createListUnpacker(unpackListedAgent)(packed);
+  const removed = createListUnpacker(createEnumUnpacker(0, 1))(removals);
   if (agents.length !== removed.length) {
     throw new FieldError('registry delta: counts of agents and removals differ');
   }
   const changes = agents.map((agent, index) => ({ agent, removed: removed[index] === 1 }));
-  return { from: integer(from), to: integer(to), changes };
+  return { from: unpackInteger(from), to: unpackInteger(to), changes };
 }
 
 function packReaders(readers: readonly StoreReader[]): unknown[] {
@@ -99,12 +99,12 @@
 
 /** Earlier versions send no readers. */
 function unpackReaders(value: unknown): readonly StoreReader[] {
-  return value === undefined ? [] : listOf(unpackReader)(value);
+  return value === undefined ? [] : createListUnpacker(unpackReader)(value);
 }
 
 function unpackReader(value: unknown): StoreReader {
-  const [reader, age] = tuple(value, 2);
-  return { reader: integer(reader), age: integer(age) };
+  const [reader, age] = unpackTuple(value, 2);
+  return { reader: unpackInteger(reader), age: unpackInteger(age) };
 }
 
 function packEvacuations({ revision, zones }: AnnouncedEvacuations): unknown[] {
@@ -116,8 +116,8 @@
   if (value === undefined) {
     return UNKNOWN_EVACUATIONS;
   }
-  const [revision, zones] = tuple(value, 2);
-  return { revision: integer(revision), zones: listOf(text)(zones) };
+  const [revision, zones] = unpackTuple(value, 2);
+  return { revision: unpackInteger(revision), zones: createListUnpacker(unpackText)(zones) };
 }
 
 /** Packs service profiles for sending. */
@@ -131,13 +131,13 @@
 }
 
 /** Checks received service profiles; throws a `FieldError` if one is malformed. */
-export const unpackServiceProfiles = listOf((value): ServiceProfile => {
-  const [service, latencyGoal, coldTime, coldRate] = tuple(value, 4);
+export const unpackServiceProfiles = createListUnpacker((value): ServiceProfile => {
+  const [service, latencyGoal, coldTime, coldRate] = unpackTuple(value, 4);
   return {
-    service: text(service),
-    latencyGoal: positive(latencyGoal),
-    coldTime: positive(coldTime),
-    coldRate: positive(coldRate),
+    service: unpackText(service),
+    latencyGoal: unpackNonNegativeNumber(latencyGoal),
+    coldTime: unpackNonNegativeNumber(coldTime),
+    coldRate: unpackNonNegativeNumber(coldRate),
   };
 });
 
@@ -150,13 +150,13 @@
   if (value === undefined) {
     return UNKNOWN_PROFILES;
   }
-  const [version, services] = tuple(value, 2);
-  return { version: integer(version), services: unpackServiceProfiles(services) };
+  const [version, services] = unpackTuple(value, 2);
+  return { version: unpackInteger(version), services: unpackServiceProfiles(services) };
 }
 
 /** Unpacks a field that earlier versions do not send; 0 if it is missing. */
 function unpackOptionalInteger(value: unknown): number {
-  return value === undefined ? 0 : integer(value);
+  return value === undefined ? 0 : unpackInteger(value);
 }
 
 /** Earlier versions do not send it, and later ones may send other values: partial then. */
@@ -170,41 +170,41 @@
   if (value === undefined) {
     return ListingState.unknown;
   }
-  return oneOf(...Object.values(ListingState))(value) as ListingStateValue;
+  return createEnumUnpacker(...Object.values(ListingState))(value) as ListingStateValue;
 }
 
-const searchId = field('searchId', 'i', integer);
-const payload = field('payload', 'p', binary);
+const searchId = field('searchId', 'i', unpackInteger);
+const payload = field('payload', 'p', unpackBinary);
 const evacuations = field('evacuations', 'e', unpackEvacuations, packEvacuations);
 
 /** Fields of every message type that is sent as a BSON document. */
 export const PACKET_MESSAGE_FIELDS: MessageSchema = new Map<number, readonly FieldCodec[]>([
-  [PacketMessageType.deliver, [searchId, field('services', 's', listOf(text)), payload]],
+  [PacketMessageType.deliver, [searchId, field('services', 's', createListUnpacker(unpackText)), payload]],
   [
     PacketMessageType.notHeld,
-    [searchId, field('reason', 'r', oneOf(...Object.values(RefusalReason))), payload],
+    [searchId, field('reason', 'r', createEnumUnpacker(...Object.values(RefusalReason))), payload],
   ],
-  [PacketMessageType.held, [field('flow', 'f', binary)]],
-  [PacketMessageType.locate, [field('flow', 'f', binary)]],
-  [PacketMessageType.detour, [field('agent', 'a', integer), payload]],
-  [PacketMessageType.distanceProbe, [field('sentAt', 'a', positive)]],
-  [PacketMessageType.distanceReply, [field('sentAt', 'a', positive)]],
-  [PacketMessageType.eraSeen, [field('era', 'h', integer)]],
+  [PacketMessageType.held, [field('flow', 'f', unpackBinary)]],
+  [PacketMessageType.locate, [field('flow', 'f', unpackBinary)]],
+  [PacketMessageType.detour, [field('agent', 'a', unpackInteger), payload]],
+  [PacketMessageType.distanceProbe, [field('sentAt', 'a', unpackNonNegativeNumber)]],
+  [PacketMessageType.distanceReply, [field('sentAt', 'a', unpackNonNegativeNumber)]],
+  [PacketMessageType.eraSeen, [field('era', 'h', unpackInteger)]],
   [
     PacketMessageType.routeTerms,
     [
-      field('destination', 'd', integer),
-      field('version', 'v', integer),
-      field('priority', 'p', integer),
-      field('latencyGoal', 'g', positive),
-      field('deadline', 'x', positive),
+      field('destination', 'd', unpackInteger),
+      field('version', 'v', unpackInteger),
+      field('priority', 'p', unpackInteger),
+      field('latencyGoal', 'g', unpackNonNegativeNumber),
+      field('deadline', 'x', unpackNonNegativeNumber),
     ],
   ],
   [
     PacketMessageType.subscribe,
     [
-      field('zone', 'z', text),
-      field('interval', 'i', positive),
+      field('zone', 'z', unpackText),
+      field('interval', 'i', unpackNonNegativeNumber),
       field('listing', 'l', unpackListing),
       evacuations,
       field('profiles', 'c', unpackVersionedProfiles, packVersionedProfiles),
@@ -216,38 +216,38 @@
   [
     PacketMessageType.report,
     [
-      field('service', 's', text),
-      field('zone', 'z', text),
-      field('run', 'r', integer),
-      field('sequence', 'q', integer),
-      field('state', 'a', oneOf(...Object.values(TargetState))),
-      field('slots', 'l', integer),
-      field('busyRequests', 'b', integer),
-      field('openFlows', 'o', integer),
+      field('service', 's', unpackText),
+      field('zone', 'z', unpackText),
+      field('run', 'r', unpackInteger),
+      field('sequence', 'q', unpackInteger),
+      field('state', 'a', createEnumUnpacker(...Object.values(TargetState))),
+      field('slots', 'l', unpackInteger),
+      field('busyRequests', 'b', unpackInteger),
+      field('openFlows', 'o', unpackInteger),
       field('answerTime', 'w', unpackOptionalInteger),
       field('answers', 'an', unpackOptionalInteger),
       field('targetChanges', 'tc', unpackOptionalInteger),
-      field('coldLeft', 'c', integer),
-      field('failurePercent', 'f', integer),
+      field('coldLeft', 'c', unpackInteger),
+      field('failurePercent', 'f', unpackInteger),
       field('flowBytes', 'y', unpackOptionalInteger),
       field('frameVersion', 'v', unpackFrameVersion),
       field('flowKnowledge', 'k', unpackFlowKnowledge),
-      field('balancerCount', 'n', integer),
-      field('balancers', 'm', listOf(integer)),
+      field('balancerCount', 'n', unpackInteger),
+      field('balancers', 'm', createListUnpacker(unpackInteger)),
     ],
   ],
   [
     PacketMessageType.peerStatus,
     [
-      field('routingVersion', 'v', integer),
-      field('viewComplete', 'w', oneOf(0, 1)),
-      field('zone', 'z', text),
-      field('packetAddress', 'p', integer),
-      field('capacity', 'c', integer),
-      field('ready', 'r', oneOf(0, 1)),
-      field('replyWanted', 'y', oneOf(0, 1)),
-      field('peers', 'm', listOf(integer)),
-      field('unregistered', 'u', listOf(unpackAgent), packAgents),
+      field('routingVersion', 'v', unpackInteger),
+      field('viewComplete', 'w', createEnumUnpacker(0, 1)),
+      field('zone', 'z', unpackText),
+      field('packetAddress', 'p', unpackInteger),
+      field('capacity', 'c', unpackInteger),
+      field('ready', 'r', createEnumUnpacker(0, 1)),
+      field('replyWanted', 'y', createEnumUnpacker(0, 1)),
+      field('peers', 'm', createListUnpacker(unpackInteger)),
+      field('unregistered', 'u', createListUnpacker(unpackAgent), packAgents),
       field('registryRevision', 'g', unpackOptionalInteger),
       field('storeEra', 'h', unpackOptionalInteger),
       field('readers', 'd', unpackReaders, packReaders),
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -10,7 +10,7 @@
 import { Ok, type Result } from 'ts-results';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
-import { FieldError, integer, listOf, oneOf, positive, text, tuple } from '../wire/field-codecs';
+import { FieldError, unpackInteger, createListUnpacker, createEnumUnpacker, unpackNonNegativeNumber, unpackText, unpackTuple } from '../wire/field-codecs';
 import {
   packServiceProfiles,
   packListedAgents,
@@ -80,17 +80,17 @@
 function unpackSnapshot(document: Record<string, unknown>): PeerSnapshot {
   const { table, complete, profiles, repeatable, terms } = document;
   const { agents, registryRevision, storeEra } = document;
-  const repeatablePositions = listOf(integer)(repeatable ?? []);
+  const repeatablePositions = createListUnpacker(unpackInteger)(repeatable ?? []);
   const getTerms = unpackTerms(terms);
   return {
     routingTable:
       table === null
         ? undefined
         : unpackTable(table, profiles ?? [], repeatablePositions, getTerms),
-    viewComplete: oneOf(0, 1)(complete) === 1,
-    agents: listOf(unpackListedAgent)(agents),
-    registryRevision: integer(registryRevision ?? 0),
-    storeEra: integer(storeEra ?? 0),
+    viewComplete: createEnumUnpacker(0, 1)(complete) === 1,
+    agents: createListUnpacker(unpackListedAgent)(agents),
+    registryRevision: unpackInteger(registryRevision ?? 0),
+    storeEra: unpackInteger(storeEra ?? 0),
   };
 }
 
@@ -114,12 +114,12 @@
   repeatablePositions: readonly number[],
   getTerms: TermsLookup,
 ): RoutingTable {
-  const [version, idleTimeout, routes] = tuple(value, 3);
+  const [version, idleTimeout, routes] = unpackTuple(value, 3);
   const repeatableSet = new Set(repeatablePositions);
   return {
-    version: integer(version),
-    idleTimeout: positive(idleTimeout),
-    routes: listOf(unpackRoute)(routes).map((route, position) => {
+    version: unpackInteger(version),
+    idleTimeout: unpackNonNegativeNumber(idleTimeout),
+    routes: createListUnpacker(unpackRoute)(routes).map((route, position) => {
       const terms = getTerms(position);
       return {
         ...route,
@@ -132,15 +132,15 @@
 }
 
 function unpackRoute(value: unknown): Route {
-  const [name, destination, services] = tuple(value, 3);
-  const checked = listOf(unpackService)(services);
+  const [name, destination, services] = unpackTuple(value, 3);
+  const checked = createListUnpacker(unpackService)(services);
   if (checked.length === 0) {
     throw new FieldError('route without services');
   }
-  return { name: text(name), destination: integer(destination), services: checked };
+  return { name: unpackText(name), destination: unpackInteger(destination), services: checked };
 }
 
 function unpackService(value: unknown): WeightedService {
-  const [service, weight] = tuple(value, 2);
-  return { service: text(service), weight: positive(weight) };
+  const [service, weight] = unpackTuple(value, 2);
+  return { service: unpackText(service), weight: unpackNonNegativeNumber(weight) };
 }
--- a/src/packets/terms/packed-terms.ts
+++ b/src/packets/terms/packed-terms.ts
@@ -2,7 +2,7 @@
  * Encodes route terms for other balancers: each distinct set once, and for each route the 1-based
  * index of its set, or 0 for none. Most routes of a large table share one set.
  */
-import { FieldError, integer, listOf, positive, tuple } from '../../wire/field-codecs';
+import { FieldError, unpackInteger, createListUnpacker, unpackNonNegativeNumber, unpackTuple } from '../../wire/field-codecs';
 import type { Route } from '../routing-table';
 import { checkTerms, hasSameTerms, type RouteTerms } from './route-terms';
 
@@ -28,9 +28,9 @@
   if (value === undefined) {
     return () => undefined;
   }
-  const [packedSets, packedIndexes] = tuple(value, 2);
-  const sets = listOf(unpackSet)(packedSets);
-  const indexes = listOf(integer)(packedIndexes);
+  const [packedSets, packedIndexes] = unpackTuple(value, 2);
+  const sets = createListUnpacker(unpackSet)(packedSets);
+  const indexes = createListUnpacker(unpackInteger)(packedIndexes);
   return (position) => sets[(indexes[position] ?? NO_TERMS) - 1];
 }
 
@@ -41,11 +41,11 @@
 }
 
 function unpackSet(value: unknown): RouteTerms {
-  const [priority, latencyGoal, deadline] = tuple(value, 3);
+  const [priority, latencyGoal, deadline] = unpackTuple(value, 3);
   const terms = {
-    priority: integer(priority),
-    latencyGoal: positive(latencyGoal),
-    deadline: positive(deadline),
+    priority: unpackInteger(priority),
+    latencyGoal: unpackNonNegativeNumber(latencyGoal),
+    deadline: unpackNonNegativeNumber(deadline),
   };
   const problem = checkTerms(terms);
   if (problem !== undefined) {
--- a/src/runtime/balancer-process.ts
+++ b/src/runtime/balancer-process.ts
@@ -84,7 +84,7 @@
     const limit = performance.now() + STOP_LIMIT;
     const startedAt = performance.now();
     const isQuiet = (): boolean =>
-      this.node.quietFor >= quiet && performance.now() - startedAt >= quiet;
+      this.node.idleTimeMs >= quiet && performance.now() - startedAt >= quiet;
     while (!isQuiet() && performance.now() < limit) {
       await new Promise((resolve) => setTimeout(resolve, QUIET_CHECK_INTERVAL));
     }
@@ -136,8 +136,8 @@
         zone: this.settings.zone,
         ready: this.isReady,
         statistics: this.node.statistics,
-        members: this.node.members(),
-        targets: this.node.leavingTargets().map(({ service, target, state }) => ({
+        members: this.node.listMembers(),
+        targets: this.node.listUnavailableTargets().map(({ service, target, state }) => ({
           service,
           target,
           state: state === AgentState.draining ? 'draining' : 'stopped',
--- a/src/simulation/baselines.ts
+++ b/src/simulation/baselines.ts
@@ -5,7 +5,7 @@
  */
 import type { RoutingFactory } from '../balancer/balancer-node';
 import type { FlowRouting } from '../balancer/flow-routing';
-import type { LearntHost } from '../balancer/learnt-hosts';
+import type { FlowHost } from '../balancer/flow-host-cache';
 import type { TargetStates } from '../balancer/target-states';
 import { computeRendezvousScore } from '../core/hashing';
 import type { ServiceTable } from '../core/table';
@@ -19,7 +19,7 @@
 
 /** Weighted rendezvous hashing of each flow over the targets that serve. */
 class HashRouting implements FlowRouting {
-  protected hosts: readonly (LearntHost & { readonly share: number })[] = [];
+  protected hosts: readonly (FlowHost & { readonly share: number })[] = [];
 
   constructor(
     private readonly service: string,
@@ -30,8 +30,8 @@
     return 0;
   }
 
-  route(caller: Endpoint): LearntHost | undefined {
-    let best: LearntHost | undefined;
+  route(caller: Endpoint): FlowHost | undefined {
+    let best: FlowHost | undefined;
     let bestScore = -Infinity;
     for (const host of this.hosts) {
       const uniform = (computeRendezvousScore(String(caller), host.target) + 1) / (SCORE_RANGE + 1);
@@ -44,7 +44,7 @@
     return best;
   }
 
-  learn(): void {
+  recordHost(): void {
     // A stateless hash learns nothing.
   }
 
@@ -57,13 +57,13 @@
 
 /** The hash, but a balancer keeps what it once chose for a flow. */
 class HashAndTableRouting extends HashRouting {
-  private readonly table = new Map<Endpoint, LearntHost>();
+  private readonly table = new Map<Endpoint, FlowHost>();
 
   override get knownFlows(): number {
     return this.table.size;
   }
 
-  override route(caller: Endpoint): LearntHost | undefined {
+  override route(caller: Endpoint): FlowHost | undefined {
     const known = this.table.get(caller);
     if (known) {
       return known;
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -11,7 +11,7 @@
   TableWrite,
   WatchHandle,
 } from '../table-store/store-port';
-import { tableResource, toResource, toStoredTable, toTable } from '../table-store/store-resources';
+import { tableResource, createTableResource, convertToStoredTable, convertToTable } from '../table-store/store-resources';
 import { ObjectStore, type StoredObject, type StoreEvent } from '../standins/object-store';
 import type { SeededRandom } from './seeded-random';
 import type { SimulatedProcess } from './simulated-process';
@@ -50,7 +50,7 @@
     return {
       list: (answer) => this.call(process, answer, () => this.list()),
       read: (service, answer) => this.call(process, answer, () => this.read(service)),
-      machines: (answer) => this.call(process, answer, () => [...this.machines.values()]),
+      listMachines: (answer) => this.call(process, answer, () => [...this.machines.values()]),
       write: (write, expected, answer) => this.write(process, write, expected, answer),
       watch: (from, changed, ended) => this.watch(process, from, changed, ended),
     };
@@ -72,11 +72,11 @@
   /** A table as the store has it. */
   read(service: string): StoredTable | undefined {
     const object = this.objects.get(service);
-    return object && toStoredTable(tableResource.parse(object));
+    return object && convertToStoredTable(tableResource.parse(object));
   }
 
   private list(): TableDelta {
-    const tables = this.objects.list().map((object) => toTable(tableResource.parse(object)));
+    const tables = this.objects.list().map((object) => convertToTable(tableResource.parse(object)));
     return { fromRevision: 0, throughRevision: this.objects.revision, tables };
   }
 
@@ -139,7 +139,7 @@
       return undefined;
     }
     const earlier = current?.recentWriteIds ?? [];
-    const draft = toResource(write, expected, earlier) as StoredObject;
+    const draft = createTableResource(write, expected, earlier) as StoredObject;
     const result =
       expected === 0
         ? this.objects.create(write.service, draft)
@@ -190,7 +190,7 @@
       const delta = {
         fromRevision: last,
         throughRevision: event.revision,
-        tables: [toTable(tableResource.parse(event.object))],
+        tables: [convertToTable(tableResource.parse(event.object))],
       };
       last = event.revision;
       // One delay for all keeps the stream in order.
--- a/src/table-store/http-store.ts
+++ b/src/table-store/http-store.ts
@@ -20,20 +20,20 @@
   tableList,
   tableResource,
   TABLES_PATH,
-  toMachines,
-  toResource,
-  toStoredTable,
-  toTable,
+  convertToMachines,
+  createTableResource,
+  convertToStoredTable,
+  convertToTable,
   watchEvent,
 } from './store-resources';
 
-const CALL_TIMEOUT = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
 const STATUS_GONE = 410;
-const STATUS_ERROR = 400;
+const MINIMUM_ERROR_STATUS = 400;
 
-interface HttpAnswer {
+interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -41,21 +41,21 @@
 /** Store client of one process. */
 export class HttpStore implements StorePort {
   private readonly agent = new Agent({
-    connect: { timeout: CALL_TIMEOUT },
-    headersTimeout: CALL_TIMEOUT,
+    connect: { timeout: CALL_TIMEOUT_MS },
+    headersTimeout: CALL_TIMEOUT_MS,
     bodyTimeout: 0,
   });
 
   /** @param url base address, for example "http://127.0.0.1:7900" */
   constructor(private readonly url: string) {}
 
-  list(answer: ResultCallback<TableDelta>): void {
+  list(callback: ResultCallback<TableDelta>): void {
     void this.fetchChecked('GET', TABLES_PATH, tableList).then((result) =>
-      answer(
+      callback(
         result.map((list) => ({
           fromRevision: 0,
           throughRevision: list.metadata.resourceVersion,
-          tables: list.items.map(toTable),
+          tables: list.items.map(convertToTable),
         })),
       ),
     );
@@ -63,29 +63,29 @@
 
   watch(
     fromRevision: number,
-    changed: (delta: TableDelta) => void,
-    ended: (error: HallholdError) => void,
+    onChange: (delta: TableDelta) => void,
+    onEnd: (error: HallholdError) => void,
   ): WatchHandle {
     const abort = new AbortController();
-    void this.runWatch(fromRevision, changed, abort.signal).then((error) => {
+    void this.runWatch(fromRevision, onChange, abort.signal).then((error) => {
       if (!abort.signal.aborted) {
-        ended(error);
+        onEnd(error);
       }
     });
     return { close: () => abort.abort() };
   }
 
-  read(service: string, answer: ResultCallback<StoredTable | undefined>): void {
-    void this.readTable(service).then(answer);
+  read(service: string, callback: ResultCallback<StoredTable | undefined>): void {
+    void this.readTable(service).then(callback);
   }
 
-  write(write: TableWrite, expectedRevision: number, answer: ResultCallback<number>): void {
-    void this.writeTable(write, expectedRevision).then(answer);
+  write(write: TableWrite, expectedRevision: number, callback: ResultCallback<number>): void {
+    void this.writeTable(write, expectedRevision).then(callback);
   }
 
-  machines(answer: ResultCallback<readonly MachineRecord[]>): void {
+  listMachines(callback: ResultCallback<readonly MachineRecord[]>): void {
     void this.fetchChecked('GET', NODES_PATH, nodeList).then((result) =>
-      answer(result.map(toMachines)),
+      callback(result.map(convertToMachines)),
     );
   }
 
@@ -96,14 +96,14 @@
   private async readTable(
     service: string,
   ): Promise<Result<StoredTable | undefined, HallholdError>> {
-    const answered = await this.call('GET', `${TABLES_PATH}/${service}`);
-    if (answered.err) {
-      return answered;
+    const response = await this.call('GET', `${TABLES_PATH}/${service}`);
+    if (response.err) {
+      return response;
     }
-    if (answered.val.status === STATUS_NOT_FOUND) {
+    if (response.val.status === STATUS_NOT_FOUND) {
       return new Ok(undefined);
     }
-    return check(answered.val, tableResource).map(toStoredTable);
+    return checkResponse(response.val, tableResource).map(convertToStoredTable);
   }
 
   /** Reads first: the object's earlier write ids must be carried on. */
@@ -119,33 +119,33 @@
     if (revision !== expectedRevision) {
       return failure(ResultCodes.storeConflict, `revision is ${revision}, not ${expectedRevision}`);
     }
-    const resource = toResource(write, expectedRevision, current.val?.recentWriteIds ?? []);
-    const answered =
+    const resource = createTableResource(write, expectedRevision, current.val?.recentWriteIds ?? []);
+    const response =
       expectedRevision === 0
         ? await this.call('POST', TABLES_PATH, resource)
         : await this.call('PUT', `${TABLES_PATH}/${write.service}`, resource);
-    return answered.andThen((value) =>
-      check(value, tableResource).map((stored) => stored.metadata.resourceVersion),
+    return response.andThen((value) =>
+      checkResponse(value, tableResource).map((stored) => stored.metadata.resourceVersion),
     );
   }
 
   private async runWatch(
     fromRevision: number,
-    changed: (delta: TableDelta) => void,
+    onChange: (delta: TableDelta) => void,
     signal: AbortSignal,
   ): Promise<HallholdError> {
     try {
       const path = `${TABLES_PATH}?watch=1&resourceVersion=${fromRevision}`;
       const response = await request(this.url + path, { dispatcher: this.agent, signal });
-      if (response.statusCode >= STATUS_ERROR) {
+      if (response.statusCode >= MINIMUM_ERROR_STATUS) {
         await response.body.dump();
-        return statusError(response.statusCode);
+        return createStatusError(response.statusCode);
       }
       let revision = fromRevision;
       for await (const line of createInterface({ input: response.body })) {
         const delta = parseWatchLine(line, revision);
         revision = delta.throughRevision;
-        changed(delta);
+        onChange(delta);
       }
       return new HallholdError(ResultCodes.storeUnavailable, 'the watch ended');
     } catch (error) {
@@ -160,20 +160,20 @@
     path: string,
     schema: z.ZodType<T>,
   ): Promise<Result<T, HallholdError>> {
-    const answered = await this.call(method, path);
-    return answered.andThen((value) => check(value, schema));
+    const response = await this.call(method, path);
+    return response.andThen((value) => checkResponse(value, schema));
   }
 
   private async call(
     method: Dispatcher.HttpMethod,
     path: string,
     body?: unknown,
-  ): Promise<Result<HttpAnswer, HallholdError>> {
+  ): Promise<Result<HttpResponse, HallholdError>> {
     try {
       const response = await request(this.url + path, {
         method,
         dispatcher: this.agent,
-        signal: AbortSignal.timeout(CALL_TIMEOUT),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         ...(body === undefined
           ? {}
           : { body: JSON.stringify(body), headers: { 'content-type': 'application/json' } }),
@@ -185,17 +185,17 @@
   }
 }
 
-function check<T>(answer: HttpAnswer, schema: z.ZodType<T>): Result<T, HallholdError> {
-  if (answer.status >= STATUS_ERROR) {
-    return new Err(statusError(answer.status));
+function checkResponse<T>(response: HttpResponse, schema: z.ZodType<T>): Result<T, HallholdError> {
+  if (response.status >= MINIMUM_ERROR_STATUS) {
+    return new Err(createStatusError(response.status));
   }
-  const checked = schema.safeParse(answer.body);
+  const checked = schema.safeParse(response.body);
   return checked.success
     ? new Ok(checked.data)
     : failure(ResultCodes.storeAnswerInvalid, checked.error.message);
 }
 
-function statusError(status: number): HallholdError {
+function createStatusError(status: number): HallholdError {
   if (status === STATUS_CONFLICT) {
     return new HallholdError(ResultCodes.storeConflict, 'the object has changed');
   }
@@ -212,6 +212,6 @@
   }
   const resource = tableResource.parse(event.data.object);
   const throughRevision = resource.metadata.resourceVersion;
-  const tables = event.data.type === 'BOOKMARK' ? [] : [toTable(resource)];
+  const tables = event.data.type === 'BOOKMARK' ? [] : [convertToTable(resource)];
   return { fromRevision, throughRevision, tables };
 }
--- a/src/table-store/store-port.ts
+++ b/src/table-store/store-port.ts
@@ -39,23 +39,23 @@
 /** Calls on the store. Each answers once; a lost answer is error 1201 after a time-out. */
 export interface StorePort {
   /** All tables, complete through one revision. */
-  list(answer: ResultCallback<TableDelta>): void;
+  list(callback: ResultCallback<TableDelta>): void;
   /** Changes after a revision, in order; `ended` is called once when the watch breaks. */
   watch(
     fromRevision: number,
-    changed: (delta: TableDelta) => void,
-    ended: (error: HallholdError) => void,
+    onChange: (delta: TableDelta) => void,
+    onEnd: (error: HallholdError) => void,
   ): WatchHandle;
   /** One table; undefined when the service has none. */
-  read(service: string, answer: ResultCallback<StoredTable | undefined>): void;
+  read(service: string, callback: ResultCallback<StoredTable | undefined>): void;
   /**
    * Writes a table if its revision is still `expectedRevision` (0: it must not exist).
    * Answers the new revision, or error 1202 on a conflict.
    */
-  write(write: TableWrite, expectedRevision: number, answer: ResultCallback<number>): void;
+  write(write: TableWrite, expectedRevision: number, callback: ResultCallback<number>): void;
   /** The machine list. */
-  machines(answer: ResultCallback<readonly MachineRecord[]>): void;
+  listMachines(callback: ResultCallback<readonly MachineRecord[]>): void;
 }
 
 /** Write ids that a stored table keeps, so that a writer can recognise its own write later. */
-export const RECENT_WRITE_IDS = 16;
+export const MAXIMUM_RECENT_WRITE_IDS = 16;
--- a/src/table-store/store-resources.ts
+++ b/src/table-store/store-resources.ts
@@ -6,7 +6,7 @@
 import { formatEndpoint, parseEndpoint } from '../core/endpoint';
 import type { ServiceTable, TableRow } from '../core/table';
 import type { MachineRecord, StoredTable, TableWrite } from './store-port';
-import { RECENT_WRITE_IDS } from './store-port';
+import { MAXIMUM_RECENT_WRITE_IDS } from './store-port';
 
 /** Path of the table collection. */
 export const TABLES_PATH = '/apis/hallhold.io/v1/tables';
@@ -61,34 +61,34 @@
 type TableResource = z.infer<typeof tableResource>;
 
 /** The write ids of an object, newest first. */
-function writeIdsOf(resource: TableResource): string[] {
+function getWriteIds(resource: TableResource): string[] {
   const joined = resource.metadata.annotations[WRITE_IDS_ANNOTATION] ?? '';
   return joined.split(',').filter((id) => id !== '');
 }
 
 /** A stored object as a table. */
-export function toTable(resource: TableResource): ServiceTable {
+export function convertToTable(resource: TableResource): ServiceTable {
   const { name, resourceVersion: revision } = resource.metadata;
   return {
     service: name,
     revision,
-    writeId: writeIdsOf(resource)[0] ?? '',
+    writeId: getWriteIds(resource)[0] ?? '',
     rows: resource.spec.rows,
   };
 }
 
 /** A stored object with its write ids. */
-export function toStoredTable(resource: TableResource): StoredTable {
-  return { table: toTable(resource), recentWriteIds: writeIdsOf(resource) };
+export function convertToStoredTable(resource: TableResource): StoredTable {
+  return { table: convertToTable(resource), recentWriteIds: getWriteIds(resource) };
 }
 
 /** The object to send for a write. */
-export function toResource(
+export function createTableResource(
   write: TableWrite,
   expectedRevision: number,
   earlierWriteIds: readonly string[],
 ): unknown {
-  const writeIds = [write.writeId, ...earlierWriteIds].slice(0, RECENT_WRITE_IDS);
+  const writeIds = [write.writeId, ...earlierWriteIds].slice(0, MAXIMUM_RECENT_WRITE_IDS);
   const version = expectedRevision > 0 ? { resourceVersion: String(expectedRevision) } : {};
   return {
     apiVersion: 'hallhold.io/v1',
@@ -98,17 +98,17 @@
       ...version,
       annotations: { [WRITE_IDS_ANNOTATION]: writeIds.join(',') },
     },
-    spec: { rows: write.rows.map(rowResource) },
+    spec: { rows: write.rows.map(createRowResource) },
   };
 }
 
 /** The machine list's entries. */
-export function toMachines(list: z.infer<typeof nodeList>): MachineRecord[] {
+export function convertToMachines(list: z.infer<typeof nodeList>): MachineRecord[] {
   return list.items.flatMap((node) =>
     node.status.addresses.map(({ address }) => ({ address, leaving: node.spec.unschedulable })),
   );
 }
 
-function rowResource(row: TableRow): unknown {
+function createRowResource(row: TableRow): unknown {
   return { ...row, address: formatEndpoint(row.address) };
 }
--- a/src/wire/field-codecs.ts
+++ b/src/wire/field-codecs.ts
@@ -13,19 +13,19 @@
   readonly unpack: (value: unknown) => unknown;
 }
 
-const MAXIMUM_TEXT = 255;
-const MAXIMUM_LIST = 20_000;
+const MAXIMUM_TEXT_LENGTH = 255;
+const MAXIMUM_LIST_LENGTH = 20_000;
 
 /** A short text. Throws {@link FieldError} for anything else. */
-export function text(value: unknown): string {
-  if (typeof value !== 'string' || value.length > MAXIMUM_TEXT) {
+export function unpackText(value: unknown): string {
+  if (typeof value !== 'string' || value.length > MAXIMUM_TEXT_LENGTH) {
     throw new FieldError('not a short text');
   }
   return value;
 }
 
 /** A non-negative safe integer. Throws {@link FieldError} for anything else. */
-export function integer(value: unknown): number {
+export function unpackInteger(value: unknown): number {
   if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 0) {
     throw new FieldError('not a non-negative integer');
   }
@@ -33,7 +33,7 @@
 }
 
 /** A finite number of 0 or more. Throws {@link FieldError} for anything else. */
-export function positive(value: unknown): number {
+export function unpackNonNegativeNumber(value: unknown): number {
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) {
     throw new FieldError('not a non-negative number');
   }
@@ -41,7 +41,7 @@
 }
 
 /** Bytes. Throws {@link FieldError} for anything else. */
-export function binary(value: unknown): Buffer {
+export function unpackBinary(value: unknown): Buffer {
   if (!Buffer.isBuffer(value)) {
     throw new FieldError('not binary');
   }
@@ -49,7 +49,7 @@
 }
 
 /** One of the listed numbers. Throws {@link FieldError} for anything else. */
-export function oneOf(...allowed: readonly number[]): (value: unknown) => number {
+export function createEnumUnpacker(...allowed: readonly number[]): (value: unknown) => number {
   return (value) => {
     if (typeof value !== 'number' || !allowed.includes(value)) {
       throw new FieldError('not an allowed state');
@@ -59,17 +59,17 @@
 }
 
 /** A bounded list whose items pass a check. Throws {@link FieldError} for anything else. */
-export function listOf<T>(item: (value: unknown) => T): (value: unknown) => T[] {
+export function createListUnpacker<T>(unpackItem: (value: unknown) => T): (value: unknown) => T[] {
   return (value) => {
-    if (!Array.isArray(value) || value.length > MAXIMUM_LIST) {
+    if (!Array.isArray(value) || value.length > MAXIMUM_LIST_LENGTH) {
       throw new FieldError('not a list');
     }
-    return value.map(item);
+    return value.map(unpackItem);
   };
 }
 
 /** A list of an exact length, items unchecked. Throws {@link FieldError} for anything else. */
-export function tuple(value: unknown, length: number): unknown[] {
+export function unpackTuple(value: unknown, length: number): unknown[] {
   if (!Array.isArray(value) || value.length !== length) {
     throw new FieldError('not a tuple');
   }
--- a/src/wire/frame-authenticator.ts
+++ b/src/wire/frame-authenticator.ts
@@ -12,7 +12,7 @@
 const DIGEST_BYTES = 32;
 const INNER_PAD = 0x36;
 const OUTER_PAD = 0x5c;
-const LARGEST_FRAME = 65_536;
+const MAXIMUM_FRAME_BYTES = 65_536;
 
 /** Bytes of a tag. */
 export const TAG_BYTES = 16;
@@ -20,33 +20,33 @@
 /** Computes and checks tags under one key. */
 export class FrameAuthenticator {
   /** The inner pad, followed by room for the message. */
-  private readonly inner = Buffer.alloc(BLOCK_BYTES + LARGEST_FRAME);
+  private readonly innerBlock = Buffer.alloc(BLOCK_BYTES + MAXIMUM_FRAME_BYTES);
   /** The outer pad, followed by room for the inner digest. */
-  private readonly outer = Buffer.alloc(BLOCK_BYTES + DIGEST_BYTES);
-  private readonly expected = Buffer.alloc(TAG_BYTES);
+  private readonly outerBlock = Buffer.alloc(BLOCK_BYTES + DIGEST_BYTES);
+  private readonly expectedTag = Buffer.alloc(TAG_BYTES);
 
   /** @param secret of any length; one longer than a block is hashed first */
   constructor(secret: Buffer) {
     const key = secret.length > BLOCK_BYTES ? hash(ALGORITHM, secret, 'buffer') : secret;
-    this.inner.fill(INNER_PAD, 0, BLOCK_BYTES);
-    this.outer.fill(OUTER_PAD, 0, BLOCK_BYTES);
+    this.innerBlock.fill(INNER_PAD, 0, BLOCK_BYTES);
+    this.outerBlock.fill(OUTER_PAD, 0, BLOCK_BYTES);
     key.forEach((byte, index) => {
-      this.inner[index]! ^= byte;
-      this.outer[index]! ^= byte;
+      this.innerBlock[index]! ^= byte;
+      this.outerBlock[index]! ^= byte;
     });
   }
 
   /** Writes the tag of `body` into `target` at `offset`. */
   writeTag(body: Uint8Array, target: Buffer, offset: number): void {
-    this.inner.set(body, BLOCK_BYTES);
-    const message = this.inner.subarray(0, BLOCK_BYTES + body.length);
-    this.outer.write(hash(ALGORITHM, message, 'binary'), BLOCK_BYTES, DIGEST_BYTES, 'latin1');
-    target.write(hash(ALGORITHM, this.outer, 'binary'), offset, TAG_BYTES, 'latin1');
+    this.innerBlock.set(body, BLOCK_BYTES);
+    const message = this.innerBlock.subarray(0, BLOCK_BYTES + body.length);
+    this.outerBlock.write(hash(ALGORITHM, message, 'binary'), BLOCK_BYTES, DIGEST_BYTES, 'latin1');
+    target.write(hash(ALGORITHM, this.outerBlock, 'binary'), offset, TAG_BYTES, 'latin1');
   }
 
   /** Whether `tag` is that of `body`. */
-  accepts(body: Uint8Array, tag: Buffer): boolean {
-    this.writeTag(body, this.expected, 0);
-    return timingSafeEqual(this.expected, tag);
+  verifyTag(body: Uint8Array, tag: Buffer): boolean {
+    this.writeTag(body, this.expectedTag, 0);
+    return timingSafeEqual(this.expectedTag, tag);
   }
 }
--- a/src/wire/frame-codec.ts
+++ b/src/wire/frame-codec.ts
@@ -13,7 +13,7 @@
 import { MESSAGE_FIELDS } from './message-schema';
 import type { Message } from './messages';
 
-const VERSION = 1;
+const FRAME_VERSION = 1;
 const TAG_OFFSET = 2;
 /** Bytes before the body of a frame. */
 export const BODY_OFFSET = TAG_OFFSET + TAG_BYTES;
@@ -32,7 +32,7 @@
 /** Signs with the first key, accepts frames under any. */
 export class FrameCodec<M extends { readonly type: number } = Message> {
   private authenticators = new Map<number, FrameAuthenticator>();
-  private current: readonly ClusterKey[] = [];
+  private activeKeys: readonly ClusterKey[] = [];
 
   /**
    * @param keys one, or two while a key is being replaced; must not be empty
@@ -47,39 +47,39 @@
 
   /** The keys in use; the first one signs. */
   get keys(): readonly ClusterKey[] {
-    return this.current;
+    return this.activeKeys;
   }
 
   /** Takes other keys from now on. */
   replaceKeys(keys: readonly ClusterKey[]): void {
-    this.current = keys;
+    this.activeKeys = keys;
     this.authenticators = new Map(keys.map((key) => [key.id, new FrameAuthenticator(key.secret)]));
   }
 
   /** Encodes a message as one datagram. */
   encode(message: M): Buffer {
-    const body = serialize(toDocument(message, this.schema.get(message.type)!));
+    const body = serialize(encodeDocument(message, this.schema.get(message.type)!));
     const frame = Buffer.allocUnsafe(BODY_OFFSET + body.length);
     frame.set(body, BODY_OFFSET);
-    this.seal(frame, VERSION);
+    this.sealFrame(frame, FRAME_VERSION);
     return frame;
   }
 
   /** Authenticates and checks a received datagram. Errors 1301 to 1303. */
   decode(frame: Buffer): Result<M, HallholdError> {
-    return this.open(frame, VERSION).andThen((body) => fromBody<M>(body, this.schema));
+    return this.openFrame(frame, FRAME_VERSION).andThen((body) => decodeBody<M>(body, this.schema));
   }
 
   /** Writes version, key id and tag before the body of a frame. */
-  protected seal(frame: Buffer, version: number): void {
-    const { id } = this.current[0]!;
+  protected sealFrame(frame: Buffer, version: number): void {
+    const { id } = this.activeKeys[0]!;
     frame[0] = version;
     frame[1] = id;
     this.authenticators.get(id)!.writeTag(frame.subarray(BODY_OFFSET), frame, TAG_OFFSET);
   }
 
   /** The body of an authentic frame of a version. Errors 1301 and 1302. */
-  protected open(frame: Buffer, version: number): Result<Buffer, HallholdError> {
+  protected openFrame(frame: Buffer, version: number): Result<Buffer, HallholdError> {
     if (frame.length <= BODY_OFFSET) {
       return failure(ResultCodes.frameTooShort, `${frame.length} bytes`);
     }
@@ -88,14 +88,14 @@
     if (!key) {
       return failure(ResultCodes.frameNotAuthentic, 'unknown version or key id');
     }
-    if (!key.accepts(body, frame.subarray(TAG_OFFSET, BODY_OFFSET))) {
+    if (!key.verifyTag(body, frame.subarray(TAG_OFFSET, BODY_OFFSET))) {
       return failure(ResultCodes.frameNotAuthentic, 'the authentication tag is wrong');
     }
     return new Ok(body);
   }
 }
 
-function toDocument(
+function encodeDocument(
   message: { readonly type: number },
   fields: readonly FieldCodec[],
 ): Record<string, unknown> {
@@ -108,7 +108,7 @@
   return document;
 }
 
-function fromBody<M>(body: Buffer, schema: MessageSchema): Result<M, HallholdError> {
+function decodeBody<M>(body: Buffer, schema: MessageSchema): Result<M, HallholdError> {
   try {
     const document = deserialize(body, { promoteBuffers: true });
     const type: unknown = document[TYPE_KEY];
@@ -116,13 +116,13 @@
     if (!fields) {
       return failure(ResultCodes.frameMalformed, 'unknown message type');
     }
-    return new Ok(toMessage<M>(type as number, fields, document));
+    return new Ok(decodeMessage<M>(type as number, fields, document));
   } catch (error) {
     return failure(ResultCodes.frameMalformed, messageOf(error));
   }
 }
 
-function toMessage<M>(
+function decodeMessage<M>(
   type: number,
   fields: readonly FieldCodec[],
   document: Record<string, unknown>,
--- a/src/wire/message-link.ts
+++ b/src/wire/message-link.ts
@@ -6,7 +6,7 @@
 
 /** Sends and receives the frames of one node in one protocol. */
 export class MessageLink<M extends { readonly type: number }> {
-  private rejected = 0;
+  private rejectedFrames = 0;
 
   constructor(
     readonly codec: FrameCodec<M>,
@@ -16,7 +16,7 @@
 
   /** Frames received that were not authentic or malformed. */
   get framesRejected(): number {
-    return this.rejected;
+    return this.rejectedFrames;
   }
 
   /** Sends a message; returns the bytes of its frame. */
@@ -39,9 +39,9 @@
     if (decoded.ok) {
       return decoded.val;
     }
-    this.rejected++;
-    const malformed = decoded.val.resultCode === ResultCodes.frameMalformed;
-    const event = malformed ? Events.frameMalformed : Events.frameNotAuthentic;
+    this.rejectedFrames++;
+    const isMalformed = decoded.val.resultCode === ResultCodes.frameMalformed;
+    const event = isMalformed ? Events.frameMalformed : Events.frameNotAuthentic;
     this.environment.report(event, { reason: decoded.val.message });
     return undefined;
   }
--- a/src/wire/message-schema.ts
+++ b/src/wire/message-schema.ts
@@ -6,41 +6,41 @@
 import { BUCKET_SET_BYTES } from '../core/bucket-set';
 import type { ServiceTable, TableRow } from '../core/table';
 import {
-  binary,
+  unpackBinary,
   FieldError,
-  integer,
-  listOf,
-  oneOf,
-  positive,
-  text,
-  tuple,
+  unpackInteger,
+  createListUnpacker,
+  createEnumUnpacker,
+  unpackNonNegativeNumber,
+  unpackText,
+  unpackTuple,
   type FieldCodec,
 } from './field-codecs';
-import { MessageType, type MemberRecord, type TargetNotice, type TargetRumour } from './messages';
+import { MessageType, type MemberRecord, type TargetNotice, type ServiceTargetNotice } from './messages';
 
-function bitmap(value: unknown): Buffer {
-  const bytes = binary(value);
+function unpackBucketBitmap(value: unknown): Buffer {
+  const bytes = unpackBinary(value);
   if (bytes.length !== BUCKET_SET_BYTES) {
     throw new FieldError('not a bucket bitmap');
   }
   return bytes;
 }
 
-const agentState = oneOf(1, 2, 3);
-const memberState = oneOf(1, 2, 3, 4);
+const unpackAgentState = createEnumUnpacker(1, 2, 3);
+const unpackMemberState = createEnumUnpacker(1, 2, 3, 4);
 
 function packRow(row: TableRow): unknown[] {
   return [row.target, row.address, row.share, row.slots, row.connections];
 }
 
 function unpackRow(value: unknown): TableRow {
-  const [target, address, share, slots, connections] = tuple(value, 5);
+  const [target, address, share, slots, connections] = unpackTuple(value, 5);
   return {
-    target: text(target),
-    address: integer(address),
-    share: positive(share),
-    slots: integer(slots),
-    connections: integer(connections),
+    target: unpackText(target),
+    address: unpackInteger(address),
+    share: unpackNonNegativeNumber(share),
+    slots: unpackInteger(slots),
+    connections: unpackInteger(connections),
   };
 }
 
@@ -54,12 +54,12 @@
 }
 
 function unpackTable(value: unknown): ServiceTable {
-  const [service, revision, writeId, rows] = tuple(value, 4);
+  const [service, revision, writeId, rows] = unpackTuple(value, 4);
   return {
-    service: text(service),
-    revision: integer(revision),
-    writeId: text(writeId),
-    rows: listOf(unpackRow)(rows),
+    service: unpackText(service),
+    revision: unpackInteger(revision),
+    writeId: unpackText(writeId),
+    rows: createListUnpacker(unpackRow)(rows),
   };
 }
 
@@ -68,13 +68,13 @@
 }
 
 function unpackMember(value: unknown): MemberRecord {
-  const [name, endpoint, zone, incarnation, state] = tuple(value, 5);
+  const [name, endpoint, zone, incarnation, state] = unpackTuple(value, 5);
   return {
-    name: text(name),
-    endpoint: integer(endpoint),
-    zone: text(zone),
-    incarnation: integer(incarnation),
-    state: memberState(state) as MemberRecord['state'],
+    name: unpackText(name),
+    endpoint: unpackInteger(endpoint),
+    zone: unpackText(zone),
+    incarnation: unpackInteger(incarnation),
+    state: unpackMemberState(state) as MemberRecord['state'],
   };
 }
 
@@ -83,22 +83,22 @@
 }
 
 function unpackNotice(value: unknown): TargetNotice {
-  const [target, incarnation, stateSequence, state] = tuple(value, 4);
+  const [target, incarnation, stateSequence, state] = unpackTuple(value, 4);
   return {
-    target: text(target),
-    incarnation: integer(incarnation),
-    stateSequence: integer(stateSequence),
-    state: agentState(state) as TargetNotice['state'],
+    target: unpackText(target),
+    incarnation: unpackInteger(incarnation),
+    stateSequence: unpackInteger(stateSequence),
+    state: unpackAgentState(state) as TargetNotice['state'],
   };
 }
 
-function packRumour(rumour: TargetRumour): unknown[] {
-  return [rumour.service, ...packNotice(rumour)];
+function packServiceNotice(notice: ServiceTargetNotice): unknown[] {
+  return [notice.service, ...packNotice(notice)];
 }
 
-function unpackRumour(value: unknown): TargetRumour {
-  const [service, ...notice] = tuple(value, 5);
-  return { service: text(service), ...unpackNotice(notice) };
+function unpackServiceNotice(value: unknown): ServiceTargetNotice {
+  const [service, ...notice] = unpackTuple(value, 5);
+  return { service: unpackText(service), ...unpackNotice(notice) };
 }
 
 type Unpack = (value: unknown) => unknown;
@@ -107,29 +107,29 @@
   return { property, key, unpack, ...(pack ? { pack: pack as (value: never) => unknown } : {}) };
 }
 
-function packList<T>(item: (value: T) => unknown): (values: readonly T[]) => unknown[] {
-  return (values) => values.map(item);
+function createListPacker<T>(packItem: (value: T) => unknown): (values: readonly T[]) => unknown[] {
+  return (values) => values.map(packItem);
 }
 
-const service = field('service', 's', text);
-const target = field('target', 'n', text);
-const caller = field('caller', 'c', integer);
-const payload = field('payload', 'p', binary);
-const incarnation = field('incarnation', 'i', integer);
-const tableRevision = field('tableRevision', 'r', integer);
-const sequence = field('sequence', 'q', integer);
-const haveThrough = field('haveThrough', 'h', integer);
+const service = field('service', 's', unpackText);
+const target = field('target', 'n', unpackText);
+const caller = field('caller', 'c', unpackInteger);
+const payload = field('payload', 'p', unpackBinary);
+const incarnation = field('incarnation', 'i', unpackInteger);
+const tableRevision = field('tableRevision', 'r', unpackInteger);
+const sequence = field('sequence', 'q', unpackInteger);
+const haveThrough = field('haveThrough', 'h', unpackInteger);
 const sender = field('sender', 'm', unpackMember, packMember);
-const members = field('members', 'l', listOf(unpackMember), packList(packMember));
-const targets = field('targets', 'g', listOf(unpackRumour), packList(packRumour));
-const tables = field('tables', 'b', listOf(unpackTable), packTables);
-const state = field('state', 'a', agentState);
-const stateSequence = field('stateSequence', 'j', integer);
-const notices = field('notices', 'o', listOf(unpackNotice), packList(packNotice));
-const claimId = field('claimId', 'd', integer);
-const passId = field('passId', 'd', integer);
-const beyond = field('beyond', 'b', integer);
-const gossip = [sequence, sender, haveThrough, beyond, members, targets];
+const members = field('members', 'l', createListUnpacker(unpackMember), createListPacker(packMember));
+const targets = field('targets', 'g', createListUnpacker(unpackServiceNotice), createListPacker(packServiceNotice));
+const tables = field('tables', 'b', createListUnpacker(unpackTable), packTables);
+const state = field('state', 'a', unpackAgentState);
+const stateSequence = field('stateSequence', 'j', unpackInteger);
+const notices = field('notices', 'o', createListUnpacker(unpackNotice), createListPacker(packNotice));
+const claimId = field('claimId', 'd', unpackInteger);
+const passId = field('passId', 'd', unpackInteger);
+const beyond = field('beyond', 'b', unpackInteger);
+const gossipFields = [sequence, sender, haveThrough, beyond, members, targets];
 
 /** The fields of each message type. */
 export const MESSAGE_FIELDS: ReadonlyMap<number, readonly FieldCodec[]> = new Map<
@@ -142,14 +142,14 @@
       service,
       target,
       caller,
-      field('balancer', 'b', integer),
+      field('balancer', 'b', unpackInteger),
       tableRevision,
-      field('hops', 'h', integer),
-      field('placedBy', 'o', text),
+      field('hops', 'h', unpackInteger),
+      field('placedBy', 'o', unpackText),
       payload,
     ],
   ],
-  [MessageType.reply, [service, target, field('hosted', 'h', oneOf(0, 1)), caller, payload]],
+  [MessageType.reply, [service, target, field('hosted', 'h', createEnumUnpacker(0, 1)), caller, payload]],
   [
     MessageType.heartbeat,
     [
@@ -157,50 +157,50 @@
       target,
       incarnation,
       sequence,
-      field('echo', 'e', integer),
-      field('echoIncarnation', 'f', integer),
+      field('echo', 'e', unpackInteger),
+      field('echoIncarnation', 'f', unpackInteger),
       state,
       stateSequence,
       tableRevision,
-      field('flows', 'w', integer),
-      field('freeSlots', 'k', integer),
-      field('load', 'l', integer),
-      field('age', 'g', integer),
-      field('unheard', 'u', listOf(text)),
-      field('closed', 'x', binary),
+      field('flows', 'w', unpackInteger),
+      field('freeSlots', 'k', unpackInteger),
+      field('load', 'l', unpackInteger),
+      field('age', 'g', unpackInteger),
+      field('unheard', 'u', createListUnpacker(unpackText)),
+      field('closed', 'x', unpackBinary),
     ],
   ],
-  [MessageType.claim, [service, target, claimId, tableRevision, field('buckets', 'b', bitmap)]],
+  [MessageType.claim, [service, target, claimId, tableRevision, field('buckets', 'b', unpackBucketBitmap)]],
   [
     MessageType.claimAnswer,
     [
       service,
       target,
       claimId,
-      field('refused', 'r', bitmap),
-      field('part', 'p', integer),
-      field('parts', 'c', integer),
-      field('hosts', 'h', listOf(text)),
-      field('entries', 'e', binary),
+      field('refused', 'r', unpackBucketBitmap),
+      field('part', 'p', unpackInteger),
+      field('parts', 'c', unpackInteger),
+      field('hosts', 'h', createListUnpacker(unpackText)),
+      field('entries', 'e', unpackBinary),
     ],
   ],
   [MessageType.hello, [service, target, incarnation, state, stateSequence, tableRevision, notices]],
-  [MessageType.helloAnswer, [service, tables, field('balancers', 'l', listOf(integer)), notices]],
+  [MessageType.helloAnswer, [service, tables, field('balancers', 'l', createListUnpacker(unpackInteger)), notices]],
   [MessageType.tableRequest, [haveThrough]],
   [
     MessageType.tableDelta,
     [
-      field('fromRevision', 'f', integer),
-      field('throughRevision', 'u', integer),
+      field('fromRevision', 'f', unpackInteger),
+      field('throughRevision', 'u', unpackInteger),
       tables,
-      field('pushed', 'p', oneOf(0, 1)),
-      field('confirmId', 'd', integer),
+      field('pushed', 'p', createEnumUnpacker(0, 1)),
+      field('confirmId', 'd', unpackInteger),
     ],
   ],
-  [MessageType.tableConfirm, [field('confirmId', 'd', integer), field('name', 'n', text)]],
-  [MessageType.ping, gossip],
-  [MessageType.pingAnswer, gossip],
-  [MessageType.pingRequest, [...gossip, field('subject', 'j', integer)]],
+  [MessageType.tableConfirm, [field('confirmId', 'd', unpackInteger), field('name', 'n', unpackText)]],
+  [MessageType.ping, gossipFields],
+  [MessageType.pingAnswer, gossipFields],
+  [MessageType.pingRequest, [...gossipFields, field('subject', 'j', unpackInteger)]],
   [MessageType.join, [sender, haveThrough]],
   [MessageType.memberList, [members, targets]],
   [
@@ -208,11 +208,11 @@
     [
       service,
       target,
-      field('targetIncarnation', 'j', integer),
-      field('origin', 'o', text),
-      field('originIncarnation', 'i', integer),
+      field('targetIncarnation', 'j', unpackInteger),
+      field('origin', 'o', unpackText),
+      field('originIncarnation', 'i', unpackInteger),
       passId,
-      field('deadline', 'e', integer),
+      field('deadline', 'e', unpackInteger),
       payload,
     ],
   ],
@@ -222,8 +222,8 @@
       service,
       target,
       passId,
-      field('outcome', 'a', oneOf(1, 2, 3)),
-      field('freeSlots', 'k', integer),
+      field('outcome', 'a', createEnumUnpacker(1, 2, 3)),
+      field('freeSlots', 'k', unpackInteger),
       payload,
     ],
   ],
@@ -232,16 +232,16 @@
     [
       service,
       target,
-      field('queryId', 'd', integer),
-      field('issuerIncarnation', 'i', integer),
-      field('serial', 'q', integer),
-      field('expiresAt', 'e', integer),
+      field('queryId', 'd', unpackInteger),
+      field('issuerIncarnation', 'i', unpackInteger),
+      field('serial', 'q', unpackInteger),
+      field('expiresAt', 'e', unpackInteger),
     ],
   ],
   [
     MessageType.permitAnswer,
-    [service, target, field('queryId', 'd', integer), field('burnt', 'a', oneOf(0, 1))],
+    [service, target, field('queryId', 'd', unpackInteger), field('burnt', 'a', createEnumUnpacker(0, 1))],
   ],
   [MessageType.drainNotice, [service, target]],
-  [MessageType.flowEviction, [service, target, field('callers', 'x', binary)]],
+  [MessageType.flowEviction, [service, target, field('callers', 'x', unpackBinary)]],
 ]);
--- a/src/wire/messages.ts
+++ b/src/wire/messages.ts
@@ -187,7 +187,7 @@
 }
 
 /** A change of an agent's state, spread among balancers. */
-export interface TargetRumour extends TargetNotice {
+export interface ServiceTargetNotice extends TargetNotice {
   readonly service: string;
 }
 
@@ -200,7 +200,7 @@
   /** Digest of the tables it has beyond that; 0 for none. */
   readonly beyond: number;
   readonly members: readonly MemberRecord[];
-  readonly targets: readonly TargetRumour[];
+  readonly targets: readonly ServiceTargetNotice[];
 }
 
 /** A probe. */
@@ -230,7 +230,7 @@
 export interface MemberListMessage {
   readonly type: typeof MessageType.memberList;
   readonly members: readonly MemberRecord[];
-  readonly targets: readonly TargetRumour[];
+  readonly targets: readonly ServiceTargetNotice[];
 }
 
 /** A request that its flow's host passes to a target with a free slot. */
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -58,7 +58,7 @@
 ];
 
 /** A frame with an arbitrary body under the right key. */
-function signed(body: Uint8Array): Buffer {
+function signBody(body: Uint8Array): Buffer {
   const tag = createHmac('sha256', KEY.secret).update(body).digest().subarray(0, 16);
   return Buffer.concat([Buffer.from([1, KEY.id]), tag, body]);
 }
@@ -132,7 +132,7 @@
   let refused = 0;
   fc.assert(
     fc.property(documents, (document) => {
-      const decoded = codec.decode(signed(serialize(document)));
+      const decoded = codec.decode(signBody(serialize(document)));
       refused += decoded.err ? 1 : 0;
       return decoded.ok || decoded.val.resultCode.name === 'frame-malformed';
     }),
--- a/test/learnt-hosts.test.ts
+++ b/test/flow-host-cache.test.ts
@@ -1,12 +1,12 @@
 /** The bound on remembered flows holds over all services together. */
 import test from 'ava';
-import { LearntBudget, LearntHosts } from '../src/balancer/learnt-hosts';
+import { FlowCacheBudget, FlowHostCache } from '../src/balancer/flow-host-cache';
 
 const host = { target: 'target-1', endpoint: 1 };
 
 test('all services together keep at most the capacity, and what is used stays', (t) => {
-  const budget = new LearntBudget(1_000);
-  const services = Array.from({ length: 10 }, () => new LearntHosts(budget));
+  const budget = new FlowCacheBudget(1_000);
+  const services = Array.from({ length: 10 }, () => new FlowHostCache(budget));
   services[0]!.set(7, host);
   for (let caller = 0; caller < 20_000; caller++) {
     services[caller % 10]!.set(1_000 + caller, host);
--- a/test/hard-cases.test.ts
+++ b/test/hard-cases.test.ts
@@ -150,7 +150,7 @@
   const rows = old.rows.filter((row) => row.target !== 'target-1');
   const table = { ...old, rows, revision: old.revision + 100, writeId: 'split' };
   const delta = { fromRevision: table.revision, throughRevision: table.revision, tables: [table] };
-  fresh!.node.distribution.take(delta, undefined);
+  fresh!.node.distribution.applyAndPush(delta, undefined);
   for (let index = 0; index < 300; index++) {
     const caller = packEndpoint(`10.7.0.${index % 250}`, 1_000 + index);
     fresh!.node.receiveDatagram('beacon', caller, Buffer.from(`${index}/1`));
@@ -279,7 +279,7 @@
   world.store.faults.lostAnswers = 0;
   world.runUntil(world.clock.now + 10_000);
   t.is(outcomes.length, 1);
-  t.is(acceptor.node.acceptance.status('lost-answer')?.state, 'accepted');
+  t.is(acceptor.node.acceptance.getStatus('lost-answer')?.state, 'accepted');
   t.is(world.store.objects.revision, before + 1, 'the store saw one write');
   for (const balancer of world.balancers) {
     t.is(balancer.node.distribution.cache.get(SERVICE)?.rows[0]?.share, 2);
@@ -321,11 +321,11 @@
   ]);
   cuts.forEach((cut) => world.network.cut(cut));
   world.runUntil(world.clock.now + 20_000);
-  t.is(apart.node.membership.live().length, 0);
+  t.is(apart.node.membership.listLive().length, 0);
   cuts.forEach((cut) => world.network.heal(cut));
   world.runUntil(world.clock.now + 6_000);
   for (const balancer of world.balancers) {
-    t.is(balancer.node.membership.live().length, 2, balancer.name);
+    t.is(balancer.node.membership.listLive().length, 2, balancer.name);
   }
 });
 
--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -512,7 +512,7 @@
 class BodySigner extends PacketFrameCodec {
   sign(body: Buffer): Buffer {
     const frame = Buffer.concat([Buffer.alloc(18), body]);
-    this.seal(frame, 2);
+    this.sealFrame(frame, 2);
     return frame;
   }
 }
--- a/test/packet-frames.test.ts
+++ b/test/packet-frames.test.ts
@@ -74,7 +74,7 @@
 class BodySigner extends PacketFrameCodec {
   signBody(body: Buffer): Buffer {
     const frame = Buffer.concat([Buffer.alloc(18), body]);
-    this.seal(frame, 2);
+    this.sealFrame(frame, 2);
     return frame;
   }
 }
--- a/test/reader-messages.test.ts
+++ b/test/reader-messages.test.ts
@@ -56,7 +56,7 @@
     const document = deserialize(this.encode(message).subarray(BODY_OFFSET));
     const body = serialize({ ...document, ...fields }, { ignoreUndefined: true });
     const frame = Buffer.concat([Buffer.alloc(BODY_OFFSET), Buffer.from(body)]);
-    this.seal(frame, 1);
+    this.sealFrame(frame, 1);
     return frame;
   }
 }
--- a/test/report-frame.test.ts
+++ b/test/report-frame.test.ts
@@ -60,7 +60,7 @@
   const bodies = [...Array(body.length).keys()].slice(1).map((length) => body.subarray(0, length));
   for (const wrong of [...bodies, Buffer.concat([body, Buffer.from([0])]), wrongState]) {
     const broken = Buffer.concat([header, wrong]);
-    CODEC['seal'](broken, COMPACT);
+    CODEC['sealFrame'](broken, COMPACT);
     const decoded = CODEC.decode(broken);
     t.is(decoded.err && decoded.val.resultCode, ResultCodes.frameMalformed);
   }
