--- a/src/packets/packet-agent.ts
+++ b/src/packets/packet-agent.ts
@@ -220,7 +220,7 @@
    * Handles a heartbeat of the target; the caller must acknowledge it immediately.
    * @returns false if its service does not exist: another program sent it
    */
-  heartbeat(heartbeat: TargetHeartbeat): boolean {
+  handleHeartbeat(heartbeat: TargetHeartbeat): boolean {
     const { service } = heartbeat;
     if (service !== this.settings.service && !this.guard.mayServiceExist(service)) {
       return false;
@@ -230,7 +230,7 @@
   }
 
   /** Counts a heartbeat that is malformed or not from the target. */
-  heartbeatRefused(): void {
+  recordRefusedHeartbeat(): void {
     const refused = ++this.counters.heartbeatsRefused;
     this.dependencies.environment.report(Events.heartbeatRefused, { refused });
   }
@@ -263,7 +263,7 @@
    * Handles the target's announcement that it shuts down.
    * @param born as in its heartbeats
    */
-  targetLeaves(incarnation: string, born: number | undefined): void {
+  handleTargetLeaving(incarnation: string, born: number | undefined): void {
     if (this.target.applyLeave({ incarnation, born }) !== 'none') {
       this.logTargetState();
       this.announceState();
--- a/src/runtime/agent-handover.ts
+++ b/src/runtime/agent-handover.ts
@@ -18,7 +18,7 @@
 const RecordType = { snapshot: 1, datagram: 2, ready: 3, go: 4 } as const;
 const HEADER_BYTES = 5;
 const NO_BODY = Buffer.alloc(0);
-const ANSWER_LIMIT = 5_000;
+const HANDOVER_TIMEOUT_MS = 5_000;
 
 /** Local ports that the successor must bind. */
 export interface SocketState {
@@ -35,7 +35,7 @@
 }
 
 /** A datagram that reached the predecessor after its snapshot. */
-export interface PassedDatagram {
+export interface ForwardedDatagram {
   readonly kind: 'frame' | 'backend' | 'flow';
   /** Sender of a frame; caller of a flow. */
   readonly endpoint: Endpoint;
@@ -45,9 +45,9 @@
 /** What the predecessor does when asked. */
 export interface Predecessor {
   /** Stops acting and returns everything; datagrams from now on go to `pass`. */
-  begin(pass: (datagram: PassedDatagram) => void): HandoverState;
+  beginHandover(pass: (datagram: ForwardedDatagram) => void): HandoverState;
   /** The successor is ready: end for good. Resolves when the addresses are free. */
-  end(): Promise<void>;
+  completeHandover(): Promise<void>;
   /** The successor is gone: act again. */
   resume(): void;
 }
@@ -103,31 +103,31 @@
       return;
     }
     this.busy = true;
-    let ended = false;
-    const pass = (datagram: PassedDatagram): void => {
+    let isSuccessorReady = false;
+    const forward = (datagram: ForwardedDatagram): void => {
       socket.write(encodeRecord(RecordType.datagram, Buffer.from(serialize(datagram))));
     };
     socket.on('error', () => undefined);
     socket.on('close', () => {
       this.busy = false;
-      if (!ended) {
+      if (!isSuccessorReady) {
         this.predecessor.resume();
       }
     });
     readRecords(socket, (type) => {
-      if (type === RecordType.ready && !ended) {
-        ended = true;
+      if (type === RecordType.ready && !isSuccessorReady) {
+        isSuccessorReady = true;
         void this.finish(socket);
       }
     });
-    const state = this.predecessor.begin(pass);
+    const state = this.predecessor.beginHandover(forward);
     socket.write(encodeRecord(RecordType.snapshot, Buffer.from(serialize(state))));
   }
 
   /** Frees this server's own address too, then lets the successor go. */
   private async finish(socket: Socket): Promise<void> {
     this.server.close();
-    await this.predecessor.end();
+    await this.predecessor.completeHandover();
     socket.end(encodeRecord(RecordType.go, NO_BODY));
   }
 }
@@ -137,9 +137,9 @@
   /** Binds the addresses; nothing is sent yet. */
   prepare(state: HandoverState): Promise<void>;
   /** Begins to act. */
-  go(): void;
+  activate(): void;
   /** A datagram that the predecessor received. */
-  receive(datagram: PassedDatagram): void;
+  receive(datagram: ForwardedDatagram): void;
 }
 
 /**
@@ -153,13 +153,13 @@
       reject(new HallholdError(ResultCodes.handoverFailed, reason));
     };
     const socket = connect(getEndpointPort(address), getEndpointAddress(address));
-    const limit = setTimeout(() => fail('the predecessor did not finish in time'), ANSWER_LIMIT);
-    const waiting: PassedDatagram[] = [];
-    let acting = false;
+    const timer = setTimeout(() => fail('the predecessor did not finish in time'), HANDOVER_TIMEOUT_MS);
+    const queued: ForwardedDatagram[] = [];
+    let isActive = false;
     socket.on('error', (error) => fail(messageOf(error)));
     socket.on('close', () => {
-      clearTimeout(limit);
-      if (!acting) {
+      clearTimeout(timer);
+      if (!isActive) {
         fail('the predecessor closed the connection');
       }
     });
@@ -171,12 +171,12 @@
           (error: unknown) => fail(messageOf(error)),
         );
       } else if (type === RecordType.datagram) {
-        waiting.push(deserialize(body, { promoteBuffers: true }) as PassedDatagram);
+        queued.push(deserialize(body, { promoteBuffers: true }) as ForwardedDatagram);
       } else if (type === RecordType.go) {
-        acting = true;
-        clearTimeout(limit);
-        successor.go();
-        waiting.forEach((datagram) => successor.receive(datagram));
+        isActive = true;
+        clearTimeout(timer);
+        successor.activate();
+        queued.forEach((datagram) => successor.receive(datagram));
         resolve();
       }
     });
--- a/src/runtime/agent-process.ts
+++ b/src/runtime/agent-process.ts
@@ -13,18 +13,18 @@
   HandoverServer,
   takeOver,
   type HandoverState,
-  type PassedDatagram,
+  type ForwardedDatagram,
   type Predecessor,
   type Successor,
 } from './agent-handover';
 import { BackendSockets } from './backend-sockets';
 import { Metrics } from './metrics';
-import { clusterKeys, startIncarnation } from './process-identity';
+import { createClusterKeys, createIncarnation } from './process-identity';
 import { RealEnvironment } from './real-environment';
 import { UdpSocket } from './udp-socket';
 
-const BUSY_CHECK_INTERVAL = 100;
-const MILLISECONDS = 1_000;
+const BUSY_CHECK_INTERVAL_MS = 100;
+const MS_PER_SECOND = 1_000;
 
 /** One running agent. */
 export class AgentProcess implements Predecessor, Successor {
@@ -33,32 +33,32 @@
   private readonly environment: RealEnvironment;
   private readonly backend: BackendSockets;
   private readonly codec: FrameCodec;
-  private running: AgentNode | undefined;
+  private currentNode: AgentNode | undefined;
   private frames: UdpSocket | undefined;
   private admin: AdminServer | undefined;
   private handover: HandoverServer | undefined;
   /** Set while a successor takes over: datagrams go there. */
-  private passOn: ((datagram: PassedDatagram) => void) | undefined;
+  private forwardToSuccessor: ((datagram: ForwardedDatagram) => void) | undefined;
   /** Set on a successor between binding the addresses and being let go. */
-  private pendingSnapshot: HandoverState | undefined;
+  private pendingState: HandoverState | undefined;
   /** Datagrams that came in that time. */
-  private early: PassedDatagram[] = [];
-  private finished!: () => void;
+  private earlyDatagrams: ForwardedDatagram[] = [];
+  private resolveHandedOver!: () => void;
   /** Resolves when a successor has taken over. */
-  readonly handedOver = new Promise<void>((resolve) => (this.finished = resolve));
+  readonly handedOver = new Promise<void>((resolve) => (this.resolveHandedOver = resolve));
 
   private constructor(private readonly settings: AgentSettings) {
     const source = `${settings.service}/${settings.target}`;
     this.log = new EventLog(source, settings.log.level, (event) => this.metrics.count(event));
     this.environment = new RealEnvironment(this.log);
-    this.codec = new FrameCodec(clusterKeys(settings.keys));
+    this.codec = new FrameCodec(createClusterKeys(settings.keys));
     this.backend = new BackendSockets(parseEndpoint(settings.backend).unwrap());
   }
 
   /** Starts with nothing. Throws a HallholdError when an address is taken. */
   static async start(settings: AgentSettings): Promise<AgentProcess> {
     const process = new AgentProcess(settings);
-    await process.bind(process.createNode(startIncarnation()), undefined);
+    await process.bind(process.createNode(createIncarnation()), undefined);
     await process.openAdmin();
     process.node.start();
     process.log.report(Events.processStarted, { role: 'agent' });
@@ -75,18 +75,18 @@
   }
 
   get node(): AgentNode {
-    return this.running!;
+    return this.currentNode!;
   }
 
   /** Planned stop: no new work, wait for flows to end, at most `stopAfterSeconds`. */
   async stop(): Promise<void> {
     this.log.report(Events.processStopping, {});
     this.node.beginStop();
-    const limit = performance.now() + this.settings.stopAfterSeconds * MILLISECONDS;
+    const limit = performance.now() + this.settings.stopAfterSeconds * MS_PER_SECOND;
     while (this.node.isBusy && performance.now() < limit) {
-      await new Promise((resolve) => setTimeout(resolve, BUSY_CHECK_INTERVAL));
+      await new Promise((resolve) => setTimeout(resolve, BUSY_CHECK_INTERVAL_MS));
     }
-    await this.kill();
+    await this.stopImmediately();
     this.log.report(Events.processStopped, {});
   }
 
@@ -97,19 +97,19 @@
 
   /** Takes other cluster keys from now on. */
   replaceKeys(settings: AgentSettings): void {
-    this.codec.replaceKeys(clusterKeys(settings.keys));
+    this.codec.replaceKeys(createClusterKeys(settings.keys));
     this.log.report(Events.keysReplaced, { keys: settings.keys.map((key) => key.id).join(' ') });
   }
 
   /** Ends at once; peers are told only that it stopped. */
-  async kill(): Promise<void> {
+  async stopImmediately(): Promise<void> {
     this.node.stop();
     await new Promise((resolve) => setImmediate(resolve));
-    await this.vanish();
+    await this.terminate();
   }
 
   /** Ends at once, without a word to anyone. */
-  async vanish(): Promise<void> {
+  async terminate(): Promise<void> {
     this.environment.close();
     this.handover?.stop();
     this.frames?.close();
@@ -119,22 +119,22 @@
 
   // Predecessor
 
-  begin(pass: (datagram: PassedDatagram) => void): HandoverState {
-    this.passOn = pass;
+  beginHandover(pass: (datagram: ForwardedDatagram) => void): HandoverState {
+    this.forwardToSuccessor = pass;
     return { snapshot: this.node.handOver(), sockets: this.backend.exportState() };
   }
 
-  async end(): Promise<void> {
+  async completeHandover(): Promise<void> {
     this.log.report(Events.processHandedOver, {});
     this.environment.close();
     await this.admin?.close();
     this.frames?.close();
     this.backend.close();
-    this.finished();
+    this.resolveHandedOver();
   }
 
   resume(): void {
-    this.passOn = undefined;
+    this.forwardToSuccessor = undefined;
     this.node.start();
   }
 
@@ -143,29 +143,29 @@
   async prepare(state: HandoverState): Promise<void> {
     const node = this.createNode(state.snapshot.incarnation);
     await this.bind(node, state);
-    this.pendingSnapshot = state;
+    this.pendingState = state;
   }
 
-  go(): void {
-    this.node.takeOver(this.pendingSnapshot!.snapshot);
+  activate(): void {
+    this.node.takeOver(this.pendingState!.snapshot);
     this.node.start();
-    this.pendingSnapshot = undefined;
-    const early = this.early;
-    this.early = [];
-    early.forEach((datagram) => this.receive(datagram));
+    this.pendingState = undefined;
+    const datagrams = this.earlyDatagrams;
+    this.earlyDatagrams = [];
+    datagrams.forEach((datagram) => this.receive(datagram));
   }
 
-  receive(datagram: PassedDatagram): void {
-    if (this.pendingSnapshot) {
-      this.early.push(datagram);
-    } else if (this.passOn) {
-      this.passOn(datagram);
+  receive(datagram: ForwardedDatagram): void {
+    if (this.pendingState) {
+      this.earlyDatagrams.push(datagram);
+    } else if (this.forwardToSuccessor) {
+      this.forwardToSuccessor(datagram);
     } else {
       this.dispatch(datagram);
     }
   }
 
-  private dispatch({ kind, endpoint, payload }: PassedDatagram): void {
+  private dispatch({ kind, endpoint, payload }: ForwardedDatagram): void {
     switch (kind) {
       case 'frame':
         this.node.receiveFrame(payload, endpoint);
@@ -180,7 +180,7 @@
   }
 
   private createNode(incarnation: number): AgentNode {
-    const settings = nodeSettings(this.settings, incarnation);
+    const settings = createNodeSettings(this.settings, incarnation);
     return new AgentNode(settings, {
       environment: this.environment,
       backend: this.backend,
@@ -190,8 +190,8 @@
   }
 
   private async bind(node: AgentNode, state: HandoverState | undefined): Promise<void> {
-    this.running = node;
-    this.pendingSnapshot = state;
+    this.currentNode = node;
+    this.pendingState = state;
     const listen = parseEndpoint(this.settings.listen).unwrap();
     const handle = (payload: Buffer, endpoint: Endpoint): void =>
       this.receive({ kind: 'frame', endpoint, payload });
@@ -229,7 +229,7 @@
   }
 }
 
-function nodeSettings(settings: AgentSettings, incarnation: number): AgentNodeSettings {
+function createNodeSettings(settings: AgentSettings, incarnation: number): AgentNodeSettings {
   return {
     service: settings.service,
     protocol: settings.protocol,
@@ -237,8 +237,8 @@
     endpoint: parseEndpoint(settings.advertise ?? settings.listen).unwrap(),
     balancers: settings.balancers.map((balancer) => parseEndpoint(balancer).unwrap()),
     incarnation,
-    flowIdle: settings.flowIdleSeconds * MILLISECONDS,
-    requestDeadline: settings.requestDeadlineSeconds * MILLISECONDS,
+    flowIdle: settings.flowIdleSeconds * MS_PER_SECOND,
+    requestDeadline: settings.requestDeadlineSeconds * MS_PER_SECOND,
     loadPath: settings.loadPath,
   };
 }
--- a/src/runtime/backend-sockets.ts
+++ b/src/runtime/backend-sockets.ts
@@ -12,11 +12,11 @@
 }
 
 /** Datagrams of a flow that wait for its socket to be bound. */
-const WAITING_MAXIMUM = 16;
+const MAXIMUM_QUEUED_DATAGRAMS = 16;
 
 interface FlowSocket {
   socket: UdpSocket | undefined;
-  waiting: Buffer[];
+  queued: Buffer[];
   closed: boolean;
   /** Settles when the socket is bound or could not be. */
   bound: Promise<void>;
@@ -24,9 +24,9 @@
 
 /** One shared socket for coap services, one a flow for datagram services. */
 export class BackendSockets implements BackendPort {
-  private shared: UdpSocket | undefined;
+  private sharedSocket: UdpSocket | undefined;
   private receiver: BackendReceiver | undefined;
-  private readonly flows = new Map<Endpoint, FlowSocket>();
+  private readonly flowSockets = new Map<Endpoint, FlowSocket>();
 
   constructor(private readonly backend: Endpoint) {}
 
@@ -34,7 +34,7 @@
   async open(receiver: BackendReceiver, state?: SocketState): Promise<void> {
     this.receiver = receiver;
     const bound = await UdpSocket.bind(
-      this.localAddress(),
+      this.getLocalAddress(),
       state?.sharedPort ?? 0,
       (payload) => receiver.receiveBackendMessage(payload),
       true,
@@ -42,67 +42,67 @@
     if (bound.err) {
       throw bound.val;
     }
-    this.shared = bound.val;
-    const flows = state?.flowPorts ?? [];
-    await Promise.all(flows.map(({ caller, port }) => this.openFlow(caller, port).bound));
+    this.sharedSocket = bound.val;
+    const flowPorts = state?.flowPorts ?? [];
+    await Promise.all(flowPorts.map(({ caller, port }) => this.openFlow(caller, port).bound));
   }
 
   /** Local ports, for a successor. */
   exportState(): SocketState {
-    const flowPorts = [...this.flows].flatMap(([caller, { socket }]) =>
+    const flowPorts = [...this.flowSockets].flatMap(([caller, { socket }]) =>
       socket ? [{ caller, port: getEndpointPort(socket.endpoint) }] : [],
     );
-    return { sharedPort: this.shared ? getEndpointPort(this.shared.endpoint) : 0, flowPorts };
+    return { sharedPort: this.sharedSocket ? getEndpointPort(this.sharedSocket.endpoint) : 0, flowPorts };
   }
 
   sendMessage(message: Buffer): void {
-    this.shared?.send(this.backend, message);
+    this.sharedSocket?.send(this.backend, message);
   }
 
   sendDatagram(caller: Endpoint, payload: Buffer): void {
-    const flow = this.flows.get(caller) ?? this.openFlow(caller);
+    const flow = this.flowSockets.get(caller) ?? this.openFlow(caller);
     if (flow.socket) {
       flow.socket.send(this.backend, payload);
-    } else if (flow.waiting.length < WAITING_MAXIMUM) {
-      flow.waiting.push(payload);
+    } else if (flow.queued.length < MAXIMUM_QUEUED_DATAGRAMS) {
+      flow.queued.push(payload);
     }
   }
 
   closeFlow(caller: Endpoint): void {
-    const flow = this.flows.get(caller);
+    const flow = this.flowSockets.get(caller);
     if (flow) {
       flow.closed = true;
       flow.socket?.close();
-      this.flows.delete(caller);
+      this.flowSockets.delete(caller);
     }
   }
 
   close(): void {
-    this.shared?.close();
-    [...this.flows.keys()].forEach((caller) => this.closeFlow(caller));
+    this.sharedSocket?.close();
+    [...this.flowSockets.keys()].forEach((caller) => this.closeFlow(caller));
   }
 
   private openFlow(caller: Endpoint, port = 0): FlowSocket {
     const flow: FlowSocket = {
       socket: undefined,
-      waiting: [],
+      queued: [],
       closed: false,
       bound: Promise.resolve(),
     };
-    this.flows.set(caller, flow);
+    this.flowSockets.set(caller, flow);
     flow.bound = this.bindFlow(caller, flow, port);
     return flow;
   }
 
   private async bindFlow(caller: Endpoint, flow: FlowSocket, port: number): Promise<void> {
     const bound = await UdpSocket.bind(
-      this.localAddress(),
+      this.getLocalAddress(),
       port,
       (payload) => this.receiver?.receiveBackendDatagram(caller, payload),
       true,
     );
     if (bound.err) {
-      this.flows.delete(caller);
+      this.flowSockets.delete(caller);
       return;
     }
     if (flow.closed) {
@@ -110,12 +110,12 @@
       return;
     }
     flow.socket = bound.val;
-    flow.waiting.forEach((payload) => bound.val.send(this.backend, payload));
-    flow.waiting = [];
+    flow.queued.forEach((payload) => bound.val.send(this.backend, payload));
+    flow.queued = [];
   }
 
   /** The back end runs on the agent's machine: the same address serves. */
-  private localAddress(): string {
+  private getLocalAddress(): string {
     return getEndpointAddress(this.backend);
   }
 }
--- a/src/runtime/balancer-process.ts
+++ b/src/runtime/balancer-process.ts
@@ -9,17 +9,17 @@
 import type { BalancerSettings } from '../settings/settings-schema';
 import { AgentState } from '../wire/messages';
 import { FrameCodec } from '../wire/frame-codec';
-import { clusterKeys, startIncarnation } from './process-identity';
+import { createClusterKeys, createIncarnation } from './process-identity';
 import { Metrics } from './metrics';
 import { RealEnvironment } from './real-environment';
 import { UdpSocket } from './udp-socket';
 
-const QUIET_CHECK_INTERVAL = 100;
-const STOP_LIMIT = 30_000;
+const QUIET_CHECK_INTERVAL_MS = 100;
+const MAXIMUM_STOP_TIME_MS = 30_000;
 
 /** One running balancer. */
 export class BalancerProcess {
-  private readonly services = new Map<string, UdpSocket>();
+  private readonly serviceSockets = new Map<string, UdpSocket>();
   private stopping = false;
 
   private constructor(
@@ -39,7 +39,7 @@
     const log = new EventLog(settings.name, settings.log.level, (event) => metrics.count(event));
     const environment = new RealEnvironment(log);
     const store = new HttpStore(settings.store);
-    const codec = new FrameCodec(clusterKeys(settings.keys));
+    const codec = new FrameCodec(createClusterKeys(settings.keys));
     const listen = parseEndpoint(settings.listen).unwrap();
     const frames = await UdpSocket.bindEndpoint(listen, (frame, from) =>
       process.node.receiveFrame(frame, from),
@@ -47,13 +47,13 @@
     if (frames.err) {
       throw frames.val;
     }
-    const node = new BalancerNode(nodeSettings(settings), {
+    const node = new BalancerNode(createNodeSettings(settings), {
       environment,
       codec,
       store,
       transport: { send: (to, frame) => frames.val.send(to, frame) },
       callers: {
-        send: (service, caller, payload) => process.services.get(service)?.send(caller, payload),
+        send: (service, caller, payload) => process.serviceSockets.get(service)?.send(caller, payload),
       },
     });
     const process = new BalancerProcess(
@@ -66,7 +66,7 @@
       codec,
       undefined,
     );
-    await process.open(metrics);
+    await process.openSockets(metrics);
     return process;
   }
 
@@ -81,14 +81,14 @@
     this.stopping = true;
     this.node.beginStop();
     const quiet = this.settings.quietSeconds * 1_000;
-    const limit = performance.now() + STOP_LIMIT;
+    const limit = performance.now() + MAXIMUM_STOP_TIME_MS;
     const startedAt = performance.now();
     const isQuiet = (): boolean =>
       this.node.idleTimeMs >= quiet && performance.now() - startedAt >= quiet;
     while (!isQuiet() && performance.now() < limit) {
-      await new Promise((resolve) => setTimeout(resolve, QUIET_CHECK_INTERVAL));
+      await new Promise((resolve) => setTimeout(resolve, QUIET_CHECK_INTERVAL_MS));
     }
-    await this.kill();
+    await this.terminate();
     this.log.report(Events.processStopped, {});
   }
 
@@ -99,21 +99,21 @@
 
   /** Takes other cluster keys from now on. */
   replaceKeys(settings: BalancerSettings): void {
-    this.codec.replaceKeys(clusterKeys(settings.keys));
+    this.codec.replaceKeys(createClusterKeys(settings.keys));
     this.log.report(Events.keysReplaced, { keys: settings.keys.map((key) => key.id).join(' ') });
   }
 
   /** Ends at once, without a word to anyone. */
-  async kill(): Promise<void> {
+  async terminate(): Promise<void> {
     this.node.stop();
     this.environment.close();
     this.frames.close();
-    this.services.forEach((socket) => socket.close());
+    this.serviceSockets.forEach((socket) => socket.close());
     await this.admin?.close();
     await this.store.close();
   }
 
-  private async open(metrics: Metrics): Promise<void> {
+  private async openSockets(metrics: Metrics): Promise<void> {
     for (const { name, listen } of this.settings.services) {
       const endpoint = parseEndpoint(listen).unwrap();
       const socket = await UdpSocket.bindEndpoint(endpoint, (payload, caller) =>
@@ -122,7 +122,7 @@
       if (socket.err) {
         throw socket.val;
       }
-      this.services.set(name, socket.val);
+      this.serviceSockets.set(name, socket.val);
     }
     metrics.expose('balancer', () => ({ ...this.node.statistics }));
     this.admin = await startAdminServer({
@@ -149,13 +149,13 @@
   }
 }
 
-function nodeSettings(settings: BalancerSettings): BalancerNode['settings'] {
+function createNodeSettings(settings: BalancerSettings): BalancerNode['settings'] {
   return {
     name: settings.name,
     zone: settings.zone,
     endpoint: parseEndpoint(settings.advertise ?? settings.listen).unwrap(),
     peers: settings.peers.map((peer) => parseEndpoint(peer).unwrap()),
-    incarnation: startIncarnation(),
+    incarnation: createIncarnation(),
     learntFlows: settings.learntFlows,
   };
 }
--- a/src/runtime/early-sockets.ts
+++ b/src/runtime/early-sockets.ts
@@ -9,8 +9,8 @@
 import { createSocket, type Socket } from 'node:dgram';
 
 /** The launcher and the program are two bundles of one process: they meet at this name. */
-const REGISTRY = Symbol.for('hallhold.early-sockets');
-const IPV4 = 4;
+const REGISTRY_KEY = Symbol.for('hallhold.early-sockets');
+const IPV4_FAMILY = 4;
 
 /** Bytes of datagrams that wait for a process, or to be sent. */
 export const SOCKET_BUFFER_BYTES = 4 * 1_024 * 1_024;
@@ -18,17 +18,17 @@
 interface EarlySockets {
   readonly sockets: Map<string, Socket>;
   /** Milliseconds from the start of the process until the last of them was bound. */
-  boundAfter: number | undefined;
+  boundAfterMs: number | undefined;
 }
 
-interface EarlySocketHolder {
-  [REGISTRY]?: EarlySockets;
+interface EarlySocketGlobal {
+  [REGISTRY_KEY]?: EarlySockets;
 }
 
-function registry(): EarlySockets {
-  const holder = globalThis as EarlySocketHolder;
-  holder[REGISTRY] ??= { sockets: new Map<string, Socket>(), boundAfter: undefined };
-  return holder[REGISTRY];
+function getRegistry(): EarlySockets {
+  const holder = globalThis as EarlySocketGlobal;
+  holder[REGISTRY_KEY] ??= { sockets: new Map<string, Socket>(), boundAfterMs: undefined };
+  return holder[REGISTRY_KEY];
 }
 
 /** Destinations are addresses already: Node's own look-up would cost a turn of the queue. */
@@ -37,7 +37,7 @@
   _family: unknown,
   callback: (error: null, address: string, family: number) => void,
 ): void {
-  callback(null, address, IPV4);
+  callback(null, address, IPV4_FAMILY);
 }
 
 /**
@@ -45,24 +45,24 @@
  * @param endpoint of the form a.b.c.d:port. One that cannot be bound is left to the program, which
  *   reports why (error 1402).
  */
-export function bindEarly(endpoint: string): void {
+export function bindEarlySocket(endpoint: string): void {
   const [address, port] = endpoint.split(':');
   const socket = createSocket({ type: 'udp4', lookup: resolveAddress });
   socket.on('error', () => {
-    registry().sockets.delete(endpoint);
+    getRegistry().sockets.delete(endpoint);
     socket.close();
   });
   socket.bind(Number(port), address, () => {
-    registry().sockets.set(endpoint, socket);
-    registry().boundAfter = Math.round(performance.now());
+    getRegistry().sockets.set(endpoint, socket);
+    getRegistry().boundAfterMs = Math.round(performance.now());
     socket.setRecvBufferSize(SOCKET_BUFFER_BYTES);
   });
 }
 
 /** The socket that was bound early for an address, once; undefined for none. */
-export function takeEarly(address: string, port: number): Socket | undefined {
+export function takeEarlySocket(address: string, port: number): Socket | undefined {
   const endpoint = `${address}:${port}`;
-  const { sockets } = registry();
+  const { sockets } = getRegistry();
   const socket = sockets.get(endpoint);
   sockets.delete(endpoint);
   socket?.removeAllListeners('error');
@@ -71,5 +71,5 @@
 
 /** Milliseconds from the start of the process until its sockets were bound early; or undefined. */
 export function readEarlyBindTime(): number | undefined {
-  return registry().boundAfter;
+  return getRegistry().boundAfterMs;
 }
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -3,10 +3,10 @@
 import type { EventKind } from '../logging/events';
 
 /** A snapshot of figures by name; numbers and booleans. */
-export type Figures = Readonly<Record<string, number | boolean>>;
+export type MetricValues = Readonly<Record<string, number | boolean>>;
 
 /** Milliseconds between samples of the event loop's delay; the default of 10 wakes an idle process. */
-const EVENT_LOOP_SAMPLE_INTERVAL = 200;
+const EVENT_LOOP_SAMPLE_INTERVAL_MS = 200;
 
 /** Registry of one process. */
 export class Metrics {
@@ -16,7 +16,7 @@
   constructor() {
     collectDefaultMetrics({
       register: this.registry,
-      eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_INTERVAL,
+      eventLoopMonitoringPrecision: EVENT_LOOP_SAMPLE_INTERVAL_MS,
     });
     this.events = new Counter({
       name: 'hallhold_events_total',
@@ -32,10 +32,10 @@
   }
 
   /** Exposes every figure of a node as a gauge, read when scraped. */
-  expose(prefix: string, read: () => Figures): void {
+  expose(prefix: string, read: () => MetricValues): void {
     for (const name of Object.keys(read())) {
       new Gauge({
-        name: `hallhold_${prefix}_${snakeCase(name)}`,
+        name: `hallhold_${prefix}_${toSnakeCase(name)}`,
         help: `The ${prefix}'s ${name}`,
         registers: [this.registry],
         collect() {
@@ -46,6 +46,6 @@
   }
 }
 
-function snakeCase(name: string): string {
+function toSnakeCase(name: string): string {
   return name.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
--- a/src/runtime/packet-metrics.ts
+++ b/src/runtime/packet-metrics.ts
@@ -9,21 +9,21 @@
 import type { Endpoint } from '../environment';
 import type { EventFields, EventKind } from '../logging/events';
 import { Events } from '../logging/events';
-import { Metrics, type Figures } from './metrics';
+import { Metrics, type MetricValues } from './metrics';
 
-const REPORT_AGE_BUCKETS = [25, 50, 100, 150, 200, 250, 300, 500, 700, 1_000, 3_000];
-const HANDLING_TIME_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 50, 100];
-const PLACE_PATTERN = /^(\d{1,5})(\/.*)$/;
+const REPORT_AGE_BUCKETS_MS = [25, 50, 100, 150, 200, 250, 300, 500, 700, 1_000, 3_000];
+const HANDLING_TIME_BUCKETS_MS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 50, 100];
+const LOCATION_PATTERN = /^(\d{1,5})(\/.*)$/;
 
 /** Port and path of a metrics page. */
-export interface MetricsPlace {
+export interface MetricsLocation {
   readonly port: number;
   readonly path: string;
 }
 
 /** Parses "PORT/PATH"; undefined for any other form. */
-export function parseMetricsPlace(text: string): MetricsPlace | undefined {
-  const parts = PLACE_PATTERN.exec(text);
+export function parseMetricsLocation(text: string): MetricsLocation | undefined {
+  const parts = LOCATION_PATTERN.exec(text);
   return parts ? { port: Number(parts[1]), path: parts[2]! } : undefined;
 }
 
@@ -34,25 +34,25 @@
   private readonly handlingTime: Histogram;
 
   /** @param read the process's present figures; names become gauges */
-  constructor(read: () => Figures) {
+  constructor(read: () => MetricValues) {
     const registers = [this.metrics.registry];
     this.reportAge = new Histogram({
       name: 'hallhold_placement_report_age_milliseconds',
       help: 'Age of the report by which a new flow was placed',
-      buckets: REPORT_AGE_BUCKETS,
+      buckets: REPORT_AGE_BUCKETS_MS,
       registers,
     });
     this.handlingTime = new Histogram({
       name: 'hallhold_packet_handling_milliseconds',
       help: 'Time from taking a packet from its socket to having sent it on',
-      buckets: HANDLING_TIME_BUCKETS,
+      buckets: HANDLING_TIME_BUCKETS_MS,
       registers,
     });
     this.metrics.expose('packets', read);
   }
 
   /** Counts an event; the age of a report goes into its histogram. */
-  observe(event: EventKind, fields: EventFields): void {
+  observeEvent(event: EventKind, fields: EventFields): void {
     this.metrics.count(event);
     const age = fields['reportAge'];
     if (event === Events.flowPlaced && typeof age === 'number') {
@@ -71,9 +71,9 @@
   }
 
   /** Serves the page at a machine's address. */
-  serve(machine: Endpoint, place: MetricsPlace, failed: (error: Error) => void): Server {
+  serve(machine: Endpoint, location: MetricsLocation, onError: (error: Error) => void): Server {
     const server = createServer((call, response) => {
-      const known = call.url?.split('?')[0] === place.path;
+      const known = call.url?.split('?')[0] === location.path;
       if (!known) {
         response.writeHead(404).end();
         return;
@@ -83,7 +83,7 @@
         () => response.writeHead(500).end(),
       );
     });
-    server.on('error', failed);
-    return server.listen(place.port, getEndpointAddress(machine));
+    server.on('error', onError);
+    return server.listen(location.port, getEndpointAddress(machine));
   }
 }
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -11,19 +11,19 @@
 import type { ClusterKey } from '../wire/frame-codec';
 import { HallholdError, messageOf } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
-import type { Figures } from './metrics';
+import type { MetricValues } from './metrics';
 import { RealEnvironment, type EventReporter } from './real-environment';
 import { HttpSnapshots, serveSnapshots } from './snapshot-exchange';
 import { TcpTargetProbe } from './target-probe';
 import { UdpSocket, type DatagramHandler } from './udp-socket';
 
 /** A balancer that goes has forwarded nothing for so long before it ends. */
-const QUIET_TIME = 700;
+const QUIET_TIME_MS = 700;
 /** It stays at least so long, since routers let go of it only after some probes. */
-const SHORTEST_STOP = 1_200;
-const STOP_POLL = 100;
+const MINIMUM_STOP_TIME_MS = 1_200;
+const STOP_POLL_INTERVAL_MS = 100;
 /** Milliseconds before an agent exits, in which it repeats that it goes. */
-const FLUSH_TIME = 20;
+const FLUSH_TIME_MS = 20;
 
 /** What a packet process gets from the adapter that starts it. */
 export interface PacketProcessPorts {
@@ -33,7 +33,7 @@
   readonly evacuatedZones: CollectionPort<EvacuatedZone>;
   readonly storeProbe: StoreProbePort;
   /** Where a client receives datagrams. */
-  clientSocket(client: Endpoint, port: number): Endpoint;
+  getClientEndpoint(client: Endpoint, port: number): Endpoint;
 }
 
 /** Receives the time in milliseconds that handling one packet took. */
@@ -46,12 +46,12 @@
   /** Puts changed settings in force; seeds are what can change in a running process. */
   reload(settings: PacketSettings): void;
   /** Figures for the metrics page. */
-  readonly figures: Figures;
+  readonly figures: MetricValues;
   /** Told how many milliseconds each packet took; set by whoever measures. */
   packetObserver: PacketObserver | undefined;
 }
 
-async function bind(endpoint: Endpoint, handler: DatagramHandler): Promise<UdpSocket> {
+async function bindSocket(endpoint: Endpoint, handler: DatagramHandler): Promise<UdpSocket> {
   const bound = await UdpSocket.bindEndpoint(endpoint, handler);
   if (bound.err) {
     throw bound.val;
@@ -89,8 +89,8 @@
     const environment = new RealEnvironment(log);
     const started: { process?: PacketBalancerProcess } = {};
     const packetAddress = requireSetting(settings.packetAddress, 'packetAddress');
-    const clients = await bind(packetAddress, (bytes) => started.process?.clientDatagram(bytes));
-    const frames = await bind(settings.listenAddress, (bytes, from) =>
+    const clients = await bindSocket(packetAddress, (bytes) => started.process?.handleClientDatagram(bytes));
+    const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketBalancer(
@@ -106,13 +106,13 @@
         storeProbe: ports.storeProbe,
         snapshots: new HttpSnapshots(),
         sendToClient: (client, packet) =>
-          clients.send(ports.clientSocket(client, settings.clientPort), packet),
+          clients.send(ports.getClientEndpoint(client, settings.clientPort), packet),
         relay: (to, packet) => clients.send(to, packet),
       },
     );
     const running = new PacketBalancerProcess(node, environment, settings);
     started.process = running;
-    serveSnapshots(settings.listenAddress, () => node.snapshot, failListening);
+    serveSnapshots(settings.listenAddress, () => node.snapshot, throwListenError);
     node.start();
     return running;
   }
@@ -124,13 +124,13 @@
     this.node.beginStop();
     const poll = (): void => {
       const now = this.environment.now();
-      const quiet = now - Math.max(this.lastPacketAt, startedAt) > QUIET_TIME;
-      if (now >= end || (quiet && now - startedAt > SHORTEST_STOP)) {
+      const quiet = now - Math.max(this.lastPacketAt, startedAt) > QUIET_TIME_MS;
+      if (now >= end || (quiet && now - startedAt > MINIMUM_STOP_TIME_MS)) {
         this.node.stop();
         done();
         return;
       }
-      this.environment.startTimer(STOP_POLL, poll);
+      this.environment.startTimer(STOP_POLL_INTERVAL_MS, poll);
     };
     poll();
   }
@@ -139,11 +139,11 @@
     this.node.replaceSeeds(settings.seeds);
   }
 
-  get figures(): Figures {
+  get figures(): MetricValues {
     return { ...this.node.figures, ...this.node.router.counters };
   }
 
-  private clientDatagram(bytes: Buffer): void {
+  private handleClientDatagram(bytes: Buffer): void {
     this.lastPacketAt = this.environment.now();
     this.node.handleClientDatagram(bytes);
     this.packetObserver?.(this.environment.now() - this.lastPacketAt);
@@ -171,8 +171,8 @@
     const target = requireSetting(settings.targetAddress, 'targetAddress');
     const outbound = requireSetting(settings.targetOutbound, 'targetOutbound');
     const service = requireSetting(settings.service, 'service');
-    const packets = await bind(outbound, (bytes) => started.process?.targetDatagram(bytes));
-    const frames = await bind(settings.listenAddress, (bytes, from) =>
+    const packets = await bindSocket(outbound, (bytes) => started.process?.handleTargetDatagram(bytes));
+    const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketAgent(
@@ -186,7 +186,7 @@
         registry: ports.registry,
         targetProbe: new TcpTargetProbe(target),
         sendToClient: (client, packet) =>
-          packets.send(ports.clientSocket(client, settings.clientPort), packet),
+          packets.send(ports.getClientEndpoint(client, settings.clientPort), packet),
         sendToTarget: (packet) => packets.send(target, packet),
       },
     );
@@ -200,20 +200,20 @@
     this.node.replaceSeeds(settings.seeds);
   }
 
-  get figures(): Figures {
+  get figures(): MetricValues {
     return { ...this.node.figures, ...this.node.counters };
   }
 
   beginStop(done: () => void): void {
     this.node.beginStop(() => {
-      this.environment.startTimer(FLUSH_TIME, () => {
+      this.environment.startTimer(FLUSH_TIME_MS, () => {
         this.node.stop();
         done();
       });
     });
   }
 
-  private targetDatagram(bytes: Buffer): void {
+  private handleTargetDatagram(bytes: Buffer): void {
     const before = this.environment.now();
     this.node.handleTargetDatagram(bytes);
     this.packetObserver?.(this.environment.now() - before);
@@ -221,6 +221,6 @@
 }
 
 /** A listener that cannot listen ends the process with a numbered error. */
-function failListening(error: Error): void {
+function throwListenError(error: Error): void {
   throw new HallholdError(ResultCodes.addressInUse, messageOf(error));
 }
--- a/src/runtime/process-identity.ts
+++ b/src/runtime/process-identity.ts
@@ -2,12 +2,12 @@
 import type { ClusterKey } from '../wire/frame-codec';
 
 /** Milliseconds since 1970 at start: rises with each start, also on a replaced machine. */
-export function startIncarnation(): number {
+export function createIncarnation(): number {
   return Date.now();
 }
 
 /** Keys from settings in the form the codec takes. */
-export function clusterKeys(
+export function createClusterKeys(
   keys: readonly { readonly id: number; readonly secret: string }[],
 ): ClusterKey[] {
   return keys.map(({ id, secret }) => ({ id, secret: Buffer.from(secret) }));
--- a/src/runtime/real-environment.ts
+++ b/src/runtime/real-environment.ts
@@ -6,7 +6,7 @@
  * Offset from this process's clock to the machine's monotonic clock, which all
  * processes of the machine share: times survive a hand-over to a successor.
  */
-const MACHINE_CLOCK_OFFSET = Number(process.hrtime.bigint()) / 1e6 - performance.now();
+const MACHINE_CLOCK_OFFSET_MS = Number(process.hrtime.bigint()) / 1e6 - performance.now();
 
 /** Takes numbered events; the log of a process. */
 export interface EventReporter {
@@ -21,11 +21,11 @@
 
   /** Time at which this process began. */
   get startedAt(): number {
-    return MACHINE_CLOCK_OFFSET;
+    return MACHINE_CLOCK_OFFSET_MS;
   }
 
   now(): number {
-    return performance.now() + MACHINE_CLOCK_OFFSET;
+    return performance.now() + MACHINE_CLOCK_OFFSET_MS;
   }
 
   startTimer(delayMilliseconds: number, action: () => void): TimerHandle {
--- a/src/runtime/snapshot-exchange.ts
+++ b/src/runtime/snapshot-exchange.ts
@@ -19,13 +19,13 @@
 const BSON_PATH = '/snapshot';
 /** Snapshots as deflated text. */
 const TEXT_PATH = '/snapshot/text';
-const FETCH_TIMEOUT = 1_000;
+const FETCH_TIMEOUT_MS = 1_000;
 const MAXIMUM_SNAPSHOT_BYTES = 16 * 1_024 * 1_024;
 /**
  * Milliseconds for which an encoded snapshot is handed out again: balancers that start together
  * fetch it within some tens of milliseconds, and encoding it anew for each takes 20 of them.
  */
-const REUSE_TIME = 50;
+const REUSE_TIME_MS = 50;
 
 /** The latest snapshot in the form in which it is sent. */
 class EncodedSnapshot {
@@ -36,7 +36,7 @@
 
   encode(): Buffer {
     const now = performance.now();
-    if (!this.bytes || now - this.encodedAt > REUSE_TIME) {
+    if (!this.bytes || now - this.encodedAt > REUSE_TIME_MS) {
       this.bytes = deflateSync(encodeSnapshotText(this.read()));
       this.encodedAt = now;
     }
@@ -48,26 +48,26 @@
 export function serveSnapshots(
   address: Endpoint,
   read: () => PeerSnapshot,
-  failed: (error: Error) => void,
+  onError: (error: Error) => void,
 ): Server {
   const encoded = new EncodedSnapshot(read);
   const server = createServer((call, response) => {
     switch (call.url) {
       case TEXT_PATH:
-        send(response, 200, encoded.encode());
+        sendAnswer(response, 200, encoded.encode());
         return;
       case BSON_PATH:
-        send(response, 200, encodeSnapshot(read()));
+        sendAnswer(response, 200, encodeSnapshot(read()));
         return;
       default:
-        send(response, 404, undefined);
+        sendAnswer(response, 404, undefined);
     }
   });
-  server.on('error', failed);
+  server.on('error', onError);
   return server.listen(getEndpointPort(address), getEndpointAddress(address));
 }
 
-function send(response: ServerResponse, status: number, body: Buffer | undefined): void {
+function sendAnswer(response: ServerResponse, status: number, body: Buffer | undefined): void {
   response.writeHead(status, { Connection: 'close' });
   response.end(body);
 }
@@ -99,17 +99,17 @@
         clearTimeout(timer);
         if (!answered) {
           answered = true;
-          answer(decode(Buffer.concat(chunks)));
+          answer(inflateSnapshot(Buffer.concat(chunks)));
         }
       });
     });
-    const timer = setTimeout(() => call.destroy(new Error('no answer in time')), FETCH_TIMEOUT);
+    const timer = setTimeout(() => call.destroy(new Error('no answer in time')), FETCH_TIMEOUT_MS);
     call.on('error', fail);
   }
 }
 
 /** Error 1303 for bytes that are no snapshot, or one beyond the limit. */
-function decode(bytes: Buffer): Result<PeerSnapshot, HallholdError> {
+function inflateSnapshot(bytes: Buffer): Result<PeerSnapshot, HallholdError> {
   let text: string;
   try {
     text = inflateSync(bytes, { maxOutputLength: MAXIMUM_SNAPSHOT_BYTES }).toString('utf8');
--- a/src/runtime/target-probe.ts
+++ b/src/runtime/target-probe.ts
@@ -5,16 +5,16 @@
 import type { TargetProbePort } from '../packets/startup/target-presence';
 
 /** Milliseconds: on its own machine an answer comes at once; none within this proves nothing. */
-const TIMEOUT = 500;
-const REFUSED = 'ECONNREFUSED';
+const CONNECT_TIMEOUT_MS = 500;
+const CONNECTION_REFUSED = 'ECONNREFUSED';
 
 /** The probe of one target. */
 export class TcpTargetProbe implements TargetProbePort {
   constructor(private readonly target: Endpoint) {}
 
   checkVacant(answer: (isVacant: boolean) => void): void {
-    const place = { host: getEndpointAddress(this.target), port: getEndpointPort(this.target) };
-    const connection = connect({ ...place, timeout: TIMEOUT });
+    const address = { host: getEndpointAddress(this.target), port: getEndpointPort(this.target) };
+    const connection = connect({ ...address, timeout: CONNECT_TIMEOUT_MS });
     let answered = false;
     const end = (isVacant: boolean): void => {
       connection.destroy();
@@ -26,6 +26,6 @@
     connection.on('connect', () => end(false));
     // A process that was held up sees its timer before the answer that has come meanwhile.
     connection.on('timeout', () => setImmediate(() => end(false)));
-    connection.on('error', (error: NodeJS.ErrnoException) => end(error.code === REFUSED));
+    connection.on('error', (error: NodeJS.ErrnoException) => end(error.code === CONNECTION_REFUSED));
   }
 }
--- a/src/runtime/udp-socket.ts
+++ b/src/runtime/udp-socket.ts
@@ -10,9 +10,9 @@
 import type { Endpoint } from '../environment';
 import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
-import { resolveAddress, SOCKET_BUFFER_BYTES, takeEarly } from './early-sockets';
+import { resolveAddress, SOCKET_BUFFER_BYTES, takeEarlySocket } from './early-sockets';
 
-const DESTINATIONS_KEPT = 10_000;
+const MAXIMUM_CACHED_ADDRESSES = 10_000;
 
 /** Receives one datagram. */
 export type DatagramHandler = (payload: Buffer, from: Endpoint) => void;
@@ -20,7 +20,7 @@
 /** A bound socket. */
 export class UdpSocket {
   /** Dotted forms of endpoints sent to, since formatting costs as much as sending. */
-  private readonly addresses = new Map<Endpoint, string>();
+  private readonly addressCache = new Map<Endpoint, string>();
   private sendErrors = 0;
 
   private constructor(
@@ -44,9 +44,9 @@
     handler: DatagramHandler,
     shared = false,
   ): Promise<Result<UdpSocket, HallholdError>> {
-    const early = takeEarly(address, port);
+    const early = takeEarlySocket(address, port);
     if (early) {
-      return Promise.resolve(new Ok(UdpSocket.adopt(early, handler)));
+      return Promise.resolve(new Ok(UdpSocket.wrapSocket(early, handler)));
     }
     const socket = createSocket({ type: 'udp4', reuseAddr: shared, lookup: resolveAddress });
     return new Promise((resolve) => {
@@ -57,7 +57,7 @@
       });
       socket.bind(port, address, () => {
         socket.removeAllListeners('error');
-        resolve(new Ok(UdpSocket.adopt(socket, handler)));
+        resolve(new Ok(UdpSocket.wrapSocket(socket, handler)));
       });
     });
   }
@@ -73,7 +73,7 @@
 
   /** Without a callback, which would cost a turn of the queue for each datagram. */
   send(to: Endpoint, payload: Buffer): void {
-    this.socket.send(payload, getEndpointPort(to), this.addressOf(to));
+    this.socket.send(payload, getEndpointPort(to), this.getAddress(to));
   }
 
   close(): void {
@@ -84,28 +84,28 @@
     return formatEndpoint(this.endpoint);
   }
 
-  private static adopt(socket: Socket, handler: DatagramHandler): UdpSocket {
+  private static wrapSocket(socket: Socket, handler: DatagramHandler): UdpSocket {
     const { address, port } = socket.address();
-    const adopted = new UdpSocket(socket, packEndpoint(address, port));
-    socket.on('error', () => adopted.sendErrors++);
+    const wrapped = new UdpSocket(socket, packEndpoint(address, port));
+    socket.on('error', () => wrapped.sendErrors++);
     socket.on('message', (payload, remote) => {
       handler(payload, packEndpoint(remote.address, remote.port));
     });
     socket.setRecvBufferSize(SOCKET_BUFFER_BYTES);
     socket.setSendBufferSize(SOCKET_BUFFER_BYTES);
-    return adopted;
+    return wrapped;
   }
 
-  private addressOf(to: Endpoint): string {
-    const known = this.addresses.get(to);
-    if (known !== undefined) {
-      return known;
+  private getAddress(to: Endpoint): string {
+    const cached = this.addressCache.get(to);
+    if (cached !== undefined) {
+      return cached;
     }
-    if (this.addresses.size >= DESTINATIONS_KEPT) {
-      this.addresses.clear();
+    if (this.addressCache.size >= MAXIMUM_CACHED_ADDRESSES) {
+      this.addressCache.clear();
     }
     const address = getEndpointAddress(to);
-    this.addresses.set(to, address);
+    this.addressCache.set(to, address);
     return address;
   }
 }
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -390,7 +390,7 @@
     const { id: incarnation, born } = target.life;
     const coldLeft = target.coldLeft(this.clock.now);
     const heartbeat = { incarnation, born, service, draining, slots: SLOTS, coldLeft, sequence };
-    agent.process.run(() => agent.node.heartbeat(heartbeat));
+    agent.process.run(() => agent.node.handleHeartbeat(heartbeat));
   }
 
   private deliverToTarget(agent: WorldAgent, bytes: Buffer): void {
--- a/src/standins/embedded-deployment.ts
+++ b/src/standins/embedded-deployment.ts
@@ -141,12 +141,12 @@
   async stop(): Promise<void> {
     this.fleets.forEach((fleet) => fleet.stop());
     this.fabric.stop();
-    await Promise.all(this.targets.map((target) => target.agent.vanish()));
+    await Promise.all(this.targets.map((target) => target.agent.terminate()));
     for (const { backend, backendSocket } of this.targets) {
       backend.stop();
       backendSocket.close();
     }
-    await Promise.all([...this.balancers.values()].map((balancer) => balancer.kill()));
+    await Promise.all([...this.balancers.values()].map((balancer) => balancer.terminate()));
     await this.platform.stop();
     this.environment.close();
   }
--- a/test/answer-repair.test.ts
+++ b/test/answer-repair.test.ts
@@ -1,6 +1,6 @@
 /** Answer repair: retransmission of packets lost between an agent and a client. */
 import test from 'ava';
-import { packetFormat } from '../platform/packet-head';
+import { packetFormat } from '../platform/packet-header';
 import type { Environment } from '../src/environment';
 import { Events, type EventFields, type EventKind } from '../src/logging/events';
 import { PacketMessageType } from '../src/packets/packet-messages';
@@ -667,7 +667,7 @@
 
   sendHeartbeat(incarnation: string): void {
     const heartbeat = { service: 'map', slots: 1, draining: false, coldLeft: 0, sequence: 1 };
-    this.agent.heartbeat({ ...heartbeat, incarnation });
+    this.agent.handleHeartbeat({ ...heartbeat, incarnation });
   }
 
   /** Delivers a client's packet from a balancer. */
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -7,9 +7,9 @@
 import test, { type ExecutionContext } from 'ava';
 import fc from 'fast-check';
 import { AgentObjects, readAgent } from '../platform/agent-objects';
-import { evacuatedZones, readEvacuatedZone } from '../platform/evacuated-zones';
+import { createEvacuatedZoneCollection, readEvacuatedZone } from '../platform/evacuated-zones';
 import { ObjectApi } from '../platform/object-api';
-import { readRoutingTable, routingTables } from '../platform/routing-document';
+import { readRoutingTable, createRoutingTableCollection } from '../platform/routing-document';
 import { readEvent, readObject } from '../platform/stored-objects';
 import { readHeartbeat, serveHeartbeats } from '../platform/target-calls';
 import { packEndpoint, parseEndpoint } from '../src/core/endpoint';
@@ -175,9 +175,9 @@
   const server = serveHeartbeats(
     packEndpoint('127.0.0.1', 0),
     {
-      heartbeat: ({ service }) => taken.push(service) > 0 && service === 'map',
-      heartbeatRefused: () => refused++,
-      targetLeaves: () => undefined,
+      handleHeartbeat: ({ service }) => taken.push(service) > 0 && service === 'map',
+      recordRefusedHeartbeat: () => refused++,
+      handleTargetLeaving: () => undefined,
     },
     (error) => t.fail(error.message),
   );
@@ -200,8 +200,8 @@
   world.runFor(4_000);
   const { node } = world.agents[0]!;
   const state = { slots: 5, draining: true, coldLeft: 0, sequence: 99 };
-  t.false(node.heartbeat({ incarnation: 'other', service: 'nowhere', ...state }));
-  t.true(node.heartbeat({ incarnation: 'other', service: 'tiles', ...state }));
+  t.false(node.handleHeartbeat({ incarnation: 'other', service: 'nowhere', ...state }));
+  t.true(node.handleHeartbeat({ incarnation: 'other', service: 'tiles', ...state }));
 });
 
 const INVALID_OBJECTS: readonly unknown[] = [
@@ -276,7 +276,7 @@
     [AGENT],
   );
   t.is(changes.unwrap().skipped, 2 * INVALID_OBJECTS.length);
-  const zones = evacuatedZones(api);
+  const zones = createEvacuatedZoneCollection(api);
   const names = (await awaitAnswer(zones.list.bind(zones))).unwrap().items.map(({ name }) => name);
   t.true(names.includes('10-0-0-1'), 'an object of any content evacuates the zone of its name');
 });
@@ -285,7 +285,7 @@
   const bodies = ['not json', '{}', '{"items":7,"at":1}', '{"items":[],"at":"1"}', '[]', '\u0000'];
   for (const body of bodies) {
     const api = await createApi(t, (_path, response) => response.end(body));
-    const tables = routingTables(api);
+    const tables = createRoutingTableCollection(api);
     const listing = await awaitAnswer(tables.list.bind(tables));
     t.is(listing.err && listing.val.resultCode, ResultCodes.storeAnswerInvalid, body);
   }
@@ -349,10 +349,10 @@
     target.stop();
     await cluster.stop();
   });
-  await waitFor(async () => (await target.beat()) === 200);
-  await cluster.whenReady('127.61.1.1');
-  t.true(await client.open('127.61.1.1'));
-  t.is(await client.ask('127.61.1.1', 'one'), 'answer to one');
+  await waitFor(async () => (await target.sendHeartbeat()) === 200);
+  await cluster.waitUntilReady('127.61.1.1');
+  t.true(await client.openFlow('127.61.1.1'));
+  t.is(await client.sendRequest('127.61.1.1', 'one'), 'answer to one');
   addInvalidObjects();
   store.put('config', 'main', { version: 'none' });
   const invalidHeartbeat = JSON.stringify({
@@ -369,7 +369,7 @@
     invalidHeartbeat,
   );
   t.is(await status, 400);
-  t.is(await client.ask('127.61.1.1', 'two'), 'answer to two');
-  t.is(await cluster.readiness('127.61.1.1'), 200);
+  t.is(await client.sendRequest('127.61.1.1', 'two'), 'answer to two');
+  t.is(await cluster.fetchReadiness('127.61.1.1'), 200);
   t.deepEqual([balancer.child.exitCode, agent.child.exitCode], [null, null]);
 });
--- a/test/integration-processes.test.ts
+++ b/test/integration-processes.test.ts
@@ -38,7 +38,7 @@
     t.is(summary.misdelivered, 0);
     t.is(summary.unanswered, 0);
 
-    const runs = await Promise.all([0, 1, 2].map((index) => fetchJson(cluster.recordUrl(index))));
+    const runs = await Promise.all([0, 1, 2].map((index) => fetchJson(cluster.getRecordUrl(index))));
     const attempts = runs.flatMap((run) => run.attempts as string[]);
     const reports = attempts.map((attempt) => attempt.split('#')[0]);
     t.true(reports.length > 10);
@@ -63,10 +63,10 @@
   });
   try {
     await cluster.start(2, 3);
-    const api = cluster.balancerApi(1);
-    const drained = cluster.write(
+    const api = cluster.getBalancerUrl(1);
+    const drained = cluster.writeFile(
       'drain.csv',
-      cluster.table(3, (number) => (number === 2 ? 0 : 1)),
+      cluster.createTable(3, (number) => (number === 2 ? 0 : 1)),
     );
     const diff = await cluster.run('table', 'diff', drained, '--api', api);
     t.regex(diff.stdout, /- live-map,target-2,.*,1,5,2000\n +\+ live-map,target-2,.*,0,5,2000/);
@@ -74,16 +74,16 @@
     t.is(put.code, 0, put.stderr);
     t.regex(put.stdout, /live-map: 3 rows accepted at revision \d+, 1 copies confirmed/);
 
-    const bad = cluster.write(
+    const bad = cluster.writeFile(
       'bad.csv',
-      cluster.table(3, (number) => (number === 3 ? -1 : 1)),
+      cluster.createTable(3, (number) => (number === 3 ? -1 : 1)),
     );
     const refused = await cluster.run('table', 'put', bad, '--api', api);
     t.is(refused.code, 1);
     t.regex(refused.stderr, /error 1101 table-invalid/);
     t.regex(refused.stderr, /line 4, column share: must be a number/);
 
-    const got = await cluster.run('table', 'get', '--api', cluster.balancerApi(0));
+    const got = await cluster.run('table', 'get', '--api', cluster.getBalancerUrl(0));
     t.regex(got.stdout, /live-map,target-2,[\d.]+:7000,0,5,2000/);
     t.regex(got.stdout, /live-map,target-3,[\d.]+:7000,1,5,2000/);
 
@@ -120,15 +120,15 @@
     const mix = ['--feeds', '9', '--reporters', '9', '--seconds', '14'];
     const calling = cluster.spawn('caller', ['standin', 'caller', ...to, ...mix]);
     await cluster.waitForFlows(18);
-    const settings = cluster.path('agent-0.yaml');
-    const before = await fetchJson(cluster.agentStatus(0));
+    const settings = cluster.getPath('agent-0.yaml');
+    const before = await fetchJson(cluster.getAgentStatusUrl(0));
     cluster.spawn('successor', ['agent', '--settings', settings, '--take-over']);
     t.is(await cluster.children.get('agent-1')!.ended, 0, 'the predecessor ends by itself');
     await waitFor('the successor serves', async () => {
-      const after = await fetchJson(cluster.agentStatus(0));
-      return flowsOf(after) >= flowsOf(before);
+      const after = await fetchJson(cluster.getAgentStatusUrl(0));
+      return getFlowCount(after) >= getFlowCount(before);
     });
-    t.true(flowsOf(before) > 0);
+    t.true(getFlowCount(before) > 0);
     t.is(await calling.ended, 0, calling.stderr());
     const summary = JSON.parse(calling.stdout()) as CallerSummary;
     t.true(summary.flowsOpened >= 18, JSON.stringify(summary));
@@ -163,7 +163,7 @@
     const summary = JSON.parse(calling.stdout()) as CallerSummary;
     t.true(summary.flowsOpened >= 12, JSON.stringify(summary));
     t.is(summary.flowsBroken + summary.unanswered + summary.wrongAnswers, 0);
-    for (const address of [cluster.address(10), cluster.address(20)]) {
+    for (const address of [cluster.getAddress(10), cluster.getAddress(20)]) {
       const metrics = await (await fetch(`http://${address}:7080/metrics`)).text();
       t.regex(metrics, /hallhold_events_total/);
       t.regex(metrics, /hallhold_(balancer|agent)_control_bytes_sent \d+/);
@@ -171,16 +171,16 @@
       t.is((await fetch(`http://${address}:7080/healthz`)).status, 200);
       t.is((await fetch(`http://${address}:7080/readyz`)).status, 200);
     }
-    const openApi = await fetchJson(`${cluster.balancerApi(0)}/openapi.json`);
+    const openApi = await fetchJson(`${cluster.getBalancerUrl(0)}/openapi.json`);
     t.true(Object.keys(openApi.paths as object).includes('/tables/{service}'));
 
     const wrongKey = new FrameCodec([{ id: 1, secret: Buffer.from(oldKey.secret) }]);
     const frame = wrongKey.encode({ type: MessageType.tableRequest, haveThrough: 0 });
     const socket = (await UdpSocket.bind('127.0.0.1', 0, () => undefined)).unwrap();
-    socket.send(parseEndpoint(`${cluster.address(10)}:7000`).unwrap(), frame);
-    socket.send(parseEndpoint(`${cluster.address(10)}:7000`).unwrap(), Buffer.from('noise'));
+    socket.send(parseEndpoint(`${cluster.getAddress(10)}:7000`).unwrap(), frame);
+    socket.send(parseEndpoint(`${cluster.getAddress(10)}:7000`).unwrap(), Buffer.from('noise'));
     await waitFor('frames under the old key are counted', async () => {
-      const metrics = await (await fetch(`${cluster.balancerApi(0)}/metrics`)).text();
+      const metrics = await (await fetch(`${cluster.getBalancerUrl(0)}/metrics`)).text();
       return /hallhold_balancer_frames_rejected 2/.test(metrics);
     });
     socket.close();
@@ -189,6 +189,6 @@
   }
 });
 
-function flowsOf(status: Record<string, unknown>): number {
+function getFlowCount(status: Record<string, unknown>): number {
   return (status.statistics as { flows: number }).flows;
 }
--- a/test/packet-processes.test.ts
+++ b/test/packet-processes.test.ts
@@ -12,7 +12,7 @@
 } from './support/packet-cluster';
 
 /** Seconds of strays: 100 lines of about 200 bytes in each, against a pipe of 64 KB. */
-const LOG_ROUNDS = 5;
+const LOG_FLOOD_SECONDS = 5;
 const ROUTE = ['198.18.0.1', 8_443] as const;
 const CONFIGURATION = {
   version: 3,
@@ -21,7 +21,7 @@
   limits: {},
 };
 
-interface Scene {
+interface Harness {
   readonly cluster: PacketCluster;
   readonly targets: readonly PacketTarget[];
   readonly client: PacketClient;
@@ -30,7 +30,7 @@
 }
 
 /** Two balancers, two agents with their targets, one client. `net` keeps tests apart. */
-async function createScene(t: ExecutionContext, net: number): Promise<Scene> {
+async function createHarness(t: ExecutionContext, net: number): Promise<Harness> {
   const base = 21_000 + net * 10;
   const cluster = new PacketCluster(createPorts(base));
   await cluster.start();
@@ -48,75 +48,75 @@
     targets.forEach((target) => target.stop());
     await cluster.stop();
   });
-  await Promise.all(targets.map((target) => waitFor(async () => (await target.beat()) === 200)));
-  await Promise.all(balancers.map((machine) => cluster.whenReady(machine)));
+  await Promise.all(targets.map((target) => waitFor(async () => (await target.sendHeartbeat()) === 200)));
+  await Promise.all(balancers.map((machine) => cluster.waitUntilReady(machine)));
   return { cluster, targets, client, balancers, agents };
 }
 
 test('a flow goes on over another balancer and over the restart of its agent', async (t) => {
-  const { cluster, targets, client, balancers, agents } = await createScene(t, 31);
-  t.true(await client.open(balancers[0]!));
-  t.is(await client.ask(balancers[0]!, 'one'), 'answer to one');
-  t.is(await client.ask(balancers[1]!, 'two'), 'answer to two');
+  const { cluster, targets, client, balancers, agents } = await createHarness(t, 31);
+  t.true(await client.openFlow(balancers[0]!));
+  t.is(await client.sendRequest(balancers[0]!, 'one'), 'answer to one');
+  t.is(await client.sendRequest(balancers[1]!, 'two'), 'answer to two');
   const holder = targets.findIndex(({ flows }) => flows.size > 0);
   const process = cluster.processes[holder]!;
   process.child.kill('SIGKILL');
   await process.exit;
   cluster.spawn('agent', agents[holder]!, 'map');
-  t.is(await client.ask(balancers[0]!, 'three'), 'answer to three');
+  t.is(await client.sendRequest(balancers[0]!, 'three'), 'answer to three');
   const ran = targets.flatMap(({ requests }) => requests);
   t.deepEqual([...new Set(ran)].sort(), ['one', 'three', 'two']);
   t.is(targets.filter(({ requests }) => requests.length > 0).length, 1);
 });
 
 test('a flow that no target holds is reset at once', async (t) => {
-  const { client, balancers } = await createScene(t, 32);
-  t.is(await client.ask(balancers[0]!, 'lost'), 'reset');
+  const { client, balancers } = await createHarness(t, 32);
+  t.is(await client.sendRequest(balancers[0]!, 'lost'), 'reset');
 });
 
 test('a draining target is acknowledged and gets no new flow', async (t) => {
-  const { targets, client, balancers } = await createScene(t, 33);
+  const { targets, client, balancers } = await createHarness(t, 33);
   t.is(await targets[0]!.drain(), 200);
-  t.true(await client.open(balancers[0]!));
+  t.true(await client.openFlow(balancers[0]!));
   t.is(targets[0]!.flows.size, 0);
   t.is(targets[1]!.flows.size, 1);
 });
 
 test('a planned stop says not ready first, serves on, and ends well', async (t) => {
-  const { cluster, client, balancers } = await createScene(t, 34);
-  t.true(await client.open(balancers[0]!));
+  const { cluster, client, balancers } = await createHarness(t, 34);
+  t.true(await client.openFlow(balancers[0]!));
   const stopping = cluster.processes[2]!;
   stopping.child.kill('SIGTERM');
-  await waitFor(async () => (await cluster.readiness(balancers[0]!)) === 503);
-  t.is(await client.ask(balancers[0]!, 'late'), 'answer to late');
+  await waitFor(async () => (await cluster.fetchReadiness(balancers[0]!)) === 503);
+  t.is(await client.sendRequest(balancers[0]!, 'late'), 'answer to late');
   t.is(await stopping.exit, 0);
 });
 
 test('a signal to reload, with good or broken settings, ends nothing', async (t) => {
-  const { cluster, client, balancers } = await createScene(t, 35);
+  const { cluster, client, balancers } = await createHarness(t, 35);
   const balancer = cluster.processes[2]!;
   balancer.child.kill('SIGHUP');
   writeFileSync(balancer.settingsPath, '{"name":');
   balancer.child.kill('SIGHUP');
   appendFileSync(balancer.settingsPath, 'x');
-  t.true(await client.open(balancers[0]!));
-  t.is(await client.ask(balancers[0]!, 'still here'), 'answer to still here');
+  t.true(await client.openFlow(balancers[0]!));
+  t.is(await client.sendRequest(balancers[0]!, 'still here'), 'answer to still here');
   t.is(balancer.child.exitCode, null);
 });
 
 test('a reader that does not read the log does not stop the packets', async (t) => {
-  const { cluster, client, balancers } = await createScene(t, 36);
-  t.true(await client.open(balancers[0]!));
+  const { cluster, client, balancers } = await createHarness(t, 36);
+  t.true(await client.openFlow(balancers[0]!));
   // Nobody reads the output. Packets without a route make more lines than a pipe holds.
   const socket = createSocket('udp4');
   t.teardown(() => socket.close());
-  for (let round = 0; round < LOG_ROUNDS; round++) {
+  for (let round = 0; round < LOG_FLOOD_SECONDS; round++) {
     for (let index = 0; index < 100; index++) {
       const source = ['127.36.9.2', 1_000 + index] as const;
       const stray = encodePacket(source, ['198.18.0.9', 1], 128, 1, 1);
       socket.send(stray, cluster.ports.packets, balancers[0]!);
     }
-    t.is(await client.ask(balancers[0]!, `n${round}`), `answer to n${round}`);
+    t.is(await client.sendRequest(balancers[0]!, `n${round}`), `answer to n${round}`);
     await new Promise((done) => setTimeout(done, 1_000));
   }
   const stopping = cluster.processes[2]!;
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -1,6 +1,6 @@
 /** Queueing of requests at the agent, and of packets during a balancer's startup. */
 import test from 'ava';
-import { packetFormat } from '../platform/packet-head';
+import { packetFormat } from '../platform/packet-header';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import { FlowTracker } from '../src/packets/flow-tracker';
 import { RequestQueue, type WaitingRequest } from '../src/packets/queue/request-queue';
--- a/test/packet-store-copy.test.ts
+++ b/test/packet-store-copy.test.ts
@@ -60,8 +60,8 @@
     target.stop();
     await cluster.stop();
   });
-  await waitFor(async () => (await target.beat()) === 200);
-  await cluster.whenReady(balancer);
+  await waitFor(async () => (await target.sendHeartbeat()) === 200);
+  await cluster.waitUntilReady(balancer);
   await pause(READING_DELAY_MS);
   return { cluster, balancer, client };
 }
@@ -74,7 +74,7 @@
   while (Date.now() - begin < APPLY_TIME_MS) {
     await pause(RETRY_INTERVAL_MS);
     client.received.length = 0;
-    if (await client.open(balancer)) {
+    if (await client.openFlow(balancer)) {
       return Date.now() - begin < APPLY_TIME_MS;
     }
   }
@@ -91,19 +91,19 @@
   test(`a table written after a restore is served in time: outage ${outageMs} ms, ${where}`, async (t) => {
     const harness = await createClusterHarness(t, 50 + index);
     const { store } = harness.cluster;
-    const backup = store.copy();
+    const backup = store.createBackup();
     store.advance(20);
     store.put('config', 'main', createConfiguration(5, [FIRST_ROUTE]));
     await pause(500);
     if (outageMs > 0) {
-      store.spoiler = (call) => (call.socket.resetAndDestroy(), true);
+      store.faultInjector = (call) => (call.socket.resetAndDestroy(), true);
       await pause(outageMs);
     }
-    store.returnFrom(backup);
+    store.restoreFrom(backup);
     store.put('config', 'main', createConfiguration(5, [FIRST_ROUTE]));
     store.put('config', 'main', createConfiguration(6, [FIRST_ROUTE, ADDED_ROUTE]));
     store.advance(isPastOldRevision ? 60 : 0);
-    store.spoiler = undefined;
+    store.faultInjector = undefined;
     t.true(await isServedInTime(harness, Date.now()));
   });
 }
--- a/test/packet-units.test.ts
+++ b/test/packet-units.test.ts
@@ -30,7 +30,7 @@
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { createReport } from './support/reports';
 import { createSelectionContext } from './support/selection-context';
-import { parseMetricsPlace } from '../src/runtime/packet-metrics';
+import { parseMetricsLocation } from '../src/runtime/packet-metrics';
 
 function createHeartbeat(incarnation: string, sequence: number, draining = false): TargetHeartbeat {
   return { incarnation, service: 'map', slots: 5, draining, coldLeft: 0, sequence };
@@ -361,6 +361,6 @@
   const before = checkPacketSettings('f', document).unwrap();
   const after = checkPacketSettings('f', { ...document, seeds: ['10.0.0.2:1'], unknown: 1 });
   t.deepEqual(listChangedKeys(before, after.unwrap()), ['seeds']);
-  t.deepEqual(parseMetricsPlace('9100/metrics'), { port: 9_100, path: '/metrics' });
-  t.is(parseMetricsPlace('metrics'), undefined);
+  t.deepEqual(parseMetricsLocation('9100/metrics'), { port: 9_100, path: '/metrics' });
+  t.is(parseMetricsLocation('metrics'), undefined);
 });
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -290,7 +290,7 @@
   const world = startWorld(14);
   const leaving = world.agents[0]!;
   world.drain(leaving);
-  leaving.node.targetLeaves(leaving.target.life.id, leaving.target.life.born);
+  leaving.node.handleTargetLeaving(leaving.target.life.id, leaving.target.life.born);
   leaving.target.alive = false;
   leaving.node.beginStop(() => leaving.process.kill());
   world.runFor(500);
--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -6,11 +6,11 @@
 import fc from 'fast-check';
 import test from 'ava';
 import { AgentObjects } from '../platform/agent-objects';
-import { evacuatedZones } from '../platform/evacuated-zones';
+import { createEvacuatedZoneCollection } from '../platform/evacuated-zones';
 import { readLocalSettings } from '../platform/local-settings';
 import { ObjectApi } from '../platform/object-api';
-import { packetFormat } from '../platform/packet-head';
-import { readRoutingTable, routingTables } from '../platform/routing-document';
+import { packetFormat } from '../platform/packet-header';
+import { readRoutingTable, createRoutingTableCollection } from '../platform/routing-document';
 import { readHeartbeat, serveHeartbeats, serveReadiness } from '../platform/target-calls';
 import { formatEndpoint, packEndpoint, parseEndpoint } from '../src/core/endpoint';
 import type { HallholdError } from '../src/errors/hallhold-error';
@@ -21,8 +21,8 @@
 import type { TargetHeartbeat } from '../src/packets/target-lifecycle';
 import { awaitAnswer } from './support/answers';
 import { fetchStatus } from './support/fetch-status';
-import { ObjectApiStandin, type Spoiler } from './support/object-api-standin';
-import { SilenceGate } from './support/silence-gate';
+import { ObjectApiStandin, type FaultInjector } from './support/object-api-standin';
+import { StallingProxy } from './support/stalling-proxy';
 
 const SYN = Buffer.from(
   '9c4164400007 01bbc6120001 0000 00000000 a1b2c3d5 11223344 00000000 10'.replaceAll(' ', ''),
@@ -141,7 +141,7 @@
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
-  const collection = evacuatedZones(api);
+  const collection = createEvacuatedZoneCollection(api);
   standin.put('evacuations', 'hall-1', {});
   standin.put('other', 'hall-2', {});
   const listing = await awaitAnswer<Listing<EvacuatedZone>>((answer) => collection.list(answer));
@@ -162,16 +162,16 @@
 
 test('a connection that falls silent ends the calls on all of them, and new ones work', async (t) => {
   const standin = new ObjectApiStandin();
-  const gate = new SilenceGate(Number((await standin.start()).split(':')[1]));
+  const gate = new StallingProxy(Number((await standin.start()).split(':')[1]));
   const api = new ObjectApi(parseEndpoint(await gate.start()).unwrap());
   t.teardown(() => (api.close(), gate.stop(), standin.stop()));
-  const tables = routingTables(api);
+  const tables = createRoutingTableCollection(api);
   const waiting = awaitAnswer<Changes<RoutingTable>>((answer) =>
     tables.awaitChanges({ era: 2, revision: 1 }, 10_000, answer),
   );
-  await untilCalled(standin, 1);
+  await waitForCalls(standin, 1);
   t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
-  gate.silence();
+  gate.stallConnections();
   const startedAt = performance.now();
   const probe = await awaitAnswer<void>((answer) => api.check(300, answer));
   const ended = await waiting;
@@ -181,7 +181,7 @@
   t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
 });
 
-async function untilCalled(standin: ObjectApiStandin, calls: number): Promise<void> {
+async function waitForCalls(standin: ObjectApiStandin, calls: number): Promise<void> {
   while (standin.calls.length < calls) {
     await new Promise((done) => setTimeout(done, 10));
   }
@@ -210,7 +210,7 @@
   t.is(standin.get('agents', '10-0-0-1'), undefined);
 });
 
-const SPOILED: readonly [string, Spoiler, string][] = [
+const INVALID_ANSWERS: readonly [string, FaultInjector, string][] = [
   ['429', (_call, response) => (response.writeHead(429).end('{}'), true), 'store-unavailable'],
   ['503', (_call, response) => (response.writeHead(503).end('{}'), true), 'store-unavailable'],
   ['410', (_call, response) => (response.writeHead(410).end('{}'), true), 'store-watch-expired'],
@@ -239,14 +239,14 @@
   ],
 ];
 
-for (const [name, spoiler, expected] of SPOILED) {
+for (const [name, spoiler, expected] of INVALID_ANSWERS) {
   test(`a bad answer of the store is one numbered error: ${name}`, async (t) => {
     const standin = new ObjectApiStandin();
-    standin.spoiler = spoiler;
+    standin.faultInjector = spoiler;
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
     const result = await awaitAnswer((answer: ResultCallback<never>) =>
-      routingTables(api).list(answer as never),
+      createRoutingTableCollection(api).list(answer as never),
     );
     t.is(result.err && result.val.resultCode.name, expected);
   });
@@ -260,9 +260,9 @@
   const server = serveHeartbeats(
     packEndpoint('127.0.0.1', 0),
     {
-      heartbeat: (beat) => beats.push(beat) > 0,
-      heartbeatRefused: () => undefined,
-      targetLeaves: (id) => left.push(id),
+      handleHeartbeat: (beat) => beats.push(beat) > 0,
+      recordRefusedHeartbeat: () => undefined,
+      handleTargetLeaving: (id) => left.push(id),
     },
     (error) => t.fail(error.message),
   );
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -3,7 +3,7 @@
 import { execFileSync } from 'node:child_process';
 import { createServer } from 'node:net';
 import { parseEndpoint } from '../src/core/endpoint';
-import { bindEarly } from '../src/runtime/early-sockets';
+import { bindEarlySocket } from '../src/runtime/early-sockets';
 import type { FlowPacket } from '../src/packets/flow-packet';
 import { StartupBacklog, type OpeningGroup } from '../src/packets/startup/startup-backlog';
 import { FlowTracker } from '../src/packets/flow-tracker';
@@ -35,7 +35,7 @@
 
 test('a datagram that arrives before the program binds its socket is received', async (t) => {
   const endpoint = '127.41.1.1:21411';
-  bindEarly(endpoint);
+  bindEarlySocket(endpoint);
   sendFromOtherProcess(21_411, '127.41.1.1', 'opening');
   const received: string[] = [];
   const bound = await UdpSocket.bindEndpoint(parseEndpoint(endpoint).unwrap(), (bytes) =>
@@ -52,14 +52,14 @@
   const endpoint = parseEndpoint('127.41.1.1:21412').unwrap();
   const owner = (await UdpSocket.bindEndpoint(endpoint, () => undefined)).unwrap();
   t.teardown(() => owner.close());
-  bindEarly('127.41.1.1:21412');
+  bindEarlySocket('127.41.1.1:21412');
   const second = await UdpSocket.bindEndpoint(endpoint, () => undefined);
   t.is(second.err ? second.val.resultCode.number : 0, 1402);
 });
 
 test('an early-bound socket is returned only once', async (t) => {
   const endpoint = parseEndpoint('127.41.1.1:21413').unwrap();
-  bindEarly('127.41.1.1:21413');
+  bindEarlySocket('127.41.1.1:21413');
   const first = (await UdpSocket.bindEndpoint(endpoint, () => undefined)).unwrap();
   t.teardown(() => first.close());
   const second = await UdpSocket.bindEndpoint(endpoint, () => undefined);
--- a/test/soak/packet-seal.ts
+++ b/test/soak/packet-seal.ts
@@ -3,7 +3,7 @@
  * covers everything but the echo field and the bounce flag, which the system may write.
  */
 import { createHash } from 'node:crypto';
-import { Flag, HEAD_BYTES } from '../support/packet-cluster';
+import { Flag, HEADER_BYTES } from '../support/packet-cluster';
 
 const ECHO = 14;
 const SUM = 18;
@@ -28,7 +28,7 @@
 
 /** Whether a packet that reached its client is as the target wrote it, or a reset of the system. */
 export function isTargetsOwn(bytes: Buffer): boolean {
-  const isReset = bytes.length === HEAD_BYTES && bytes[FLAGS] === Flag.rst;
+  const isReset = bytes.length === HEADER_BYTES && bytes[FLAGS] === Flag.rst;
   const isSystemReset = isReset && bytes.readUInt32BE(SUM) === 0;
   return bytes.readUInt32BE(ECHO) === 0 && (isSystemReset || isClientsOwn(bytes));
 }
--- a/test/soak/soak-client.ts
+++ b/test/soak/soak-client.ts
@@ -1,10 +1,10 @@
 /** One flow of one client of the soak, with the requests it carries one after the other. */
-import { packetFormat } from '../../platform/packet-head';
+import { packetFormat } from '../../platform/packet-header';
 import { getEndpointAddress, getEndpointPort } from '../../src/core/endpoint';
 import type { Endpoint } from '../../src/environment';
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
 import { computeEndSequence } from '../../src/packets/repair/sequence-numbers';
-import { encodePacket, Flag, HEAD_BYTES } from '../support/packet-cluster';
+import { encodePacket, Flag, HEADER_BYTES } from '../support/packet-cluster';
 import { seal } from './packet-seal';
 
 const OPENING_COPIES = [0, 200, 600] as const;
@@ -87,7 +87,7 @@
       this.opened(packet);
     } else if (packet.payloadLength > 0 && this.isWaiting(packet.acknowledgement)) {
       this.acknowledged = computeEndSequence(packet);
-      this.answered(bytes.toString('utf8', HEAD_BYTES), packet.ends);
+      this.answered(bytes.toString('utf8', HEADER_BYTES), packet.ends);
     } else {
       this.acknowledge();
     }
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -158,7 +158,7 @@
     machines.forEach(({ gate }) => gate.setMode(mode));
     later(length, () => machines.forEach(({ gate }) => gate.setMode('serving')));
   }),
-  unplanned('store forgets', ({ world }) => world.store.forgetHistory()),
+  unplanned('store forgets', ({ world }) => world.store.compactHistory()),
   planned('target crashes', ({ agent, length }) => crash(agent, length)),
   planned('target starts again under its name', ({ agent, length }) => {
     if (agent.target.alive) {
--- a/test/soak/soak-router.ts
+++ b/test/soak/soak-router.ts
@@ -1,7 +1,7 @@
 /** The routers of the soak: probe the balancers and send clients' packets to those in use. */
 import { createSocket, type Socket } from 'node:dgram';
 import { request } from 'node:http';
-import { packetFormat } from '../../platform/packet-head';
+import { packetFormat } from '../../platform/packet-header';
 import { computeRendezvousScore } from '../../src/core/hashing';
 import type { ClusterPorts } from '../support/packet-cluster';
 
--- a/test/soak/soak-target.ts
+++ b/test/soak/soak-target.ts
@@ -6,10 +6,10 @@
 import { createSocket, type Socket } from 'node:dgram';
 import { request } from 'node:http';
 import { createServer, type Server } from 'node:net';
-import { packetFormat } from '../../platform/packet-head';
+import { packetFormat } from '../../platform/packet-header';
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
 import type { JudgedTarget } from '../../src/simulation/packets/world-judge';
-import { encodePacket, Flag, HEAD_BYTES, type ClusterPorts } from '../support/packet-cluster';
+import { encodePacket, Flag, HEADER_BYTES, type ClusterPorts } from '../support/packet-cluster';
 import { isClientsOwn, seal } from './packet-seal';
 
 const HEARTBEAT_INTERVAL = 400;
@@ -236,7 +236,7 @@
       return;
     }
     flow.answers.set(packet.sequence, undefined);
-    const text = packet.bytes.toString('utf8', HEAD_BYTES);
+    const text = packet.bytes.toString('utf8', HEADER_BYTES);
     this.observer.requestRan(this.judged, text);
     const { incarnation } = this;
     const status = fate < RESET_SHARE + ERROR_SHARE ? '503 Service Unavailable' : '200 OK';
--- a/test/soak/soak-world.ts
+++ b/test/soak/soak-world.ts
@@ -15,7 +15,7 @@
   type JudgedTarget,
 } from '../../src/simulation/packets/world-judge';
 import { SeededRandom } from '../../src/simulation/seeded-random';
-import { ObjectApiStandin, type StoreCopy } from '../support/object-api-standin';
+import { ObjectApiStandin, type StoreBackup } from '../support/object-api-standin';
 import type { ClusterPorts } from '../support/packet-cluster';
 import { FrameSwitch, USUAL_LOSS } from './frame-switch';
 import { isTargetsOwn } from './packet-seal';
@@ -105,7 +105,7 @@
   private router: SoakRouter | undefined;
   private nextClient = 0;
   private latestTable: unknown;
-  private readonly copies: StoreCopy[] = [];
+  private readonly copies: StoreBackup[] = [];
   private version = 0;
 
   /** @param network second byte of all loopback addresses, which keeps runs apart */
@@ -195,13 +195,13 @@
 
   /** Keeps a copy of the store, the latest few of them. */
   keepCopy(): void {
-    this.copies.push(this.store.copy());
+    this.copies.push(this.store.createBackup());
     this.copies.splice(0, this.copies.length - COPIES_KEPT);
   }
 
   /** The store comes back from one of its copies. */
   returnStore(): void {
-    this.store.returnFrom(this.faultRandom.pick(this.copies));
+    this.store.restoreFrom(this.faultRandom.pick(this.copies));
   }
 
   /** Opens one flow; the returned client goes on by itself. */
--- a/test/soak/store-gate.ts
+++ b/test/soak/store-gate.ts
@@ -22,21 +22,21 @@
 type Treatment = (gate: StoreGate, call: IncomingMessage, response: ServerResponse) => void;
 
 const TREATMENTS: Readonly<Record<GateMode, Treatment>> = {
-  serving: (gate, call, response) => gate.store.take(call, response),
+  serving: (gate, call, response) => gate.store.handleCall(call, response),
   unavailable: (_gate, call, response) => refuse(call, response, 503),
   throttled: (_gate, call, response) => refuse(call, response, 429),
   reset: (_gate, call) => call.socket.resetAndDestroy(),
   silent: (_gate, call) => void call.resume(),
   slow: (gate, call, response) =>
-    void setTimeout(() => gate.store.take(call, response), SLOW).unref(),
+    void setTimeout(() => gate.store.handleCall(call, response), SLOW).unref(),
   'answers lost': (gate, call, response) => {
     response.end = () => response;
-    gate.store.take(call, response);
+    gate.store.handleCall(call, response);
   },
   'writes late': (gate, call, response) => {
     const isWrite = call.method !== 'GET';
     response.end = isWrite ? () => response : response.end;
-    setTimeout(() => gate.store.take(call, response), isWrite ? LATE : 0).unref();
+    setTimeout(() => gate.store.handleCall(call, response), isWrite ? LATE : 0).unref();
   },
 };
 
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -6,7 +6,7 @@
 import test from 'ava';
 import { AgentObjects } from '../platform/agent-objects';
 import { ObjectApi } from '../platform/object-api';
-import { routingTables } from '../platform/routing-document';
+import { createRoutingTableCollection } from '../platform/routing-document';
 import { parseEndpoint } from '../src/core/endpoint';
 import { ResultCodes } from '../src/errors/result-codes';
 import { Events, type EventFields, type EventKind } from '../src/logging/events';
@@ -55,9 +55,9 @@
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
-  const collection = routingTables(api);
+  const collection = createRoutingTableCollection(api);
   const first = (await awaitAnswer(collection.list.bind(collection))).unwrap();
-  standin.returnFrom(standin.copy());
+  standin.restoreFrom(standin.createBackup());
   // The first call may still use a connection that the restore has closed.
   const afterRestore = await awaitAnswer(collection.list.bind(collection));
   const listed = afterRestore.ok
@@ -65,14 +65,14 @@
     : await awaitAnswer(collection.list.bind(collection));
   const second = listed.unwrap();
   t.is(second.era, first.era + 1);
-  standin.spoiler = (_call, response) => {
+  standin.faultInjector = (_call, response) => {
     response.removeHeader('Store-Era');
     return false;
   };
   t.is((await awaitAnswer(collection.list.bind(collection))).unwrap().era, second.era, 'as before');
   const other = new ObjectApi(parseEndpoint(standin.address).unwrap());
   t.teardown(() => other.close());
-  const unnamed = routingTables(other);
+  const unnamed = createRoutingTableCollection(other);
   t.is((await awaitAnswer(unnamed.list.bind(unnamed))).unwrap().era, 0);
 });
 
@@ -96,10 +96,10 @@
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
-  const tables = routingTables(api);
+  const tables = createRoutingTableCollection(api);
   const position: StorePosition = (await awaitAnswer(tables.list.bind(tables))).unwrap();
   // The restore does not end this call: it keeps waiting, and only another call is answered.
-  standin.spoiler = (call) => call.url?.includes('watch') === true;
+  standin.faultInjector = (call) => call.url?.includes('watch') === true;
   const waiting = awaitAnswer<Changes<RoutingTable>>((answer) =>
     tables.awaitChanges(position, 10_000, answer),
   );
@@ -119,10 +119,10 @@
     const standin = new ObjectApiStandin();
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
-    const tables = routingTables(api);
+    const tables = createRoutingTableCollection(api);
     const position: StorePosition = (await awaitAnswer(tables.list.bind(tables))).unwrap();
     standin.raiseEra();
-    standin.spoiler = (_call, response) => (response.writeHead(status).end('{}'), true);
+    standin.faultInjector = (_call, response) => (response.writeHead(status).end('{}'), true);
     const ended = await awaitAnswer<Changes<RoutingTable>>((answer) =>
       tables.awaitChanges(position, 10_000, answer),
     );
--- a/test/support/agent-harness.ts
+++ b/test/support/agent-harness.ts
@@ -1,5 +1,5 @@
 /** A complete agent whose target, clients and balancer are simulated by the test. */
-import { packetFormat } from '../../platform/packet-head';
+import { packetFormat } from '../../platform/packet-header';
 import { packEndpoint } from '../../src/core/endpoint';
 import { PacketAgent } from '../../src/packets/packet-agent';
 import type { PacketAgentSettings } from '../../src/packets/packet-agent-contracts';
--- a/test/support/object-api-standin.ts
+++ b/test/support/object-api-standin.ts
@@ -14,31 +14,31 @@
   readonly gone: boolean;
 }
 
-type Send = (status: number, body: unknown) => void;
+type SendAnswer = (status: number, body: unknown) => void;
 
 /** Spoils an answer; returns true when it has answered itself. */
-export type Spoiler = (call: IncomingMessage, response: ServerResponse) => boolean;
+export type FaultInjector = (call: IncomingMessage, response: ServerResponse) => boolean;
 
 /** What the store held at some time. */
-export interface StoreCopy {
+export interface StoreBackup {
   readonly revision: number;
   readonly objects: ReadonlyMap<string, ReadonlyMap<string, Stored>>;
 }
 
 /** The stand-in. */
 export class ObjectApiStandin {
-  spoiler: Spoiler | undefined;
+  faultInjector: FaultInjector | undefined;
   readonly calls: string[] = [];
   private readonly objects = new Map<string, Map<string, Stored>>();
   private readonly events: Event[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly watches = new Set<() => void>();
   private revision = 1;
   private era = 1;
-  private forgottenThrough = 0;
+  private compactedThrough = 0;
   private server: Server | undefined;
 
   async start(): Promise<string> {
-    const server = createServer((call, response) => this.take(call, response));
+    const server = createServer((call, response) => this.handleCall(call, response));
     this.server = server;
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     return this.address;
@@ -87,30 +87,30 @@
 
   private publish(event: Event): void {
     this.events.push(event);
-    this.waiting.forEach((wake) => wake());
+    this.watches.forEach((wake) => wake());
   }
 
   /** Forgets its history: watches of earlier revisions get 410 from now on. */
-  forgetHistory(): void {
-    this.forgottenThrough = this.revision;
-    this.waiting.forEach((wake) => wake());
+  compactHistory(): void {
+    this.compactedThrough = this.revision;
+    this.watches.forEach((wake) => wake());
   }
 
   /** A copy of all that the store holds now. */
-  copy(): StoreCopy {
+  createBackup(): StoreBackup {
     const objects = new Map([...this.objects].map(([kind, known]) => [kind, new Map(known)]));
     return { revision: this.revision, objects };
   }
 
   /** Comes back from a copy: what was written since is gone, and its revisions are given out again. */
-  returnFrom({ revision, objects }: StoreCopy): void {
+  restoreFrom({ revision, objects }: StoreBackup): void {
     this.era++;
-    this.revision = this.forgottenThrough = revision;
+    this.revision = this.compactedThrough = revision;
     this.events.length = 0;
     this.objects.clear();
     objects.forEach((known, kind) => this.objects.set(kind, new Map(known)));
     this.server?.closeAllConnections();
-    this.waiting.forEach((wake) => wake());
+    this.watches.forEach((wake) => wake());
   }
 
   /** Writes of others, so that the revision passes one that it had before. */
@@ -124,13 +124,13 @@
   }
 
   /** Answers one call. */
-  take(call: IncomingMessage, response: ServerResponse): void {
+  handleCall(call: IncomingMessage, response: ServerResponse): void {
     const chunks: Buffer[] = [];
     call.on('data', (chunk: Buffer) => chunks.push(chunk));
     call.on('end', () => {
       this.calls.push(`${call.method} ${call.url}`);
       response.setHeader('Store-Era', this.era);
-      if (!this.spoiler?.(call, response)) {
+      if (!this.faultInjector?.(call, response)) {
         this.answer(call, response, Buffer.concat(chunks).toString());
       }
     });
@@ -139,7 +139,7 @@
   private answer(call: IncomingMessage, response: ServerResponse, text: string): void {
     const url = new URL(call.url ?? '/', 'http://standin');
     const [kind = '', name] = url.pathname.replace('/hallhold/objects/', '').split('/');
-    const send: Send = (status, body) => {
+    const send: SendAnswer = (status, body) => {
       response.writeHead(status, { 'Content-Type': 'application/json' });
       response.end(JSON.stringify(body));
     };
@@ -150,7 +150,7 @@
     }
   }
 
-  private read(kind: string, name: string | undefined, query: URLSearchParams, send: Send): void {
+  private read(kind: string, name: string | undefined, query: URLSearchParams, send: SendAnswer): void {
     const watch = query.get('watch');
     if (watch !== null) {
       this.watch(kind, Number(watch), Number(query.get('wait-ms')), send);
@@ -168,7 +168,7 @@
     kind: string,
     name: string | undefined,
     text: string,
-    send: Send,
+    send: SendAnswer,
   ): void {
     const body = (text === '' ? {} : JSON.parse(text)) as {
       meta?: { name: string };
@@ -189,31 +189,31 @@
     }
   }
 
-  private watch(kind: string, after: number, wait: number, send: Send): void {
+  private watch(kind: string, after: number, wait: number, send: SendAnswer): void {
     const finish = (): void => {
       clearTimeout(timer);
-      this.waiting.delete(wake);
-      const events = this.changes(kind, after);
-      const isForgotten = this.isGone(after);
+      this.watches.delete(wake);
+      const events = this.listChanges(kind, after);
+      const isForgotten = this.isCompacted(after);
       send(isForgotten ? 410 : 200, isForgotten ? {} : { events, at: this.revision });
     };
     const wake = (): void => {
-      if (this.changes(kind, after).length > 0 || this.isGone(after)) {
+      if (this.listChanges(kind, after).length > 0 || this.isCompacted(after)) {
         finish();
       }
     };
     const timer = setTimeout(finish, wait);
     timer.unref();
-    this.waiting.add(wake);
+    this.watches.add(wake);
     wake();
   }
 
   /** Whether the history after a revision is not to be had. */
-  private isGone(after: number): boolean {
-    return after < this.forgottenThrough || after > this.revision;
+  private isCompacted(after: number): boolean {
+    return after < this.compactedThrough || after > this.revision;
   }
 
-  private changes(kind: string, after: number): { object: Stored; gone: boolean }[] {
+  private listChanges(kind: string, after: number): { object: Stored; gone: boolean }[] {
     return this.events
       .filter((event) => event.kind === kind && event.rev > after)
       .map(({ object, gone }) => ({ object, gone }));
--- a/test/support/packet-cluster.ts
+++ b/test/support/packet-cluster.ts
@@ -4,13 +4,13 @@
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
-import { packetFormat } from '../../platform/packet-head';
+import { packetFormat } from '../../platform/packet-header';
 import { fetchStatus } from './fetch-status';
 import { ObjectApiStandin } from './object-api-standin';
 
 /** Bytes of a packet's head; its data follows. */
-export const HEAD_BYTES = 31;
-const MAIN = resolve(__dirname, '../../platform/main.js');
+export const HEADER_BYTES = 31;
+const MAIN_PATH = resolve(__dirname, '../../platform/main.js');
 /** Flags of a head. */
 export const Flag = { fin: 1, rst: 4, bounced: 8, syn: 16, ack: 128 } as const;
 
@@ -45,18 +45,18 @@
   acknowledgement: number,
   data = '',
 ): Buffer {
-  const bytes = Buffer.alloc(HEAD_BYTES + Buffer.byteLength(data));
-  const end = (at: number, [address, port]: readonly [string, number]): void => {
+  const bytes = Buffer.alloc(HEADER_BYTES + Buffer.byteLength(data));
+  const writeEndpoint = (at: number, [address, port]: readonly [string, number]): void => {
     bytes.writeUInt16BE(port, at);
     Buffer.from(address.split('.').map(Number)).copy(bytes, at + 2);
   };
-  end(0, source);
-  end(6, destination);
+  writeEndpoint(0, source);
+  writeEndpoint(6, destination);
   bytes.writeUInt16BE(Buffer.byteLength(data), 12);
   bytes.writeUInt32BE(sequence, 22);
   bytes.writeUInt32BE(acknowledgement, 26);
   bytes[30] = flags;
-  bytes.write(data, HEAD_BYTES);
+  bytes.write(data, HEADER_BYTES);
   return bytes;
 }
 
@@ -78,7 +78,7 @@
     private readonly ports: ClusterPorts,
     private readonly service: string,
   ) {
-    socket.on('message', (bytes) => this.take(bytes));
+    socket.on('message', (bytes) => this.handlePacket(bytes));
   }
 
   static async start(machine: string, ports: ClusterPorts, service: string): Promise<PacketTarget> {
@@ -92,11 +92,11 @@
 
   drain(): Promise<number> {
     this.state = 'draining';
-    return this.beat();
+    return this.sendHeartbeat();
   }
 
   /** Sends a heartbeat; answers the status, 0 when nobody took it. */
-  beat(): Promise<number> {
+  sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       service: this.service,
       addr: `${this.machine}:${this.ports.application}`,
@@ -110,7 +110,7 @@
     return fetchStatus(this.machine, this.ports.control, 'PUT', '/hallhold/instances/i-1', body);
   }
 
-  private take(bytes: Buffer): void {
+  private handlePacket(bytes: Buffer): void {
     const packet = packetFormat.decodeFromClient(bytes)!;
     const client = [bytes.subarray(2, 6).join('.'), bytes.readUInt16BE(0)] as const;
     const route = [bytes.subarray(8, 12).join('.'), bytes.readUInt16BE(6)] as const;
@@ -121,7 +121,7 @@
       bytes[30]! |= Flag.bounced;
       this.send(bytes);
     } else if (packet.payloadLength > 0) {
-      const text = bytes.toString('utf8', HEAD_BYTES);
+      const text = bytes.toString('utf8', HEADER_BYTES);
       this.requests.push(text);
       const answer = `answer to ${text}`;
       this.send(encodePacket(route, client, Flag.ack, 100, packet.sequence, answer));
@@ -163,10 +163,10 @@
   }
 
   /** Opens the flow through a balancer; true when a target answered. */
-  async open(balancer: string): Promise<boolean> {
+  async openFlow(balancer: string): Promise<boolean> {
     for (let copy = 0; copy < 3; copy++) {
       this.send(balancer, Flag.syn, copy, '');
-      if (await this.sees((flags) => (flags & (Flag.syn | Flag.rst)) !== 0, 600)) {
+      if (await this.waitForPacket((flags) => (flags & (Flag.syn | Flag.rst)) !== 0, 600)) {
         return (this.received.at(-1)![30]! & Flag.syn) !== 0;
       }
     }
@@ -174,18 +174,18 @@
   }
 
   /** Sends a request through a balancer, again and again, until its answer or a reset comes. */
-  async ask(balancer: string, text: string, milliseconds = 8_000): Promise<string> {
+  async sendRequest(balancer: string, text: string, milliseconds = 8_000): Promise<string> {
     this.sequence++;
     const end = Date.now() + milliseconds;
     while (Date.now() < end) {
       this.send(balancer, Flag.ack, 100, text);
-      const found = await this.sees(
+      const found = await this.waitForPacket(
         (flags, data) => (flags & Flag.rst) !== 0 || data === `answer to ${text}`,
         250,
       );
       if (found) {
         const last = this.received.at(-1)!;
-        return (last[30]! & Flag.rst) !== 0 ? 'reset' : last.toString('utf8', HEAD_BYTES);
+        return (last[30]! & Flag.rst) !== 0 ? 'reset' : last.toString('utf8', HEADER_BYTES);
       }
     }
     return 'nothing';
@@ -197,14 +197,14 @@
     this.socket.send(bytes, this.packetPort, balancer);
   }
 
-  private async sees(
+  private async waitForPacket(
     wanted: (flags: number, data: string) => boolean,
     milliseconds: number,
   ): Promise<boolean> {
     const end = Date.now() + milliseconds;
     while (Date.now() < end) {
       const last = this.received.at(-1);
-      if (last && wanted(last[30]!, last.toString('utf8', HEAD_BYTES))) {
+      if (last && wanted(last[30]!, last.toString('utf8', HEADER_BYTES))) {
         return true;
       }
       await pause(10);
@@ -251,7 +251,7 @@
     };
     const settingsPath = join(mkdtempSync(join(tmpdir(), 'hallhold-')), 'settings.json');
     writeFileSync(settingsPath, JSON.stringify(settings));
-    const child = spawn(process.execPath, [MAIN, role], {
+    const child = spawn(process.execPath, [MAIN_PATH, role], {
       stdio: ['ignore', 'pipe', 'inherit'],
       env: { ...process.env, HALLHOLD_CONFIG: settingsPath, CLUSTER_KEY: 'test-key' },
     });
@@ -267,13 +267,13 @@
     this.store.stop();
   }
 
-  readiness(machine: string): Promise<number> {
+  fetchReadiness(machine: string): Promise<number> {
     return fetchStatus(machine, this.ports.ready, 'GET', '/hallhold/ready');
   }
 
   /** Waits until a balancer says that it is ready. */
-  async whenReady(machine: string): Promise<void> {
-    await waitFor(async () => (await this.readiness(machine)) === 200);
+  async waitUntilReady(machine: string): Promise<void> {
+    await waitFor(async () => (await this.fetchReadiness(machine)) === 200);
   }
 }
 
--- a/test/support/process-cluster.ts
+++ b/test/support/process-cluster.ts
@@ -8,9 +8,9 @@
 import type { Endpoint } from '../../src/environment';
 import { TcpFaultProxy, UdpFaultProxy, type DatagramFaults } from '../../src/standins/fault-proxy';
 
-const PROGRAM = resolve(__dirname, '../../../bin/hallhold.js');
+const PROGRAM_PATH = resolve(__dirname, '../../../bin/hallhold.js');
 const KEY = { id: 1, secret: 'integration-test-key' };
-const WAIT_LIMIT = 30_000;
+const WAIT_TIMEOUT_MS = 30_000;
 
 /** A child process with what it printed. */
 export interface Child {
@@ -22,7 +22,7 @@
 
 /** Waits until a condition holds; fails after half a minute. */
 export async function waitFor(what: string, condition: () => Promise<boolean>): Promise<void> {
-  const limit = performance.now() + WAIT_LIMIT;
+  const limit = performance.now() + WAIT_TIMEOUT_MS;
   while (!(await condition().catch(() => false))) {
     if (performance.now() > limit) {
       throw new Error(`gave up waiting until ${what}`);
@@ -45,7 +45,7 @@
   readonly children = new Map<string, Child>();
   readonly proxies: UdpFaultProxy[] = [];
   storeProxy: TcpFaultProxy | undefined;
-  private keyRounds = 0;
+  private keyReplacements = 0;
   private readonly folder = mkdtempSync(join(tmpdir(), 'hallhold-test-'));
 
   /** @param group keeps addresses of clusters in one test process apart */
@@ -56,29 +56,29 @@
   ) {}
 
   /** An address of 127.0.0.0/8 that no other test process uses. */
-  address(host: number): string {
+  getAddress(host: number): string {
     return `127.${130 + ((process.pid >> 8) % 100)}.${process.pid & 255}.${this.group * 60 + host}`;
   }
 
-  balancerApi(index: number): string {
-    return `http://${this.address(10 + index)}:7080`;
+  getBalancerUrl(index: number): string {
+    return `http://${this.getAddress(10 + index)}:7080`;
   }
 
-  recordUrl(index: number): string {
-    return `http://${this.address(20 + index)}:7090/runs`;
+  getRecordUrl(index: number): string {
+    return `http://${this.getAddress(20 + index)}:7090/runs`;
   }
 
-  agentStatus(index: number): string {
-    return `http://${this.address(20 + index)}:7080/status`;
+  getAgentStatusUrl(index: number): string {
+    return `http://${this.getAddress(20 + index)}:7080/status`;
   }
 
   /** The path of a file in the cluster's folder. */
-  path(name: string): string {
+  getPath(name: string): string {
     return join(this.folder, name);
   }
 
   get serviceAddress(): string {
-    return `${this.address(2)}:5683`;
+    return `${this.getAddress(2)}:5683`;
   }
 
   /** Starts platform, balancers, agents with back ends, fabric; waits until flows are admitted. */
@@ -97,7 +97,7 @@
     }
     await this.startFabric(balancers);
     await waitFor('every bucket has an owner', async () => {
-      const all = Array.from({ length: targets }, (_, index) => fetchJson(this.agentStatus(index)));
+      const all = Array.from({ length: targets }, (_, index) => fetchJson(this.getAgentStatusUrl(index)));
       const owned = (await Promise.all(all)).map(
         (status) => (status.statistics as { bucketsOwned: number }).bucketsOwned,
       );
@@ -114,7 +114,7 @@
 
   /** Starts a hallhold command and leaves it running. */
   spawn(name: string, words: readonly string[]): Child {
-    const child = spawn(process.execPath, [PROGRAM, ...words], { stdio: 'pipe' });
+    const child = spawn(process.execPath, [PROGRAM_PATH, ...words], { stdio: 'pipe' });
     let stdout = '';
     let stderr = '';
     child.stdout.on('data', (data: Buffer) => (stdout += data.toString()));
@@ -139,7 +139,7 @@
   /** Waits until the agents host at least so many flows together. */
   async waitForFlows(count: number): Promise<void> {
     await waitFor(`${count} flows are hosted`, async () => {
-      const all = this.running('agent').map((index) => fetchJson(this.agentStatus(index)));
+      const all = this.getRunningIndexes('agent').map((index) => fetchJson(this.getAgentStatusUrl(index)));
       const flows = (await Promise.all(all)).map(
         (status) => (status.statistics as { flows: number }).flows,
       );
@@ -151,19 +151,19 @@
   async replaceKeys(
     keys: readonly { readonly id: number; readonly secret: string }[],
   ): Promise<void> {
-    this.keyRounds++;
+    this.keyReplacements++;
     const roles = [
       { role: 'balancer', host: 10 },
       { role: 'agent', host: 20 },
     ] as const;
     for (const { role, host } of roles) {
-      for (const index of this.running(role)) {
+      for (const index of this.getRunningIndexes(role)) {
         const file = `${role}-${index}.yaml`;
-        const settings = parse(readFileSync(this.path(file), 'utf8')) as object;
-        this.write(file, stringify({ ...settings, keys }));
+        const settings = parse(readFileSync(this.getPath(file), 'utf8')) as object;
+        this.writeFile(file, stringify({ ...settings, keys }));
         this.children.get(`${role}-${index + 1}`)!.process.kill('SIGHUP');
-        const metrics = `http://${this.address(host + index)}:7080/metrics`;
-        const expected = `hallhold_events_total{event="keys-replaced"} ${this.keyRounds}`;
+        const metrics = `http://${this.getAddress(host + index)}:7080/metrics`;
+        const expected = `hallhold_events_total{event="keys-replaced"} ${this.keyReplacements}`;
         await waitFor(`${role} ${index} has the keys`, async () =>
           (await (await fetch(metrics)).text()).includes(expected),
         );
@@ -172,57 +172,57 @@
   }
 
   /** Indexes from 0 of the processes of a role. */
-  private running(role: 'balancer' | 'agent'): number[] {
+  private getRunningIndexes(role: 'balancer' | 'agent'): number[] {
     const names = [...this.children.keys()].filter((name) => name.startsWith(`${role}-`));
     return names.map((name) => Number(name.slice(role.length + 1)) - 1);
   }
 
   /** Writes a file into the cluster's folder and returns its path. */
-  write(name: string, content: string): string {
-    const path = join(this.folder, name);
-    writeFileSync(path, content);
-    return path;
+  writeFile(name: string, content: string): string {
+    const filePath = join(this.folder, name);
+    writeFileSync(filePath, content);
+    return filePath;
   }
 
   /** A CSV table of the first targets; `share` by target number from 1. */
-  table(targets: number, share: (number: number) => number = () => 1): string {
+  createTable(targets: number, share: (number: number) => number = () => 1): string {
     const rows = Array.from({ length: targets }, (_, index) => {
-      const address = `${this.address(30 + index)}:7000`;
-      return `${this.service.name},target-${index + 1},${address},${share(index + 1)},5,2000`;
+      const targetAddress = `${this.getAddress(30 + index)}:7000`;
+      return `${this.service.name},target-${index + 1},${targetAddress},${share(index + 1)},5,2000`;
     });
     return ['service,target,address,share,slots,connections', ...rows].join('\n');
   }
 
   private async putTable(targets: number): Promise<void> {
-    const file = this.write('table.csv', this.table(targets));
-    const put = await this.run('table', 'put', file, '--api', this.balancerApi(0));
+    const file = this.writeFile('table.csv', this.createTable(targets));
+    const put = await this.run('table', 'put', file, '--api', this.getBalancerUrl(0));
     if (put.code !== 0) {
-      await this.awaitAcceptance(put.stderr);
+      await this.waitForAcceptance(put.stderr);
     }
   }
 
   /** A store that takes long leaves the outcome unknown: then it is asked for, as operators are to. */
-  private async awaitAcceptance(refusal: string): Promise<void> {
+  private async waitForAcceptance(refusal: string): Promise<void> {
     const writeId = /error 1104 .*\n +write id (\S+)/.exec(refusal)?.[1];
     if (writeId === undefined) {
       throw new Error(`table put failed: ${refusal}`);
     }
     await waitFor('the table is accepted', async () => {
-      const asked = ['table', 'status', '--write', writeId, '--api', this.balancerApi(0)];
+      const asked = ['table', 'status', '--write', writeId, '--api', this.getBalancerUrl(0)];
       return (await this.run(...asked)).stdout.includes('"state":"accepted"');
     });
   }
 
   private async isReady(index: number): Promise<boolean> {
-    const answer = await fetch(`${this.balancerApi(index)}/readyz`);
+    const answer = await fetch(`${this.getBalancerUrl(index)}/readyz`);
     return answer.ok;
   }
 
   private async startPlatform(): Promise<void> {
-    const listen = `${this.address(1)}:7900`;
+    const listen = `${this.getAddress(1)}:7900`;
     this.spawn('platform', ['standin', 'platform', '--listen', listen]);
-    const target = endpoint(listen);
-    this.storeProxy = new TcpFaultProxy(endpoint(`${this.address(1)}:7901`), target);
+    const target = toEndpoint(listen);
+    this.storeProxy = new TcpFaultProxy(toEndpoint(`${this.getAddress(1)}:7901`), target);
     await this.storeProxy.start();
     await waitFor('the platform answers', async () => {
       const answer = await fetch(`http://${listen}/api/v1/nodes`);
@@ -232,54 +232,54 @@
 
   /** Balancer `index`: behind a proxy for its frames and one for callers' datagrams. */
   async startBalancer(index: number, balancers: number): Promise<void> {
-    const address = this.address(10 + index);
-    const file = this.write(
+    const ipAddress = this.getAddress(10 + index);
+    const file = this.writeFile(
       `balancer-${index}.yaml`,
       stringify({
         role: 'balancer',
         name: `balancer-${index + 1}`,
         zone: `zone-${index + 1}`,
-        listen: `${address}:7000`,
-        advertise: `${this.address(14 + index)}:7000`,
-        admin: `${address}:7080`,
-        peers: Array.from({ length: balancers }, (_, peer) => `${this.address(14 + peer)}:7000`),
-        store: `http://${this.address(1)}:7901`,
+        listen: `${ipAddress}:7000`,
+        advertise: `${this.getAddress(14 + index)}:7000`,
+        admin: `${ipAddress}:7080`,
+        peers: Array.from({ length: balancers }, (_, peer) => `${this.getAddress(14 + peer)}:7000`),
+        store: `http://${this.getAddress(1)}:7901`,
         keys: [KEY],
         quietSeconds: 0.5,
-        services: [{ ...this.service, listen: `${address}:5683` }],
+        services: [{ ...this.service, listen: `${ipAddress}:5683` }],
         log: { level: 'warn' },
       }),
     );
-    await this.startProxy(`${this.address(14 + index)}:7000`, `${address}:7000`);
+    await this.startProxy(`${this.getAddress(14 + index)}:7000`, `${ipAddress}:7000`);
     this.spawn(`balancer-${index + 1}`, ['balancer', '--settings', file]);
   }
 
   private async startTarget(index: number, balancers: number): Promise<void> {
-    const address = this.address(20 + index);
+    const ipAddress = this.getAddress(20 + index);
     const name = `target-${index + 1}`;
-    const file = this.write(
+    const file = this.writeFile(
       `agent-${index}.yaml`,
       stringify({
         role: 'agent',
         service: this.service.name,
         target: name,
         protocol: this.service.protocol,
-        listen: `${address}:7000`,
-        advertise: `${this.address(30 + index)}:7000`,
-        admin: `${address}:7080`,
-        backend: `${address}:5700`,
-        balancers: Array.from({ length: balancers }, (_, at) => `${this.address(14 + at)}:7000`),
+        listen: `${ipAddress}:7000`,
+        advertise: `${this.getAddress(30 + index)}:7000`,
+        admin: `${ipAddress}:7080`,
+        backend: `${ipAddress}:5700`,
+        balancers: Array.from({ length: balancers }, (_, at) => `${this.getAddress(14 + at)}:7000`),
         keys: [KEY],
         loadPath: this.service.protocol === 'coap' ? 'load' : '',
-        handover: `${address}:7070`,
+        handover: `${ipAddress}:7070`,
         log: { level: 'warn' },
       }),
     );
-    await this.startProxy(`${this.address(30 + index)}:7000`, `${address}:7000`);
+    await this.startProxy(`${this.getAddress(30 + index)}:7000`, `${ipAddress}:7000`);
     this.spawn(`backend-${index + 1}`, [
-      ...['standin', 'backend', '--listen', `${address}:5700`],
+      ...['standin', 'backend', '--listen', `${ipAddress}:5700`],
       ...['--service', this.service.name, '--target', name],
-      ...['--record', `${address}:7090`, '--protocol', this.service.protocol],
+      ...['--record', `${ipAddress}:7090`, '--protocol', this.service.protocol],
     ]);
     this.spawn(`agent-${index + 1}`, ['agent', '--settings', file]);
   }
@@ -287,20 +287,20 @@
   private async startFabric(balancers: number): Promise<void> {
     const words = ['standin', 'fabric', '--listen', this.serviceAddress];
     for (let index = 0; index < balancers; index++) {
-      const address = this.address(10 + index);
-      words.push('--balancer', `${address}:5683=${this.balancerApi(index)}/readyz`);
+      const ipAddress = this.getAddress(10 + index);
+      words.push('--balancer', `${ipAddress}:5683=${this.getBalancerUrl(index)}/readyz`);
     }
     this.spawn('fabric', words);
   }
 
   private async startProxy(listen: string, target: string): Promise<void> {
     const seed = this.proxies.length + 1;
-    const proxy = new UdpFaultProxy(endpoint(listen), endpoint(target), this.faults, seed);
+    const proxy = new UdpFaultProxy(toEndpoint(listen), toEndpoint(target), this.faults, seed);
     this.proxies.push(proxy);
     await proxy.start();
   }
 }
 
-function endpoint(text: string): Endpoint {
+function toEndpoint(text: string): Endpoint {
   return parseEndpoint(text).unwrap();
 }
--- a/test/support/silence-gate.ts
+++ b/test/support/stalling-proxy.ts
@@ -4,13 +4,13 @@
 const LOOPBACK = '127.0.0.1';
 
 /** The relay before one server. */
-export class SilenceGate {
-  private readonly open = new Set<Socket>();
+export class StallingProxy {
+  private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
   /** @param port where the server listens on loopback */
   constructor(private readonly port: number) {
-    this.server = createServer((client) => this.relay(client));
+    this.server = createServer((client) => this.forwardConnection(client));
   }
 
   /** Listens; answers the address as text. */
@@ -20,28 +20,28 @@
   }
 
   stop(): void {
-    this.open.forEach((socket) => socket.destroy());
+    this.sockets.forEach((socket) => socket.destroy());
     this.server.close();
   }
 
   /** From now on nothing passes on the connections that are open; new ones work. */
-  silence(): void {
-    for (const socket of this.open) {
+  stallConnections(): void {
+    for (const socket of this.sockets) {
       socket.unpipe();
       socket.pause();
     }
   }
 
-  private relay(client: Socket): void {
+  private forwardConnection(client: Socket): void {
     const server = connect(this.port, LOOPBACK);
     for (const [one, other] of [
       [client, server],
       [server, client],
     ] as const) {
-      this.open.add(one);
+      this.sockets.add(one);
       one.on('error', () => undefined);
       one.on('close', () => {
-        this.open.delete(one);
+        this.sockets.delete(one);
         other.destroy();
       });
       one.pipe(other);
--- a/test/target-incarnations.test.ts
+++ b/test/target-incarnations.test.ts
@@ -128,9 +128,9 @@
   const server = serveHeartbeats(
     packEndpoint('127.63.1.1', 21_630),
     {
-      heartbeat: () => true,
-      heartbeatRefused: () => undefined,
-      targetLeaves: (incarnation, born) => left.push([incarnation, born]),
+      handleHeartbeat: () => true,
+      recordRefusedHeartbeat: () => undefined,
+      handleTargetLeaving: (incarnation, born) => left.push([incarnation, born]),
     },
     (error) => t.fail(error.message),
   );
--- a/test/target-start-unseen.test.ts
+++ b/test/target-start-unseen.test.ts
@@ -30,7 +30,7 @@
   const { service, draining } = agent.target;
   const { id: incarnation, born } = agent.target.life;
   const coldLeft = world.coldTime - age;
-  agent.node.heartbeat({ incarnation, born, service, draining, slots: 5, coldLeft, sequence });
+  agent.node.handleHeartbeat({ incarnation, born, service, draining, slots: 5, coldLeft, sequence });
 }
 
 /** @param pause milliseconds between two requests of a flow */
