--- a/src/agent/backend-requests.ts
+++ b/src/agent/backend-requests.ts
@@ -14,7 +14,7 @@
   generateCoap,
   isObserveRegistration,
   parseCoap,
-  withoutOption,
+  omitOption,
   type CoapMessage,
 } from '../coap/coap-message';
 import type { Endpoint, TimerHandle } from '../environment';
@@ -299,7 +299,7 @@
 ): Buffer {
   const tokenBytes = Buffer.alloc(TOKEN_BYTES);
   tokenBytes.writeUIntBE(token, 0, TOKEN_BYTES);
-  const options = withoutOption(request, CoapOption.echo);
+  const options = omitOption(request, CoapOption.echo);
   options.push({ name: CoapOption.deadline, value: encodeInteger(Math.round(deadline)) });
   return generateCoap({
     code: request.code,
--- a/src/agent/request-guard.ts
+++ b/src/agent/request-guard.ts
@@ -9,7 +9,7 @@
 import {
   CoapCode,
   CoapOption,
-  continuesTransfer,
+  isTransferContinuation,
   encodeInteger,
   generateCoap,
   isObserveCancellation,
@@ -17,7 +17,7 @@
   isPost,
   isRequest,
   parseCoap,
-  withoutOption,
+  omitOption,
   type CoapMessage,
 } from '../coap/coap-message';
 import type { Permit } from '../core/permit';
@@ -316,7 +316,7 @@
     request: CoapMessage,
     permit: Permit | undefined,
   ): void {
-    const isAccepted = this.dependencies.acceptsNewWork() || continuesTransfer(request);
+    const isAccepted = this.dependencies.acceptsNewWork() || isTransferContinuation(request);
     const { caller, messageId, fingerprint } = exchange;
     const purpose: CallerRequest = { kind: 'caller', caller, messageId, fingerprint, permit };
     if (isAccepted && this.dependencies.getFreeSlots() > 0) {
@@ -326,7 +326,7 @@
       this.endFlowIfIdle(caller);
     } else {
       this.counts.passed++;
-      const stripped = { ...request, options: withoutOption(request, CoapOption.echo) };
+      const stripped = { ...request, options: omitOption(request, CoapOption.echo) };
       this.passing.pass(stripped, purpose);
     }
   }
@@ -349,7 +349,7 @@
     message: CoapMessage,
   ): void {
     const { code, payload } = message;
-    const answer = { code, payload, options: withoutOption(message, CoapOption.echo) };
+    const answer = { code, payload, options: omitOption(message, CoapOption.echo) };
     if (permit) {
       this.permits.record(permit, { outcome: 'answered', answer });
     }
--- a/src/cli/agent-command.ts
+++ b/src/cli/agent-command.ts
@@ -6,7 +6,7 @@
 import { loadSettings } from '../settings/load-settings';
 import { agentSchema, type AgentSettings } from '../settings/settings-schema';
 import { printError } from './output';
-import { reloadKeys, runUntilSignal } from './process-runner';
+import { applyReloadedKeys, runUntilSignal } from './process-runner';
 
 export class AgentCommand extends Command {
   static override paths = [['agent']];
@@ -46,7 +46,7 @@
       this.context,
       () =>
         this.takeOver ? AgentProcess.startAsSuccessor(loaded.val) : AgentProcess.start(loaded.val),
-      (running) => reloadKeys(running, load()),
+      (running) => applyReloadedKeys(running, load()),
     );
   }
 }
--- a/src/cli/balancer-command.ts
+++ b/src/cli/balancer-command.ts
@@ -6,7 +6,7 @@
 import { loadSettings } from '../settings/load-settings';
 import { balancerSchema, type BalancerSettings } from '../settings/settings-schema';
 import { printError } from './output';
-import { reloadKeys, runUntilSignal } from './process-runner';
+import { applyReloadedKeys, runUntilSignal } from './process-runner';
 
 export class BalancerCommand extends Command {
   static override paths = [['balancer']];
@@ -39,7 +39,7 @@
     return runUntilSignal(
       this.context,
       () => BalancerProcess.start(loaded.val),
-      (running) => reloadKeys(running, load()),
+      (running) => applyReloadedKeys(running, load()),
     );
   }
 }
--- a/src/cli/bench-commands.ts
+++ b/src/cli/bench-commands.ts
@@ -64,8 +64,8 @@
 
   async execute(): Promise<number> {
     try {
-      const figures = await benchPackets((line) => this.context.stderr.write(`${line}\n`));
-      const rows = figures.map(({ path, firstTwoHundred, firstTwoThousand, warm }) => [
+      const measurements = await benchPackets((line) => this.context.stderr.write(`${line}\n`));
+      const rows = measurements.map(({ path, firstTwoHundred, firstTwoThousand, warm }) => [
         path,
         firstTwoHundred.toFixed(1),
         firstTwoThousand.toFixed(1),
@@ -73,7 +73,7 @@
       ]);
       printTable(this.context, ['us a packet', 'first 200', 'first 2,000', 'warm'], rows);
       if (this.json) {
-        printJson(this.context, figures);
+        printJson(this.context, measurements);
       }
       return ExitCode.done;
     } catch (error) {
@@ -104,13 +104,13 @@
     printTable(
       this.context,
       ['arrivals', 'design', 'mean', 'p99', 'flows', 'moved'],
-      figures.map((one) => [
-        one.pattern,
-        one.design,
-        one.mean.toFixed(4),
-        one.p99.toFixed(4),
-        one.flowsOpened,
-        one.flowsMoved,
+      figures.map((measurement) => [
+        measurement.pattern,
+        measurement.design,
+        measurement.mean.toFixed(4),
+        measurement.p99.toFixed(4),
+        measurement.flowsOpened,
+        measurement.flowsMoved,
       ]),
     );
     if (this.json) {
--- a/src/cli/demo-command.ts
+++ b/src/cli/demo-command.ts
@@ -6,9 +6,9 @@
 import { EmbeddedDeployment } from '../standins/embedded-deployment';
 import { ExitCode, printError, printJson, printTable } from './output';
 
-const SECOND = 1_000;
-const PROGRESS_INTERVAL = 1_000;
-const SAMPLE_INTERVAL = 100;
+const MS_PER_SECOND = 1_000;
+const PROGRESS_INTERVAL_MS = 1_000;
+const SAMPLE_INTERVAL_MS = 100;
 
 /** What the demo measured; the JSON line's shape. */
 interface DemoResult {
@@ -33,8 +33,8 @@
 
 /** A change on the way, at a part of the run's time. */
 interface PlannedChange {
-  readonly at: number;
-  readonly what: string;
+  readonly startFraction: number;
+  readonly description: string;
   readonly run: () => Promise<void>;
 }
 
@@ -75,7 +75,7 @@
       await embedded.start();
       await embedded.startCallers();
       const imbalance = await this.run(embedded, deployment);
-      this.print(this.resultOf(embedded, imbalance));
+      this.print(this.createResult(embedded, imbalance));
       return ExitCode.done;
     } catch (error) {
       return printError(this.context, error);
@@ -88,27 +88,27 @@
     embedded: EmbeddedDeployment,
     deployment: Deployment,
   ): Promise<Record<string, number>> {
-    const changes = plannedChanges(embedded, deployment);
+    const changes = createPlannedChanges(embedded, deployment);
     const sampler = new ImbalanceSampler(embedded);
     const startedAt = performance.now();
     const running: Promise<void>[] = [];
     let lastProgress = startedAt;
-    const elapsed = (): number => (performance.now() - startedAt) / SECOND;
+    const elapsed = (): number => (performance.now() - startedAt) / MS_PER_SECOND;
     while (elapsed() < this.seconds) {
-      await new Promise((resolve) => setTimeout(resolve, SAMPLE_INTERVAL));
+      await new Promise((resolve) => setTimeout(resolve, SAMPLE_INTERVAL_MS));
       sampler.sample();
-      while (changes[0] && elapsed() >= changes[0].at * this.seconds) {
+      while (changes[0] && elapsed() >= changes[0].startFraction * this.seconds) {
         const change = changes.shift()!;
-        this.context.stderr.write(`${elapsed().toFixed(1)} s: ${change.what}\n`);
+        this.context.stderr.write(`${elapsed().toFixed(1)} s: ${change.description}\n`);
         running.push(change.run());
       }
-      if (performance.now() - lastProgress >= PROGRESS_INTERVAL) {
+      if (performance.now() - lastProgress >= PROGRESS_INTERVAL_MS) {
         lastProgress = performance.now();
         this.printProgress(embedded, elapsed());
       }
     }
     await Promise.all(running);
-    return sampler.means();
+    return sampler.getMeans();
   }
 
   private printProgress(embedded: EmbeddedDeployment, elapsed: number): void {
@@ -119,7 +119,7 @@
     );
   }
 
-  private resultOf(embedded: EmbeddedDeployment, imbalance: Record<string, number>): DemoResult {
+  private createResult(embedded: EmbeddedDeployment, imbalance: Record<string, number>): DemoResult {
     const { statistics, record } = embedded;
     return {
       deployment: this.deployment,
@@ -143,8 +143,8 @@
   }
 
   private print(result: DemoResult): void {
-    const plain = Object.entries(result).filter(([, value]) => typeof value === 'number');
-    printTable(this.context, ['measured', 'value'], plain as [string, number][]);
+    const numbers = Object.entries(result).filter(([, value]) => typeof value === 'number');
+    printTable(this.context, ['measured', 'value'], numbers as [string, number][]);
     const balance = Object.entries(result.imbalance).map(([service, value]) => [
       service,
       value.toFixed(3),
@@ -176,40 +176,40 @@
     }
   }
 
-  means(): Record<string, number> {
+  getMeans(): Record<string, number> {
     return Object.fromEntries(
       [...this.sums].map(([service, sum]) => [service, sum / Math.max(1, this.samples)]),
     );
   }
 }
 
-function withShare(target: string, share: number): (rows: readonly TableRow[]) => TableRow[] {
+function createShareEdit(target: string, share: number): (rows: readonly TableRow[]) => TableRow[] {
   return (rows) => rows.map((row) => (row.target === target ? { ...row, share } : row));
 }
 
-function plannedChanges(embedded: EmbeddedDeployment, deployment: Deployment): PlannedChange[] {
+function createPlannedChanges(embedded: EmbeddedDeployment, deployment: Deployment): PlannedChange[] {
   const service = deployment.services[0]!.name;
   const lastBalancer = embedded.runningBalancers().at(-1)!;
   return [
     {
-      at: 0.2,
-      what: `table edit: ${service} target-1 gets share 2`,
-      run: () => embedded.edit(service, withShare('target-1', 2)),
+      startFraction: 0.2,
+      description: `table edit: ${service} target-1 gets share 2`,
+      run: () => embedded.edit(service, createShareEdit('target-1', 2)),
     },
     {
-      at: 0.4,
-      what: `drain: ${service} target-2 gets share 0`,
-      run: () => embedded.edit(service, withShare('target-2', 0)),
+      startFraction: 0.4,
+      description: `drain: ${service} target-2 gets share 0`,
+      run: () => embedded.edit(service, createShareEdit('target-2', 0)),
     },
     {
-      at: 0.55,
-      what: `planned stop of ${lastBalancer}`,
+      startFraction: 0.55,
+      description: `planned stop of ${lastBalancer}`,
       run: () => embedded.stopBalancer(lastBalancer),
     },
     {
-      at: 0.75,
-      what: `return: ${service} target-2 gets share 1`,
-      run: () => embedded.edit(service, withShare('target-2', 1)),
+      startFraction: 0.75,
+      description: `return: ${service} target-2 gets share 1`,
+      run: () => embedded.edit(service, createShareEdit('target-2', 1)),
     },
   ];
 }
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,13 +1,13 @@
 /** `hallhold explain`: what became of a request or flow, by the logs of all processes. */
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
-import { failure, messageOf } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { explain, type Explanation } from '../explain/explanation';
 import { parseLog, type LogRecord } from '../explain/log-reader';
 import { printError } from './output';
 
-const STANDARD_INPUT = 0;
+const STDIN_DESCRIPTOR = 0;
 
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
@@ -28,28 +28,28 @@
   async execute(): Promise<number> {
     let text: string;
     try {
-      text = this.readAll();
+      text = this.readLogs();
     } catch (error) {
-      return printError(this.context, failure(ResultCodes.logUnreadable, messageOf(error)).val);
+      return printError(this.context, createFailure(ResultCodes.logUnreadable, getErrorMessage(error)).val);
     }
     const explanation = explain(parseLog(text), this.id);
-    this.context.stdout.write(this.json ? `${JSON.stringify(explanation)}\n` : render(explanation));
+    this.context.stdout.write(this.json ? `${JSON.stringify(explanation)}\n` : formatExplanation(explanation));
     return explanation.client === undefined ? 1 : 0;
   }
 
-  private readAll(): string {
-    const sources = this.files.length > 0 ? this.files : [STANDARD_INPUT];
+  private readLogs(): string {
+    const sources = this.files.length > 0 ? this.files : [STDIN_DESCRIPTOR];
     return sources.map((source) => readFileSync(source, 'utf8')).join('\n');
   }
 }
 
-function render({ story, cause }: Explanation): string {
+function formatExplanation({ story, cause }: Explanation): string {
   const start = story[0]?.time ?? 0;
-  const lines = story.map((record) => renderRecord(record, start));
+  const lines = story.map((record) => formatRecord(record, start));
   return [...lines, `likely cause: ${cause}`, ''].join('\n');
 }
 
-function renderRecord({ time, source, message, fields }: LogRecord, start: number): string {
+function formatRecord({ time, source, message, fields }: LogRecord, start: number): string {
   const offset = `+${time - start}`.padStart(7);
   return `${offset} ms  ${source}  ${message}  ${JSON.stringify(fields)}`;
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -46,27 +46,27 @@
   },
 };
 
-const VERSION_WORDS: readonly string[] = ['--version', '-v'];
+const VERSION_FLAGS: readonly string[] = ['--version', '-v'];
 
 /** The commands that a command line may mean. */
-async function loadCommands(word: string | undefined): Promise<readonly CommandClass[]> {
-  if (word !== undefined && VERSION_WORDS.includes(word)) {
+async function loadCommands(commandName: string | undefined): Promise<readonly CommandClass[]> {
+  if (commandName !== undefined && VERSION_FLAGS.includes(commandName)) {
     return [];
   }
-  const loader = word === undefined ? undefined : LOADERS[word];
+  const loader = commandName === undefined ? undefined : LOADERS[commandName];
   const loaders = loader ? [loader] : Object.values(LOADERS);
   return (await Promise.all(loaders.map((load) => load()))).flat();
 }
 
-async function main(words: string[]): Promise<void> {
+async function main(commandLine: string[]): Promise<void> {
   const cli = new Cli({
     binaryLabel: 'hallhold',
     binaryName: 'hallhold',
     binaryVersion: VERSION,
   });
-  const commands = await loadCommands(words[0]);
-  [Builtins.HelpCommand, Builtins.VersionCommand, ...commands].forEach((one) => cli.register(one));
-  await cli.runExit(words);
+  const commands = await loadCommands(commandLine[0]);
+  [Builtins.HelpCommand, Builtins.VersionCommand, ...commands].forEach((command) => cli.register(command));
+  await cli.runExit(commandLine);
 }
 
 void main(process.argv.slice(2));
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,14 +1,14 @@
 /** Common output of commands: errors, tables, JSON. */
 import Table from 'cli-table3';
 import type { BaseContext } from 'clipanion';
-import { HallholdError, messageOf } from '../errors/hallhold-error';
+import { HallholdError, getErrorMessage } from '../errors/hallhold-error';
 
 /** Exit codes: 0 done, 1 a numbered error, 2 the check or simulation found something. */
 export const ExitCode = { done: 0, failed: 1, violations: 2 } as const;
 
 /** Writes an error to standard error and returns the exit code. */
 export function printError(context: BaseContext, error: unknown): number {
-  const text = error instanceof HallholdError ? error.describe() : messageOf(error);
+  const text = error instanceof HallholdError ? error.describe() : getErrorMessage(error);
   context.stderr.write(`${text}\n`);
   return ExitCode.failed;
 }
--- a/src/cli/soak-command.ts
+++ b/src/cli/soak-command.ts
@@ -13,7 +13,7 @@
 import { DEPLOYMENTS, type Deployment } from '../standins/deployments';
 import { ExitCode, printError, printJson } from './output';
 
-const MINUTE = 60_000;
+const MS_PER_MINUTE = 60_000;
 const isWholeNumber = validator.cascade(
   validator.isNumber(),
   validator.isInteger(),
@@ -49,7 +49,7 @@
     }
     let runs = 0;
     let failing = 0;
-    for (const { seed, deployment } of this.work()) {
+    for (const { seed, deployment } of this.generateRuns()) {
       const { design } = this;
       const report = runSimulation({ scenario, deployment, seed, design, without: [] });
       runs++;
@@ -60,15 +60,15 @@
     return failing > 0 ? ExitCode.violations : ExitCode.done;
   }
 
-  private *work(): Generator<{ seed: number; deployment: Deployment }> {
+  private *generateRuns(): Generator<{ seed: number; deployment: Deployment }> {
     const deployments =
       this.deployment === 'both' ? Object.values(DEPLOYMENTS) : [DEPLOYMENTS[this.deployment]];
-    const end = performance.now() + this.minutes * MINUTE;
-    const random = this.minutes > 0;
-    for (let seed = this.from; random ? performance.now() < end : seed <= this.to; seed++) {
-      const drawn = random ? Math.floor(Math.random() * 2 ** 31) : seed;
+    const end = performance.now() + this.minutes * MS_PER_MINUTE;
+    const isRandom = this.minutes > 0;
+    for (let seed = this.from; isRandom ? performance.now() < end : seed <= this.to; seed++) {
+      const selectedSeed = isRandom ? Math.floor(Math.random() * 2 ** 31) : seed;
       for (const deployment of deployments) {
-        yield { seed: drawn, deployment };
+        yield { seed: selectedSeed, deployment };
       }
     }
   }
--- a/src/cli/soak-packets-command.ts
+++ b/src/cli/soak-packets-command.ts
@@ -26,10 +26,10 @@
   execute(): Promise<number> {
     let failed = 0;
     for (let seed = this.first; seed < this.first + this.seeds; seed++) {
-      const world = runRandomFaults(seed);
-      if (countViolations(world) > 0) {
+      const simulation = runRandomFaults(seed);
+      if (countViolations(simulation) > 0) {
         failed++;
-        this.context.stdout.write(`${JSON.stringify({ seed, ...world.violations })}\n`);
+        this.context.stdout.write(`${JSON.stringify({ seed, ...simulation.violations })}\n`);
       }
     }
     this.context.stdout.write(`${JSON.stringify({ seeds: this.seeds, failed })}\n`);
--- a/src/cli/standin-commands.ts
+++ b/src/cli/standin-commands.ts
@@ -21,7 +21,7 @@
   validator.isAtLeast(0),
 );
 
-function endpointOf(text: string): Endpoint {
+function parseEndpointOrThrow(text: string): Endpoint {
   const parsed = parseEndpoint(text);
   if (parsed.err) {
     throw parsed.val;
@@ -29,7 +29,7 @@
   return parsed.val;
 }
 
-function standinEnvironment(): RealEnvironment {
+function createStandinEnvironment(): RealEnvironment {
   return new RealEnvironment(new EventLog('standin', 'error'));
 }
 
@@ -48,7 +48,7 @@
 
   async execute(): Promise<number> {
     return runUntilSignal(this.context, async () => {
-      const listen = endpointOf(this.listen);
+      const listen = parseEndpointOrThrow(this.listen);
       const server = new PlatformServer({ listen, machineLag: this.machineLag });
       this.context.stdout.write(`${await server.start()}\n`);
       return server;
@@ -88,14 +88,14 @@
   }
 
   private async start(): Promise<StoppableProcess> {
-    const environment = standinEnvironment();
+    const environment = createStandinEnvironment();
     const record = new RunRecord();
     const { service, target, serviceTime, tileBytes } = this;
     const options = { service, target, serviceTime, tileBytes, run: Date.now(), feedInterval: 500 };
     const backend = new BackendStandin(options, environment, record, (to, datagram) =>
       socket.send(to, datagram),
     );
-    const bound = await UdpSocket.bindEndpoint(endpointOf(this.listen), (datagram, from) =>
+    const bound = await UdpSocket.bindEndpoint(parseEndpointOrThrow(this.listen), (datagram, from) =>
       this.protocol === 'coap'
         ? backend.receive(datagram, from)
         : backend.receiveDatagram(datagram, from),
@@ -105,7 +105,7 @@
     }
     const socket = bound.val;
     const server = this.record
-      ? await startRecordServer(endpointOf(this.record), record)
+      ? await startRecordServer(parseEndpointOrThrow(this.record), record)
       : undefined;
     return {
       stop: async () => {
@@ -142,8 +142,8 @@
 
   async execute(): Promise<number> {
     try {
-      const environment = standinEnvironment();
-      const fleet = new CallerFleet(environment, endpointOf(this.to), this.service, this.name);
+      const environment = createStandinEnvironment();
+      const fleet = new CallerFleet(environment, parseEndpointOrThrow(this.to), this.service, this.name);
       const { feeds, reporters, transfers, datagrams, tileBytes } = this;
       await fleet.start({ feeds, reporters, transfers, datagrams, tileBytes });
       await new Promise((resolve) => setTimeout(resolve, this.seconds * 1_000));
@@ -175,12 +175,12 @@
 
   async execute(): Promise<number> {
     return runUntilSignal(this.context, async () => {
-      const given = this.balancers.map((text) => text.split('='));
-      const balancers = new Map(given.map(([address]) => [address!, endpointOf(address!)]));
+      const parts = this.balancers.map((text) => text.split('='));
+      const balancers = new Map(parts.map(([address]) => [address!, parseEndpointOrThrow(address!)]));
       const healthUrls = new Map(
-        given.flatMap(([address, url]) => (url ? [[address!, url] as const] : [])),
+        parts.flatMap(([address, url]) => (url ? [[address!, url] as const] : [])),
       );
-      const listen = endpointOf(this.listen);
+      const listen = parseEndpointOrThrow(this.listen);
       const fabric = new FabricStandin([{ name: 'service', listen, balancers }], healthUrls);
       await fabric.start();
       return { stop: async () => fabric.stop() };
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -23,14 +23,14 @@
   json = Option.Boolean('--json', false, { description: 'Print one JSON object' });
 
   async execute(): Promise<number> {
-    const answered = await new OperatorClient(this.api).status();
-    if (answered.err) {
-      return printError(this.context, answered.val);
+    const result = await new OperatorClient(this.api).getStatus();
+    if (result.err) {
+      return printError(this.context, result.val);
     }
     if (this.json) {
-      printJson(this.context, answered.val);
+      printJson(this.context, result.val);
     } else {
-      this.print(answered.val);
+      this.print(result.val);
     }
     return ExitCode.done;
   }
--- a/src/cli/table-commands.ts
+++ b/src/cli/table-commands.ts
@@ -3,10 +3,10 @@
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import { Ok, type Result } from 'ts-results';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { OperatorClient } from '../operator/operator-client';
-import { formatCsvTable, parseCsvTable, viewRows, type ServiceRows } from '../operator/table-rows';
+import { formatCsvTable, parseCsvTable, createRowViews, type ServiceRows } from '../operator/table-rows';
 import { ExitCode, printError, printJson, printTable } from './output';
 
 const API_DESCRIPTION = "URL of a balancer's admin address";
@@ -33,14 +33,14 @@
   service = Option.String({ required: false });
 
   async execute(): Promise<number> {
-    const answered = await this.client.tables();
-    if (answered.err) {
-      return printError(this.context, answered.val);
+    const result = await this.client.listTables();
+    if (result.err) {
+      return printError(this.context, result.val);
     }
-    const wanted = answered.val.filter(
+    const selected = result.val.filter(
       ({ service }) => this.service === undefined || service === this.service,
     );
-    const rows = wanted.flatMap((table) => table.rows);
+    const rows = selected.flatMap((table) => table.rows);
     this.context.stdout.write(formatCsvTable(rows));
     return ExitCode.done;
   }
@@ -81,18 +81,18 @@
   }
 
   private async putService(group: ServiceRows): Promise<Result<string, HallholdError>> {
-    const current = await this.client.table(group.service);
+    const current = await this.client.getTable(group.service);
     if (current.err) {
       return current;
     }
     const baseRevision = this.base === undefined ? current.val.revision : Number(this.base);
-    const answered = await this.client.put(group.service, {
+    const result = await this.client.putTable(group.service, {
       baseRevision,
       baseRows: current.val.rows,
-      rows: viewRows(group.service, group.rows),
+      rows: createRowViews(group.service, group.rows),
       writeId: randomUUID(),
     });
-    return answered.map(
+    return result.map(
       ({ revision, copies }) =>
         `${group.service}: ${group.rows.length} rows accepted at revision ${revision}, ${copies} copies confirmed`,
     );
@@ -118,22 +118,22 @@
 
   async execute(): Promise<number> {
     if (this.write !== undefined) {
-      const status = await this.client.writeStatus(this.write);
+      const status = await this.client.getWriteStatus(this.write);
       if (status.err) {
         return printError(this.context, status.val);
       }
       printJson(this.context, status.val);
       return ExitCode.done;
     }
-    const answered = await this.client.tables();
-    if (answered.err) {
-      return printError(this.context, answered.val);
+    const result = await this.client.listTables();
+    if (result.err) {
+      return printError(this.context, result.val);
     }
-    const rows = answered.val.map(({ service, revision, rows: all }) => [
+    const rows = result.val.map(({ service, revision, rows: tableRows }) => [
       service,
       revision,
-      all.length,
-      all
+      tableRows.length,
+      tableRows
         .filter((row) => row.share === 0)
         .map((row) => row.target)
         .join(' '),
@@ -149,7 +149,7 @@
   try {
     text = readFileSync(file, 'utf8');
   } catch (error) {
-    return failure(ResultCodes.tableFileUnreadable, messageOf(error));
+    return createFailure(ResultCodes.tableFileUnreadable, getErrorMessage(error));
   }
   const parsed = parseCsvTable(text);
   return parsed.ok ? new Ok(parsed.val) : parsed;
--- a/src/cli/table-diff-command.ts
+++ b/src/cli/table-diff-command.ts
@@ -1,7 +1,7 @@
 /** `hallhold table diff FILE`: what putting a file would change. */
 import { Option } from 'clipanion';
 import { findChangedRows, type TableRow } from '../core/table';
-import { rowsFromViews, viewRows } from '../operator/table-rows';
+import { parseRowViews, createRowViews } from '../operator/table-rows';
 import { ExitCode, printError } from './output';
 import { readTable, TableCommand } from './table-commands';
 
@@ -20,22 +20,22 @@
       return printError(this.context, parsed.val);
     }
     for (const { service, rows } of parsed.val) {
-      const current = await this.client.table(service);
+      const current = await this.client.getTable(service);
       if (current.err) {
         return printError(this.context, current.val);
       }
-      const changes = findChangedRows(rowsFromViews(current.val.rows), rows);
+      const changes = findChangedRows(parseRowViews(current.val.rows), rows);
       this.context.stdout.write(`${service} at revision ${current.val.revision}:\n`);
       for (const { before, after } of changes) {
-        this.writeLine(service, '-', before);
-        this.writeLine(service, '+', after);
+        this.writeRow(service, '-', before);
+        this.writeRow(service, '+', after);
       }
     }
     return ExitCode.done;
   }
 
-  private writeLine(service: string, sign: string, row: TableRow | undefined): void {
-    const [view] = row ? viewRows(service, [row]) : [];
+  private writeRow(service: string, sign: string, row: TableRow | undefined): void {
+    const [view] = row ? createRowViews(service, [row]) : [];
     if (view) {
       this.context.stdout.write(`  ${sign} ${Object.values(view).join(',')}\n`);
     }
--- a/src/coap/coap-message.ts
+++ b/src/coap/coap-message.ts
@@ -36,8 +36,8 @@
 const POST_CODE = '0.02';
 const GET_CODE = '0.01';
 const OBSERVE_REGISTER = 0;
-const INTEGER_BYTES_MAXIMUM = 6;
-const BLOCK_NUMBER_SHIFT = 16;
+const MAXIMUM_INTEGER_BYTES = 6;
+const MINIMUM_LATER_BLOCK_VALUE = 16;
 
 /** A parsed message. */
 export type CoapMessage = ParsedPacket;
@@ -66,13 +66,13 @@
 }
 
 /** The options without one number, in the form `generateCoap` takes. */
-export function withoutOption(message: CoapMessage, number: number): CoapMessage['options'] {
+export function omitOption(message: CoapMessage, number: number): CoapMessage['options'] {
   return message.options.filter((option) => Number(option.name) !== number);
 }
 
 /** An option value that holds an unsigned integer; 0 for an empty one, as RFC 7252 has it. */
-export function integerOption(value: Buffer | undefined): number | undefined {
-  if (!value || value.length > INTEGER_BYTES_MAXIMUM) {
+export function decodeInteger(value: Buffer | undefined): number | undefined {
+  if (!value || value.length > MAXIMUM_INTEGER_BYTES) {
     return undefined;
   }
   return value.length === 0 ? 0 : value.readUIntBE(0, value.length);
@@ -98,24 +98,24 @@
 
 /** True for a GET that registers an observation (RFC 7641). */
 export function isObserveRegistration(message: CoapMessage): boolean {
-  const observe = integerOption(findOption(message, CoapOption.observe));
+  const observe = decodeInteger(findOption(message, CoapOption.observe));
   return message.code === GET_CODE && observe === OBSERVE_REGISTER;
 }
 
 /** True for a GET that ends an observation. */
 export function isObserveCancellation(message: CoapMessage): boolean {
-  const observe = integerOption(findOption(message, CoapOption.observe));
+  const observe = decodeInteger(findOption(message, CoapOption.observe));
   return message.code === GET_CODE && observe !== undefined && observe !== OBSERVE_REGISTER;
 }
 
 /** True for a request of a later block of a transfer already begun (RFC 7959). */
-export function continuesTransfer(message: CoapMessage): boolean {
-  const value = integerOption(findOption(message, CoapOption.block2));
-  return value !== undefined && value >= BLOCK_NUMBER_SHIFT;
+export function isTransferContinuation(message: CoapMessage): boolean {
+  const value = decodeInteger(findOption(message, CoapOption.block2));
+  return value !== undefined && value >= MINIMUM_LATER_BLOCK_VALUE;
 }
 
 /** The request's path, for example "staff/reports". */
-export function uriPath(message: CoapMessage): string {
+export function getUriPath(message: CoapMessage): string {
   const segments = message.options.filter((option) => option.name === 'Uri-Path');
   return segments.map((option) => option.value.toString()).join('/');
 }
--- a/src/core/endpoint.ts
+++ b/src/core/endpoint.ts
@@ -1,7 +1,7 @@
 /** Conversion between "127.0.0.1:5683" and the packed {@link Endpoint} integer. */
 import { Ok, type Result } from 'ts-results';
 import type { Endpoint } from '../environment';
-import { failure, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 
 const PORT_RANGE = 65_536;
@@ -31,7 +31,7 @@
   const port = numbers[4] ?? PORT_RANGE;
   const octetsValid = numbers.slice(0, 4).every((octet) => octet < OCTET_RANGE);
   if (!parts || !octetsValid || port >= PORT_RANGE) {
-    return failure(ResultCodes.addressInvalid, `"${text}" is not an IPv4 address with a port`);
+    return createFailure(ResultCodes.addressInvalid, `"${text}" is not an IPv4 address with a port`);
   }
   return new Ok(packEndpoint(parts.slice(1, 5).join('.'), port));
 }
--- a/src/errors/hallhold-error.ts
+++ b/src/errors/hallhold-error.ts
@@ -21,13 +21,13 @@
 
   /** The error as an operator reads it: number, name, message, details. */
   describe(): string {
-    const headline = `error ${this.resultCode.number} ${this.resultCode.name}: ${this.message}`;
-    return [headline, ...this.details.map((detail) => `  ${detail}`)].join('\n');
+    const summary = `error ${this.resultCode.number} ${this.resultCode.name}: ${this.message}`;
+    return [summary, ...this.details.map((detail) => `  ${detail}`)].join('\n');
   }
 }
 
 /** Shorthand for an `Err` that holds a {@link HallholdError}. */
-export function failure(
+export function createFailure(
   resultCode: ResultCode,
   message: string,
   details: readonly string[] = [],
@@ -36,6 +36,6 @@
 }
 
 /** The message of anything that was thrown. */
-export function messageOf(thrown: unknown): string {
-  return thrown instanceof Error ? thrown.message : String(thrown);
+export function getErrorMessage(error: unknown): string {
+  return error instanceof Error ? error.message : String(error);
 }
--- a/src/explain/explanation.ts
+++ b/src/explain/explanation.ts
@@ -8,7 +8,7 @@
 import type { LogRecord } from './log-reader';
 
 /** Milliseconds around the flow's own records within which changes of belief are told. */
-const SURROUNDINGS = 3_000;
+const RELATED_RECORDS_MARGIN_MS = 3_000;
 
 /** What was found. */
 export interface Explanation {
@@ -23,22 +23,22 @@
 export function explain(records: readonly LogRecord[], id: string): Explanation {
   const delivered = records.find(({ fields }) => fields['request'] === id);
   const client = delivered ? String(delivered.fields['client']) : id;
-  const own = records.filter(({ fields }) => fields['client'] === client);
-  if (own.length === 0) {
+  const flowRecords = records.filter(({ fields }) => fields['client'] === client);
+  if (flowRecords.length === 0) {
     const cause = 'no process logged it: it never reached a balancer, or its lines were left out';
     return { client: undefined, story: [], cause };
   }
-  const merged = mergeByTime(own.concat(surroundings(records, own)));
-  return { client, story: merged, cause: likelyCause(own, merged) };
+  const merged = mergeByTime(flowRecords.concat(findRelatedRecords(records, flowRecords)));
+  return { client, story: merged, cause: findLikelyCause(flowRecords, merged) };
 }
 
 /** Changes of belief at the processes and agents that the flow's records name. */
-function surroundings(records: readonly LogRecord[], own: readonly LogRecord[]): LogRecord[] {
-  const first = Math.min(...own.map(({ time }) => time)) - SURROUNDINGS;
-  const last = Math.max(...own.map(({ time }) => time)) + SURROUNDINGS;
-  const sources = new Set(own.map(({ source }) => source));
-  const agents = new Set(own.map(({ fields }) => fields['agent']));
-  const kinds = new Set(BELIEFS.map(({ number }) => number));
+function findRelatedRecords(records: readonly LogRecord[], flowRecords: readonly LogRecord[]): LogRecord[] {
+  const first = Math.min(...flowRecords.map(({ time }) => time)) - RELATED_RECORDS_MARGIN_MS;
+  const last = Math.max(...flowRecords.map(({ time }) => time)) + RELATED_RECORDS_MARGIN_MS;
+  const sources = new Set(flowRecords.map(({ source }) => source));
+  const agents = new Set(flowRecords.map(({ fields }) => fields['agent']));
+  const kinds = new Set(STATE_CHANGE_EVENTS.map(({ number }) => number));
   return records.filter(
     ({ time, event, source, fields }) =>
       kinds.has(event) &&
@@ -48,7 +48,7 @@
   );
 }
 
-const BELIEFS: readonly EventKind[] = [
+const STATE_CHANGE_EVENTS: readonly EventKind[] = [
   Events.processStarted,
   Events.processStopping,
   Events.processStopped,
@@ -71,26 +71,26 @@
     .map(({ record }) => record);
 }
 
-function has(records: readonly LogRecord[], kind: EventKind): boolean {
+function hasEvent(records: readonly LogRecord[], kind: EventKind): boolean {
   return records.some(({ event }) => event === kind.number);
 }
 
-function likelyCause(own: readonly LogRecord[], story: readonly LogRecord[]): string {
-  const last = (kind: EventKind): LogRecord | undefined =>
-    own.filter(({ event }) => event === kind.number).at(-1);
-  const reset = last(Events.flowReset);
+function findLikelyCause(flowRecords: readonly LogRecord[], story: readonly LogRecord[]): string {
+  const findLast = (kind: EventKind): LogRecord | undefined =>
+    flowRecords.filter(({ event }) => event === kind.number).at(-1);
+  const reset = findLast(Events.flowReset);
   if (reset) {
-    return `reset by ${reset.source}: ${String(reset.fields['reason'])}, after ${String(reset.fields['refusals'])} refusals${restartNote(story)}`;
+    return `reset by ${reset.source}: ${String(reset.fields['reason'])}, after ${String(reset.fields['refusals'])} refusals${describeRestarts(story)}`;
   }
-  const dropped = last(Events.packetDropped);
+  const dropped = findLast(Events.packetDropped);
   if (dropped) {
     return `packets dropped by ${dropped.source}: ${String(dropped.fields['reason'])}`;
   }
-  if (!has(own, Events.requestDelivered)) {
-    return `placed, but no request reached a target: the opening was lost${restartNote(story)}`;
+  if (!hasEvent(flowRecords, Events.requestDelivered)) {
+    return `placed, but no request reached a target: the opening was lost${describeRestarts(story)}`;
   }
-  const delivered = last(Events.requestDelivered)!;
-  const restart = restartNote(story);
+  const delivered = findLast(Events.requestDelivered)!;
+  const restart = describeRestarts(story);
   const busy = String(delivered.fields['busy']);
   return restart === ''
     ? `delivered by ${delivered.source} with ${busy} requests at its target: what is late or missing is the target's`
@@ -98,7 +98,7 @@
 }
 
 /** Names processes of the story that started or stopped in it. */
-function restartNote(story: readonly LogRecord[]): string {
+function describeRestarts(story: readonly LogRecord[]): string {
   const restarted = story.filter(({ event }) => event === Events.processStarted.number);
   const sources = [...new Set(restarted.map(({ source }) => source))];
   return sources.length === 0 ? '' : `; started meanwhile: ${sources.join(', ')}`;
--- a/src/explain/log-reader.ts
+++ b/src/explain/log-reader.ts
@@ -17,13 +17,13 @@
     return undefined;
   }
   try {
-    return toRecord(JSON.parse(line.slice(start)) as Record<string, unknown>);
+    return createLogRecord(JSON.parse(line.slice(start)) as Record<string, unknown>);
   } catch {
     return undefined;
   }
 }
 
-function toRecord(document: Record<string, unknown>): LogRecord | undefined {
+function createLogRecord(document: Record<string, unknown>): LogRecord | undefined {
   const { event, message, source, timestamp, ...rest } = document;
   const time = typeof timestamp === 'string' ? Date.parse(timestamp) : NaN;
   if (typeof event !== 'number' || typeof message !== 'string' || Number.isNaN(time)) {
--- a/src/logging/event-log.ts
+++ b/src/logging/event-log.ts
@@ -3,8 +3,8 @@
 import type { EventFields, EventKind, EventLevel } from './events';
 
 /** Lines of one event kind that are written in a second; the rest are counted. */
-const LINES_PER_SECOND = 10;
-const ONE_SECOND = 1_000;
+const MAXIMUM_LINES_PER_SECOND = 10;
+const RATE_WINDOW_MS = 1_000;
 
 interface RateWindow {
   startedAt: number;
@@ -44,26 +44,26 @@
     if (!this.logger.isLevelEnabled(event.level)) {
       return;
     }
-    const window = this.windowOf(event);
-    if (window.written >= LINES_PER_SECOND) {
+    const window = this.getCurrentWindow(event);
+    if (window.written >= MAXIMUM_LINES_PER_SECOND) {
       window.suppressed++;
       return;
     }
     window.written++;
     const { suppressed } = window;
     window.suppressed = 0;
-    const note = suppressed > 0 ? { suppressed } : {};
-    this.logger.log(event.level, event.name, { event: event.number, ...fields, ...note });
+    const suppressedField = suppressed > 0 ? { suppressed } : {};
+    this.logger.log(event.level, event.name, { event: event.number, ...fields, ...suppressedField });
   }
 
-  private windowOf(event: EventKind): RateWindow {
+  private getCurrentWindow(event: EventKind): RateWindow {
     const now = this.now();
-    const known = this.windows.get(event.number);
-    if (known && now - known.startedAt < ONE_SECOND) {
-      return known;
+    const previous = this.windows.get(event.number);
+    if (previous && now - previous.startedAt < RATE_WINDOW_MS) {
+      return previous;
     }
-    const fresh = { startedAt: now, written: 0, suppressed: known?.suppressed ?? 0 };
-    this.windows.set(event.number, fresh);
-    return fresh;
+    const started = { startedAt: now, written: 0, suppressed: previous?.suppressed ?? 0 };
+    this.windows.set(event.number, started);
+    return started;
   }
 }
--- a/src/logging/line-log.ts
+++ b/src/logging/line-log.ts
@@ -10,15 +10,15 @@
 import type { EventFields, EventKind, EventLevel } from './events';
 
 const LEVELS: readonly EventLevel[] = ['debug', 'info', 'warn', 'error'];
-const ONE_SECOND = 1_000;
+const RATE_WINDOW_MS = 1_000;
 /** Bytes that wait for the reader at most. */
-const MAXIMUM_BACKLOG = 1_048_576;
+const MAXIMUM_BACKLOG_BYTES = 1_048_576;
 /** Bytes of one write at most, unless a line is longer: a pipe takes so many at once or none. */
-const LONGEST_WRITE = 4_096;
+const MAXIMUM_WRITE_BYTES = 4_096;
 /** Milliseconds for which lines are gathered. */
-const GATHER_TIME = 100;
+const FLUSH_DELAY_MS = 100;
 /** Milliseconds that a process waits at its end for the reader. */
-const CLOSE_TIME = 100;
+const CLOSE_TIMEOUT_MS = 100;
 
 /** Settings of a line log. */
 export interface LineLogOptions {
@@ -37,7 +37,7 @@
   write(line: string): void;
 }
 
-interface Budget {
+interface RateWindow {
   startedAt: number;
   written: number;
   suppressed: number;
@@ -45,7 +45,7 @@
 
 /** Log of one process. */
 export class LineLog {
-  private readonly budgets = new Map<number, Budget>();
+  private readonly windows = new Map<number, RateWindow>();
 
   constructor(
     private readonly options: LineLogOptions,
@@ -60,14 +60,14 @@
     if (LEVELS.indexOf(event.level) < LEVELS.indexOf(level)) {
       return;
     }
-    const budget = this.budgetOf(event);
-    if (budget.written >= linesPerSecond) {
-      budget.suppressed++;
+    const window = this.getCurrentWindow(event);
+    if (window.written >= linesPerSecond) {
+      window.suppressed++;
       return;
     }
-    budget.written++;
-    const note = budget.suppressed > 0 ? { suppressed: budget.suppressed } : {};
-    budget.suppressed = 0;
+    window.written++;
+    const suppressedField = window.suppressed > 0 ? { suppressed: window.suppressed } : {};
+    window.suppressed = 0;
     const line = {
       event: event.number,
       message: event.name,
@@ -75,20 +75,20 @@
       source,
       timestamp: new Date().toISOString(),
       ...fields,
-      ...note,
+      ...suppressedField,
     };
     this.output.write(`${JSON.stringify(line)}\n`);
   }
 
-  private budgetOf(event: EventKind): Budget {
+  private getCurrentWindow(event: EventKind): RateWindow {
     const now = this.now();
-    const known = this.budgets.get(event.number);
-    if (known && now - known.startedAt < ONE_SECOND) {
-      return known;
+    const previous = this.windows.get(event.number);
+    if (previous && now - previous.startedAt < RATE_WINDOW_MS) {
+      return previous;
     }
-    const fresh = { startedAt: now, written: 0, suppressed: known?.suppressed ?? 0 };
-    this.budgets.set(event.number, fresh);
-    return fresh;
+    const started = { startedAt: now, written: 0, suppressed: previous?.suppressed ?? 0 };
+    this.windows.set(event.number, started);
+    return started;
   }
 }
 
@@ -98,47 +98,47 @@
  */
 export class DescriptorOutput implements LineOutput {
   private readonly stream: SonicBoom;
-  private gathered = '';
-  private droppedLines = 0;
+  private buffered = '';
+  private droppedBatches = 0;
 
   constructor(descriptor: number) {
     this.stream = new SonicBoom({
       fd: descriptor,
       sync: false,
-      maxLength: MAXIMUM_BACKLOG,
-      maxWrite: LONGEST_WRITE,
+      maxLength: MAXIMUM_BACKLOG_BYTES,
+      maxWrite: MAXIMUM_WRITE_BYTES,
     });
-    this.stream.on('drop', () => this.droppedLines++);
-    this.stream.on('error', () => this.droppedLines++);
+    this.stream.on('drop', () => this.droppedBatches++);
+    this.stream.on('error', () => this.droppedBatches++);
   }
 
   /** Batches that the reader did not take. */
-  get dropped(): number {
-    return this.droppedLines;
+  get droppedCount(): number {
+    return this.droppedBatches;
   }
 
   write(line: string): void {
-    if (this.gathered.length + line.length > LONGEST_WRITE) {
+    if (this.buffered.length + line.length > MAXIMUM_WRITE_BYTES) {
       this.flush();
     }
-    if (this.gathered === '') {
-      setTimeout(() => this.flush(), GATHER_TIME).unref();
+    if (this.buffered === '') {
+      setTimeout(() => this.flush(), FLUSH_DELAY_MS).unref();
     }
-    this.gathered += line;
+    this.buffered += line;
   }
 
   /** Hands over what has been gathered. */
   flush(): void {
-    if (this.gathered !== '') {
-      this.stream.write(this.gathered);
-      this.gathered = '';
+    if (this.buffered !== '') {
+      this.stream.write(this.buffered);
+      this.buffered = '';
     }
   }
 
   /** Writes what is left; `done` is called then, or soon when the reader does not take it. */
   close(done: () => void): void {
     this.flush();
-    const timer = setTimeout(done, CLOSE_TIME);
+    const timer = setTimeout(done, CLOSE_TIMEOUT_MS);
     this.stream.flush(() => {
       clearTimeout(timer);
       done();
--- a/src/operator/admin-server.ts
+++ b/src/operator/admin-server.ts
@@ -5,7 +5,7 @@
 import { FastifyAdapter, type NestFastifyApplication } from '@nestjs/platform-fastify';
 import { getEndpointAddress, getEndpointPort, packEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { HallholdError, messageOf } from '../errors/hallhold-error';
+import { HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type { BalancerNode } from '../balancer/balancer-node';
 import type { Metrics } from '../runtime/metrics';
@@ -35,7 +35,7 @@
 @Module({})
 class AdminModule {}
 
-function moduleFor(options: AdminServerOptions): DynamicModule {
+function createAdminModule(options: AdminServerOptions): DynamicModule {
   const target: AdminTarget = options;
   const controllers: Type[] = [HealthController, StatusController];
   return {
@@ -52,7 +52,7 @@
 export async function startAdminServer(options: AdminServerOptions): Promise<AdminServer> {
   const adapter = new FastifyAdapter();
   const application = await NestFactory.create<NestFastifyApplication>(
-    moduleFor(options),
+    createAdminModule(options),
     adapter,
     { logger: false },
   );
@@ -62,7 +62,7 @@
   try {
     await application.listen(getEndpointPort(options.listen), getEndpointAddress(options.listen));
   } catch (error) {
-    throw new HallholdError(ResultCodes.addressInUse, messageOf(error));
+    throw new HallholdError(ResultCodes.addressInUse, getErrorMessage(error));
   }
   const bound = application.getHttpServer().address() as { address: string; port: number };
   return {
--- a/src/operator/operator-client.ts
+++ b/src/operator/operator-client.ts
@@ -1,7 +1,7 @@
 /** The operators' API as the command line calls it, through undici. */
 import { Err, Ok, type Result } from 'ts-results';
 import { request } from 'undici';
-import { failure, HallholdError, messageOf } from '../errors/hallhold-error';
+import { createFailure, HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes, type ResultCode } from '../errors/result-codes';
 import type { BalancerStatistics } from '../balancer/balancer-node';
 import type { AcceptedEdit } from '../balancer/table-acceptance';
@@ -10,8 +10,8 @@
 import type { RowView } from './table-rows';
 import type { ErrorView, TableView } from './tables-controller';
 
-const CALL_TIMEOUT = 15_000;
-const STATUS_ERROR = 400;
+const CALL_TIMEOUT_MS = 15_000;
+const MINIMUM_ERROR_STATUS = 400;
 const STATUS_NOT_FOUND = 404;
 
 /** An edit as sent to the API. */
@@ -39,30 +39,30 @@
   constructor(private readonly url: string) {}
 
   /** Every table in force at the balancer. */
-  tables(): Promise<Result<readonly TableView[], HallholdError>> {
+  listTables(): Promise<Result<readonly TableView[], HallholdError>> {
     return this.call('GET', '/tables');
   }
 
   /** One table; revision 0 without rows when the service has none. */
-  async table(service: string): Promise<Result<TableView, HallholdError>> {
-    const answered = await this.call<TableView>('GET', `/tables/${service}`);
-    if (answered.err && answered.val.resultCode.number === ResultCodes.tableUnknownService.number) {
+  async getTable(service: string): Promise<Result<TableView, HallholdError>> {
+    const result = await this.call<TableView>('GET', `/tables/${service}`);
+    if (result.err && result.val.resultCode.number === ResultCodes.tableUnknownService.number) {
       return new Ok({ service, revision: 0, rows: [] });
     }
-    return answered;
+    return result;
   }
 
-  put(service: string, edit: EditRequest): Promise<Result<AcceptedEdit, HallholdError>> {
+  putTable(service: string, edit: EditRequest): Promise<Result<AcceptedEdit, HallholdError>> {
     return this.call('PUT', `/tables/${service}`, edit);
   }
 
   /** The state of a write by its id. */
-  writeStatus(writeId: string): Promise<Result<unknown, HallholdError>> {
+  getWriteStatus(writeId: string): Promise<Result<unknown, HallholdError>> {
     return this.call('GET', `/tables/writes/${writeId}`);
   }
 
   /** Figures and members of the process. */
-  status(): Promise<Result<BalancerStatus, HallholdError>> {
+  getStatus(): Promise<Result<BalancerStatus, HallholdError>> {
     return this.call('GET', '/status');
   }
 
@@ -74,24 +74,24 @@
     try {
       const response = await request(this.url + path, {
         method,
-        signal: AbortSignal.timeout(CALL_TIMEOUT),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MS),
         ...(body === undefined
           ? {}
           : { body: JSON.stringify(body), headers: { 'content-type': 'application/json' } }),
       });
       const answer: unknown = await response.body.json();
-      return response.statusCode < STATUS_ERROR
+      return response.statusCode < MINIMUM_ERROR_STATUS
         ? new Ok(answer as T)
-        : new Err(toError(response.statusCode, answer));
+        : new Err(createApiError(response.statusCode, answer));
     } catch (error) {
-      return failure(ResultCodes.operatorApiUnreachable, `${this.url}: ${messageOf(error)}`);
+      return createFailure(ResultCodes.operatorApiUnreachable, `${this.url}: ${getErrorMessage(error)}`);
     }
   }
 }
 
-function toError(status: number, answer: unknown): HallholdError {
+function createApiError(status: number, answer: unknown): HallholdError {
   const view = answer as Partial<ErrorView>;
-  const code = codeByNumber(view.number);
+  const code = findResultCode(view.number);
   if (code) {
     return new HallholdError(code, view.message ?? '', view.details ?? []);
   }
@@ -102,6 +102,6 @@
   return new HallholdError(fallback, `the balancer answered ${status}`);
 }
 
-function codeByNumber(number: number | undefined): ResultCode | undefined {
+function findResultCode(number: number | undefined): ResultCode | undefined {
   return Object.values(ResultCodes).find((code) => code.number === number);
 }
--- a/src/operator/table-rows.ts
+++ b/src/operator/table-rows.ts
@@ -5,33 +5,33 @@
 import { z } from 'zod';
 import { formatEndpoint, parseEndpoint } from '../core/endpoint';
 import type { TableRow } from '../core/table';
-import { failure, HallholdError, messageOf } from '../errors/hallhold-error';
+import { createFailure, HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 
-const SHARE_MAXIMUM = 1_000_000;
-const LIMIT_MAXIMUM = 10_000_000;
+const MAXIMUM_SHARE = 1_000_000;
+const MAXIMUM_LIMIT = 10_000_000;
 const COLUMNS = ['service', 'target', 'address', 'share', 'slots', 'connections'] as const;
 const FIRST_DATA_LINE = 2;
 
-const name = z
+const nameSchema = z
   .string()
   .regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, 'must be lower-case letters, digits, "-" or "."');
 
-const decimal = z
+const decimalSchema = z
   .union([z.number(), z.string().regex(/^\d+(\.\d+)?$/, 'must be a number, 0 or more')])
   .transform(Number);
 
 /** One row as text or JSON. */
 export const rowSchema = z.strictObject({
-  service: name,
-  target: name,
+  service: nameSchema,
+  target: nameSchema,
   address: z
     .string()
     .refine((text) => parseEndpoint(text).ok, 'must be an IPv4 address with a port')
     .transform((text) => parseEndpoint(text).unwrap()),
-  share: decimal.pipe(z.number().min(0).max(SHARE_MAXIMUM)),
-  slots: decimal.pipe(z.number().int().min(0).max(LIMIT_MAXIMUM)),
-  connections: decimal.pipe(z.number().int().min(0).max(LIMIT_MAXIMUM)),
+  share: decimalSchema.pipe(z.number().min(0).max(MAXIMUM_SHARE)),
+  slots: decimalSchema.pipe(z.number().int().min(0).max(MAXIMUM_LIMIT)),
+  connections: decimalSchema.pipe(z.number().int().min(0).max(MAXIMUM_LIMIT)),
 });
 
 /** Rows of one service. */
@@ -51,7 +51,7 @@
 }
 
 /** Turns stored rows into what operators see. */
-export function viewRows(service: string, rows: readonly TableRow[]): RowView[] {
+export function createRowViews(service: string, rows: readonly TableRow[]): RowView[] {
   return rows.map((row) => ({
     service,
     target: row.target,
@@ -63,7 +63,7 @@
 }
 
 /** Turns what operators see back into rows; the API has checked them. */
-export function rowsFromViews(views: readonly RowView[]): TableRow[] {
+export function parseRowViews(views: readonly RowView[]): TableRow[] {
   return views.map(({ target, address, share, slots, connections }) => ({
     target,
     address: parseEndpoint(address).unwrap(),
@@ -76,15 +76,15 @@
 /** Checks rows given as objects; `where` names a row's place in an error, for example "line 3". */
 export function checkRows(
   values: readonly unknown[],
-  where: (index: number) => string,
+  formatLocation: (index: number) => string,
 ): Result<readonly ServiceRows[], HallholdError> {
   const services = new Map<string, TableRow[]>();
   const problems: string[] = [];
-  const seen = new Map<string, string>();
+  const locations = new Map<string, string>();
   values.forEach((value, index) => {
     const checked = rowSchema.safeParse(value);
     if (!checked.success) {
-      problems.push(...describeIssues(checked.error, where(index)));
+      problems.push(...describeIssues(checked.error, formatLocation(index)));
       return;
     }
     const { service, ...row } = checked.data;
@@ -92,18 +92,18 @@
       `target ${service}/${row.target}`,
       `address ${formatEndpoint(row.address)}`,
     ]) {
-      const earlier = seen.get(key);
+      const earlier = locations.get(key);
       if (earlier) {
         problems.push(
-          `${where(index)}, column ${key.split(' ')[0]}: ${key} stands at ${earlier} already`,
+          `${formatLocation(index)}, column ${key.split(' ')[0]}: ${key} stands at ${earlier} already`,
         );
       }
-      seen.set(key, where(index));
+      locations.set(key, formatLocation(index));
     }
     services.set(service, [...(services.get(service) ?? []), row]);
   });
   if (problems.length > 0) {
-    return failure(ResultCodes.tableInvalid, `the table has ${problems.length} errors`, problems);
+    return createFailure(ResultCodes.tableInvalid, `the table has ${problems.length} errors`, problems);
   }
   return new Ok([...services].map(([service, rows]) => ({ service, rows })));
 }
@@ -113,15 +113,15 @@
   try {
     const records = parse(text, { bom: true, skip_empty_lines: true, trim: true }) as string[][];
     const [header, ...rows] = records;
-    const wrongHeader = !header || header.join(',') !== COLUMNS.join(',');
-    if (wrongHeader) {
+    const isHeaderWrong = !header || header.join(',') !== COLUMNS.join(',');
+    if (isHeaderWrong) {
       const detail = `line 1: the columns must be ${COLUMNS.join(',')}`;
-      return failure(ResultCodes.tableInvalid, 'the header is wrong', [detail]);
+      return createFailure(ResultCodes.tableInvalid, 'the header is wrong', [detail]);
     }
-    const values = rows.map((row) => Object.fromEntries(COLUMNS.map((key, at) => [key, row[at]])));
+    const values = rows.map((row) => Object.fromEntries(COLUMNS.map((key, column) => [key, row[column]])));
     return checkRows(values, (index) => `line ${index + FIRST_DATA_LINE}`);
   } catch (error) {
-    return new Err(new HallholdError(ResultCodes.tableInvalid, messageOf(error)));
+    return new Err(new HallholdError(ResultCodes.tableInvalid, getErrorMessage(error)));
   }
 }
 
@@ -130,6 +130,6 @@
   return stringify([...rows], { header: true, columns: [...COLUMNS] });
 }
 
-function describeIssues(error: z.ZodError, where: string): string[] {
-  return error.issues.map((issue) => `${where}, column ${issue.path.join('.')}: ${issue.message}`);
+function describeIssues(error: z.ZodError, location: string): string[] {
+  return error.issues.map((issue) => `${location}, column ${issue.path.join('.')}: ${issue.message}`);
 }
--- a/src/operator/tables-controller.ts
+++ b/src/operator/tables-controller.ts
@@ -7,7 +7,7 @@
 import { HallholdError } from '../errors/hallhold-error';
 import { ResultCodes, type ResultCode } from '../errors/result-codes';
 import { BALANCER_NODE } from './admin-tokens';
-import { checkRows, viewRows, type RowView, type ServiceRows } from './table-rows';
+import { checkRows, createRowViews, type RowView, type ServiceRows } from './table-rows';
 
 /** A service's table as the API shows it. */
 export interface TableView {
@@ -47,7 +47,7 @@
   /** Every table in force here. */
   @Get()
   list(): readonly TableView[] {
-    return [...this.balancer.distribution.cache.listTables()].map(viewTable);
+    return [...this.balancer.distribution.cache.listTables()].map(createTableView);
   }
 
   /** One service's table; 404 with error 1103 when there is none. */
@@ -55,9 +55,9 @@
   get(@Param('service') service: string): TableView {
     const table = this.balancer.distribution.cache.get(service);
     if (!table) {
-      throw httpError(ResultCodes.tableUnknownService, `no table for ${service}`);
+      throw createHttpException(ResultCodes.tableUnknownService, `no table for ${service}`);
     }
-    return viewTable(table);
+    return createTableView(table);
   }
 
   /** How far an edit is, by its write id. */
@@ -65,9 +65,9 @@
   writeStatus(@Param('writeId') writeId: string): unknown {
     const status = this.balancer.acceptance.getStatus(writeId);
     if (!status) {
-      throw httpError(ResultCodes.tableUnknownService, `no write ${writeId} at this balancer`);
+      throw createHttpException(ResultCodes.tableUnknownService, `no write ${writeId} at this balancer`);
     }
-    return status.state === 'refused' ? { ...status, error: viewError(status.error) } : status;
+    return status.state === 'refused' ? { ...status, error: createErrorView(status.error) } : status;
   }
 
   /** Replaces a service's rows; answers when accepted, refused, or not yet known. */
@@ -76,18 +76,18 @@
     const edit = editSchema.safeParse(body);
     if (!edit.success) {
       const details = edit.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`);
-      throw httpError(ResultCodes.tableInvalid, 'the edit is malformed', details);
+      throw createHttpException(ResultCodes.tableInvalid, 'the edit is malformed', details);
     }
     const { baseRevision, writeId } = edit.data;
-    const rows = rowsOf(service, edit.data.rows);
-    const baseRows = rowsOf(service, edit.data.baseRows);
+    const rows = parseServiceRows(service, edit.data.rows);
+    const baseRows = parseServiceRows(service, edit.data.baseRows);
     const submitted = { service, rows, baseRows, baseRevision, writeId };
     return new Promise((resolve, reject) => {
       this.balancer.acceptance.submit(submitted, (result) => {
         if (result.ok) {
           resolve(result.val);
         } else {
-          reject(toHttp(result.val));
+          reject(convertToHttpException(result.val));
         }
       });
     });
@@ -95,37 +95,37 @@
 }
 
 /** An error in the API's form. */
-export function viewError(error: HallholdError): ErrorView {
+export function createErrorView(error: HallholdError): ErrorView {
   const { number, name, retry } = error.resultCode;
   return { number, name, message: error.message, retry, details: error.details };
 }
 
-function viewTable(table: ServiceTable): TableView {
+function createTableView(table: ServiceTable): TableView {
   const { service, revision, rows } = table;
-  return { service, revision, rows: viewRows(service, rows) };
+  return { service, revision, rows: createRowViews(service, rows) };
 }
 
-function rowsOf(service: string, values: readonly unknown[]): ServiceRows['rows'] {
+function parseServiceRows(service: string, values: readonly unknown[]): ServiceRows['rows'] {
   const checked = checkRows(values, (index) => `row ${index + 1}`);
   if (checked.err) {
-    throw toHttp(checked.val);
+    throw convertToHttpException(checked.val);
   }
-  const foreign = checked.val.find((group) => group.service !== service);
-  if (foreign) {
-    const text = `the edit is of ${service} but has rows of ${foreign.service}`;
-    throw httpError(ResultCodes.tableInvalid, text);
+  const otherService = checked.val.find((group) => group.service !== service);
+  if (otherService) {
+    const text = `the edit is of ${service} but has rows of ${otherService.service}`;
+    throw createHttpException(ResultCodes.tableInvalid, text);
   }
   return checked.val[0]?.rows ?? [];
 }
 
-function toHttp(error: HallholdError): HttpException {
-  return new HttpException(viewError(error), HTTP_STATUS.get(error.resultCode.number) ?? 500);
+function convertToHttpException(error: HallholdError): HttpException {
+  return new HttpException(createErrorView(error), HTTP_STATUS.get(error.resultCode.number) ?? 500);
 }
 
-function httpError(
+function createHttpException(
   code: ResultCode,
   message: string,
   details: readonly string[] = [],
 ): HttpException {
-  return toHttp(new HallholdError(code, message, details));
+  return convertToHttpException(new HallholdError(code, message, details));
 }
--- a/src/packets/packet-frames.ts
+++ b/src/packets/packet-frames.ts
@@ -19,7 +19,7 @@
  */
 import { Ok, type Result } from 'ts-results';
 import type { Endpoint } from '../environment';
-import { failure, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { BODY_OFFSET, FrameCodec, type ClusterKey } from '../wire/frame-codec';
 import { PACKET_MESSAGE_FIELDS } from './packet-message-schema';
@@ -138,7 +138,7 @@
     }
     const message = this.decodeBody(body.val);
     return message === undefined
-      ? failure(ResultCodes.frameMalformed, 'malformed body of a compact frame')
+      ? createFailure(ResultCodes.frameMalformed, 'malformed body of a compact frame')
       : new Ok(message);
   }
 
--- a/src/packets/packet-settings.ts
+++ b/src/packets/packet-settings.ts
@@ -2,7 +2,7 @@
 import { Ok, type Result } from 'ts-results';
 import { parseEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { failure, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { DEFAULT_CHOICE, type ChoiceSettings } from './choice/choice-settings';
 import type { ColdStartLimitSettings } from './cold-start-limiter';
@@ -219,14 +219,14 @@
   document: unknown,
 ): Result<PacketSettings, HallholdError> {
   if (typeof document !== 'object' || document === null) {
-    return failure(ResultCodes.settingsInvalid, `${source} does not contain a settings object`);
+    return createFailure(ResultCodes.settingsInvalid, `${source} does not contain a settings object`);
   }
   const reader = new SettingsReader(document as Record<string, unknown>);
   const settings = readSettings(reader);
   const { problems } = reader;
   return problems.length === 0
     ? new Ok(settings)
-    : failure(ResultCodes.settingsInvalid, `${source} has ${problems.length} wrong keys`, problems);
+    : createFailure(ResultCodes.settingsInvalid, `${source} has ${problems.length} wrong keys`, problems);
 }
 
 function readSettings(reader: SettingsReader): PacketSettings {
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -8,7 +8,7 @@
  */
 import { deserialize, serialize } from 'bson';
 import { Ok, type Result } from 'ts-results';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { FieldError, unpackInteger, createListUnpacker, createEnumUnpacker, unpackNonNegativeNumber, unpackText, unpackTuple } from '../wire/field-codecs';
 import {
@@ -73,7 +73,7 @@
   try {
     return new Ok(unpackSnapshot(readDocument()));
   } catch (error) {
-    return failure(ResultCodes.frameMalformed, messageOf(error));
+    return createFailure(ResultCodes.frameMalformed, getErrorMessage(error));
   }
 }
 
--- a/src/runtime/agent-handover.ts
+++ b/src/runtime/agent-handover.ts
@@ -12,7 +12,7 @@
 import type { AgentSnapshot } from '../agent/agent-snapshot';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { HallholdError, messageOf } from '../errors/hallhold-error';
+import { HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 
 const RecordType = { snapshot: 1, datagram: 2, ready: 3, go: 4 } as const;
@@ -87,7 +87,7 @@
   start(listen: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', (error) => {
-        reject(new HallholdError(ResultCodes.addressInUse, messageOf(error)));
+        reject(new HallholdError(ResultCodes.addressInUse, getErrorMessage(error)));
       });
       this.server.listen(getEndpointPort(listen), getEndpointAddress(listen), resolve);
     });
@@ -156,7 +156,7 @@
     const timer = setTimeout(() => fail('the predecessor did not finish in time'), HANDOVER_TIMEOUT_MS);
     const queued: ForwardedDatagram[] = [];
     let isActive = false;
-    socket.on('error', (error) => fail(messageOf(error)));
+    socket.on('error', (error) => fail(getErrorMessage(error)));
     socket.on('close', () => {
       clearTimeout(timer);
       if (!isActive) {
@@ -168,7 +168,7 @@
         const state = deserialize(body, { promoteBuffers: true }) as HandoverState;
         successor.prepare(state).then(
           () => socket.write(encodeRecord(RecordType.ready, NO_BODY)),
-          (error: unknown) => fail(messageOf(error)),
+          (error: unknown) => fail(getErrorMessage(error)),
         );
       } else if (type === RecordType.datagram) {
         queued.push(deserialize(body, { promoteBuffers: true }) as ForwardedDatagram);
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -9,7 +9,7 @@
 import type { RoutingTable } from '../packets/routing-table';
 import type { EvacuatedZone } from '../packets/zone-evacuations';
 import type { ClusterKey } from '../wire/frame-codec';
-import { HallholdError, messageOf } from '../errors/hallhold-error';
+import { HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type { MetricValues } from './metrics';
 import { RealEnvironment, type EventReporter } from './real-environment';
@@ -222,5 +222,5 @@
 
 /** A listener that cannot listen ends the process with a numbered error. */
 function throwListenError(error: Error): void {
-  throw new HallholdError(ResultCodes.addressInUse, messageOf(error));
+  throw new HallholdError(ResultCodes.addressInUse, getErrorMessage(error));
 }
--- a/src/runtime/snapshot-exchange.ts
+++ b/src/runtime/snapshot-exchange.ts
@@ -3,7 +3,7 @@
 import { deflateSync, inflateSync } from 'node:zlib';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type { ResultCallback } from '../packets/collection-port';
 import type { SnapshotPort } from '../packets/peer-exchange';
@@ -80,7 +80,7 @@
       clearTimeout(timer);
       if (!answered) {
         answered = true;
-        answer(failure(ResultCodes.peerUnreachable, error.message));
+        answer(createFailure(ResultCodes.peerUnreachable, error.message));
       }
     };
     const target = { host: getEndpointAddress(peer), port: getEndpointPort(peer), path: TEXT_PATH };
@@ -114,7 +114,7 @@
   try {
     text = inflateSync(bytes, { maxOutputLength: MAXIMUM_SNAPSHOT_BYTES }).toString('utf8');
   } catch (error) {
-    return failure(ResultCodes.frameMalformed, messageOf(error));
+    return createFailure(ResultCodes.frameMalformed, getErrorMessage(error));
   }
   return decodeSnapshotText(text);
 }
--- a/src/runtime/udp-socket.ts
+++ b/src/runtime/udp-socket.ts
@@ -8,7 +8,7 @@
   packEndpoint,
 } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { resolveAddress, SOCKET_BUFFER_BYTES, takeEarlySocket } from './early-sockets';
 
@@ -52,8 +52,8 @@
     return new Promise((resolve) => {
       socket.once('error', (error) => {
         socket.close();
-        const text = `cannot bind ${address}:${port}: ${messageOf(error)}`;
-        resolve(failure(ResultCodes.addressInUse, text));
+        const text = `cannot bind ${address}:${port}: ${getErrorMessage(error)}`;
+        resolve(createFailure(ResultCodes.addressInUse, text));
       });
       socket.bind(port, address, () => {
         socket.removeAllListeners('error');
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -3,11 +3,11 @@
 import { Ok, type Result } from 'ts-results';
 import { parse } from 'yaml';
 import type { z } from 'zod';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 
 /** Values from flags; undefined ones do not override. */
-export type Overrides = Readonly<Record<string, unknown>>;
+export type SettingsOverrides = Readonly<Record<string, unknown>>;
 
 /**
  * Loads and checks settings.
@@ -17,16 +17,16 @@
 export function loadSettings<T>(
   file: string,
   schema: z.ZodType<T>,
-  overrides: Overrides = {},
+  overrides: SettingsOverrides = {},
 ): Result<T, HallholdError> {
   const content = readYaml(file);
   if (content.err) {
     return content;
   }
-  const given = Object.entries(overrides).filter(([, value]) => value !== undefined);
+  const overriding = Object.entries(overrides).filter(([, value]) => value !== undefined);
   const merged =
     typeof content.val === 'object' && content.val !== null
-      ? { ...content.val, ...Object.fromEntries(given) }
+      ? { ...content.val, ...Object.fromEntries(overriding) }
       : content.val;
   return checkSettings(file, schema, merged);
 }
@@ -42,7 +42,7 @@
     return new Ok(checked.data);
   }
   const details = checked.error.issues.map((issue) => describeIssue(source, issue));
-  return failure(
+  return createFailure(
     ResultCodes.settingsInvalid,
     `${source} has ${details.length} wrong keys`,
     details,
@@ -53,7 +53,7 @@
   try {
     return new Ok(parse(readFileSync(file, 'utf8')) as unknown);
   } catch (error) {
-    return failure(ResultCodes.settingsUnreadable, `${file}: ${messageOf(error)}`);
+    return createFailure(ResultCodes.settingsUnreadable, `${file}: ${getErrorMessage(error)}`);
   }
 }
 
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -2,54 +2,54 @@
 import { z } from 'zod';
 import { parseEndpoint } from '../core/endpoint';
 
-const KEY_ID_MAXIMUM = 255;
-const SECRET_LENGTH_MINIMUM = 16;
+const MAXIMUM_KEY_ID = 255;
+const MINIMUM_SECRET_LENGTH = 16;
 
-const endpoint = z
+const endpointSchema = z
   .string()
   .refine(
     (text) => parseEndpoint(text).ok,
     'must be an IPv4 address with a port, "127.0.0.1:7000"',
   );
 
-const name = z
+const nameSchema = z
   .string()
   .regex(
     /^[a-z0-9][a-z0-9.-]{0,62}$/,
     'must be lower-case letters, digits, "-" or ".", 63 at most',
   );
 
-const clusterKey = z.strictObject({
-  id: z.number().int().min(0).max(KEY_ID_MAXIMUM),
-  secret: z.string().min(SECRET_LENGTH_MINIMUM),
+const clusterKeySchema = z.strictObject({
+  id: z.number().int().min(0).max(MAXIMUM_KEY_ID),
+  secret: z.string().min(MINIMUM_SECRET_LENGTH),
 });
 
-const log = z
+const logSchema = z
   .strictObject({ level: z.enum(['debug', 'info', 'warn', 'error']).default('info') })
   .default({ level: 'info' });
 
-const protocol = z.enum(['datagram', 'coap']);
+const protocolSchema = z.enum(['datagram', 'coap']);
 
-const common = {
+const commonSettings = {
   /** Where internal frames are received. */
-  listen: endpoint,
+  listen: endpointSchema,
   /** How others reach `listen`, when not at that address itself. */
-  advertise: endpoint.optional(),
+  advertise: endpointSchema.optional(),
   /** Address of health, metrics and, on balancers, the operators' API. */
-  admin: endpoint,
-  keys: z.array(clusterKey).min(1).max(2),
-  log,
+  admin: endpointSchema,
+  keys: z.array(clusterKeySchema).min(1).max(2),
+  log: logSchema,
 };
 
 /** Settings of a balancer process. */
 export const balancerSchema = z.strictObject({
   role: z.literal('balancer'),
-  name,
-  zone: name,
-  ...common,
-  peers: z.array(endpoint).default([]),
+  name: nameSchema,
+  zone: nameSchema,
+  ...commonSettings,
+  peers: z.array(endpointSchema).default([]),
   store: z.url({ protocol: /^https?$/ }),
-  services: z.array(z.strictObject({ name, protocol, listen: endpoint })).min(1),
+  services: z.array(z.strictObject({ name: nameSchema, protocol: protocolSchema, listen: endpointSchema })).min(1),
   learntFlows: z.number().int().min(1_000).default(100_000),
   quietSeconds: z.number().min(0).max(600).default(2),
 });
@@ -57,17 +57,17 @@
 /** Settings of an agent process. */
 export const agentSchema = z.strictObject({
   role: z.literal('agent'),
-  service: name,
-  target: name,
-  protocol,
-  ...common,
-  backend: endpoint,
-  balancers: z.array(endpoint).min(1),
+  service: nameSchema,
+  target: nameSchema,
+  protocol: protocolSchema,
+  ...commonSettings,
+  backend: endpointSchema,
+  balancers: z.array(endpointSchema).min(1),
   flowIdleSeconds: z.number().min(1).max(86_400).default(300),
   requestDeadlineSeconds: z.number().min(0.1).max(600).default(10),
   loadPath: z.string().max(200).default(''),
   /** TCP address at which a successor on the same machine asks to take over. */
-  handover: endpoint.optional(),
+  handover: endpointSchema.optional(),
   stopAfterSeconds: z.number().min(0).max(86_400).default(30),
 });
 
--- a/src/simulation/packets/model-store.ts
+++ b/src/simulation/packets/model-store.ts
@@ -1,6 +1,6 @@
 /** The store of the packet interface in the simulation, with its faults. */
 import { Ok, type Result } from 'ts-results';
-import { failure, type HallholdError } from '../../errors/hallhold-error';
+import { createFailure, type HallholdError } from '../../errors/hallhold-error';
 import { ResultCodes } from '../../errors/result-codes';
 import type {
   AgentRegistryPort,
@@ -151,7 +151,7 @@
           const known = this.agents.items.get(String(agent.address));
           const isOther = entered?.era !== this.era || known?.revision !== entered.revision;
           if (known && entered !== undefined && isOther) {
-            return failure(ResultCodes.storeConflict, 'another revision');
+            return createFailure(ResultCodes.storeConflict, 'another revision');
           }
           if (known) {
             this.change(this.agents, known.name, known.item, true);
@@ -214,10 +214,10 @@
     after: StorePosition,
   ): Result<Changes<T>, HallholdError> {
     if (after.era !== this.era) {
-      return failure(ResultCodes.storeEraChanged, 'another era');
+      return createFailure(ResultCodes.storeEraChanged, 'another era');
     }
     if (this.isGone(collection, after)) {
-      return failure(ResultCodes.storeWatchExpired, 'history gone');
+      return createFailure(ResultCodes.storeWatchExpired, 'history gone');
     }
     const changes = collection.history.filter(({ revision }) => revision > after.revision);
     return new Ok({ changes, skipped: 0, era: this.era, revision: this.revision });
@@ -252,10 +252,10 @@
     this.calls++;
     const respond = (result: Result<T, HallholdError>): void => process.run(() => answer(result));
     if (this.refused.has(process.name)) {
-      const refusal = failure(ResultCodes.storeUnavailable, 'refused');
+      const refusal = createFailure(ResultCodes.storeUnavailable, 'refused');
       this.clock.schedule(this.answerTime, () => respond(refusal));
     } else if (this.down) {
-      const silence = failure(ResultCodes.storeUnavailable, 'no answer in time');
+      const silence = createFailure(ResultCodes.storeUnavailable, 'no answer in time');
       this.clock.schedule(CALL_TIMEOUT, () => respond(silence));
     } else {
       this.clock.schedule(this.answerTime, () => {
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-world.ts
@@ -12,7 +12,7 @@
 import { PacketBalancer } from '../../packets/packet-balancer';
 import { PacketFrameCodec } from '../../packets/packet-frames';
 import { decodeSnapshot, encodeSnapshot, type PeerSnapshot } from '../../packets/peer-snapshot';
-import { failure } from '../../errors/hallhold-error';
+import { createFailure } from '../../errors/hallhold-error';
 import { ResultCodes } from '../../errors/result-codes';
 import type { ServiceProfile } from '../../packets/routing-table';
 import { SeededRandom } from '../seeded-random';
@@ -435,7 +435,7 @@
         answer(
           reachable
             ? decodeSnapshot(encodeSnapshot(balancer.node.snapshot))
-            : failure(ResultCodes.peerUnreachable, 'cut'),
+            : createFailure(ResultCodes.peerUnreachable, 'cut'),
         ),
       ),
     );
--- a/src/simulation/world-watcher.ts
+++ b/src/simulation/world-watcher.ts
@@ -1,6 +1,6 @@
 /** Watches a simulated world and judges it by the users' promises. */
 import type { TableRow } from '../core/table';
-import { continuesTransfer, isRequest, parseCoap, uriPath } from '../coap/coap-message';
+import { isTransferContinuation, isRequest, parseCoap, getUriPath } from '../coap/coap-message';
 import type { CallerObserver } from '../standins/caller-statistics';
 import { InvariantCheckers } from './invariant-checkers';
 import type { SimulatedBalancer } from './simulated-balancer';
@@ -94,13 +94,13 @@
     if (target.service.protocol !== 'coap' || parsed.none || !isRequest(parsed.val)) {
       return;
     }
-    const path = uriPath(parsed.val);
+    const path = getUriPath(parsed.val);
     if (path === 'load') {
       return;
     }
     this.judgeService(target, path, parsed.val.payload.toString());
     const since = this.leavingSince.get(target.label);
-    if (since === undefined || continuesTransfer(parsed.val)) {
+    if (since === undefined || isTransferContinuation(parsed.val)) {
       return;
     }
     const late = this.world.clock.now - since;
--- a/src/standins/answer-content.ts
+++ b/src/standins/answer-content.ts
@@ -3,7 +3,7 @@
   CoapCode,
   CoapOption,
   findOption,
-  integerOption,
+  decodeInteger,
   type CoapMessage,
 } from '../coap/coap-message';
 import type { AnswerOrigin } from './backend-standin';
@@ -60,5 +60,5 @@
   if (!answer) {
     return RETRY_AFTER_SILENCE;
   }
-  return (integerOption(findOption(answer, CoapOption.maxAge)) ?? DEFAULT_RETRY_AFTER) * SECOND;
+  return (decodeInteger(findOption(answer, CoapOption.maxAge)) ?? DEFAULT_RETRY_AFTER) * SECOND;
 }
--- a/src/standins/backend-standin.ts
+++ b/src/standins/backend-standin.ts
@@ -12,11 +12,11 @@
   encodeInteger,
   findOption,
   generateCoap,
-  integerOption,
+  decodeInteger,
   isObserveRegistration,
   isPost,
   parseCoap,
-  uriPath,
+  getUriPath,
   type CoapMessage,
 } from '../coap/coap-message';
 import type { Endpoint, Environment, TimerHandle } from '../environment';
@@ -119,7 +119,7 @@
     const message = parsed.val;
     if (message.code === CoapCode.empty) {
       this.receiveEmpty(message, from);
-    } else if (uriPath(message) === 'load') {
+    } else if (getUriPath(message) === 'load') {
       this.answerLoad(message, from);
     } else {
       this.startRequest(message, from);
@@ -190,7 +190,7 @@
   }
 
   private finishRequest(message: CoapMessage, from: Endpoint): void {
-    const path = uriPath(message);
+    const path = getUriPath(message);
     if (isPost(message)) {
       const done = { ...this.origin(), done: message.payload.toString() };
       this.answer(message, from, CoapCode.changed, Buffer.from(JSON.stringify(done)), []);
@@ -206,7 +206,7 @@
 
   private answerBlock(message: CoapMessage, from: Endpoint, path: string): void {
     const content = tileContent(this.options.service, path, this.options.tileBytes);
-    const asked = integerOption(findOption(message, CoapOption.block2)) ?? 0;
+    const asked = decodeInteger(findOption(message, CoapOption.block2)) ?? 0;
     const block = asked >> BLOCK_NUMBER_SHIFT;
     const start = block * BLOCK_BYTES;
     const more = start + BLOCK_BYTES < content.length ? MORE_BLOCKS : 0;
--- a/src/standins/transfer-caller.ts
+++ b/src/standins/transfer-caller.ts
@@ -4,7 +4,7 @@
   CoapOption,
   encodeInteger,
   findOption,
-  integerOption,
+  decodeInteger,
   type CoapMessage,
 } from '../coap/coap-message';
 import { countFailure, pathOptions, retryAfter } from './answer-content';
@@ -104,7 +104,7 @@
     }
     this.judge.markOpened();
     const blocks = [...received, answer.payload];
-    const value = integerOption(findOption(answer, CoapOption.block2)) ?? 0;
+    const value = decodeInteger(findOption(answer, CoapOption.block2)) ?? 0;
     if ((value & MORE_BLOCKS) !== 0) {
       this.fetchBlock(path, block + 1, blocks, gotEtag, 0);
       return;
--- a/src/table-store/http-store.ts
+++ b/src/table-store/http-store.ts
@@ -4,7 +4,7 @@
 import { Agent, request, type Dispatcher } from 'undici';
 import type { z } from 'zod';
 import type { TableDelta } from '../core/table-cache';
-import { failure, HallholdError, messageOf } from '../errors/hallhold-error';
+import { createFailure, HallholdError, getErrorMessage } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type {
   ResultCallback,
@@ -117,7 +117,7 @@
     }
     const revision = current.val?.table.revision ?? 0;
     if (revision !== expectedRevision) {
-      return failure(ResultCodes.storeConflict, `revision is ${revision}, not ${expectedRevision}`);
+      return createFailure(ResultCodes.storeConflict, `revision is ${revision}, not ${expectedRevision}`);
     }
     const resource = createTableResource(write, expectedRevision, current.val?.recentWriteIds ?? []);
     const response =
@@ -151,7 +151,7 @@
     } catch (error) {
       return error instanceof HallholdError
         ? error
-        : new HallholdError(ResultCodes.storeUnavailable, messageOf(error));
+        : new HallholdError(ResultCodes.storeUnavailable, getErrorMessage(error));
     }
   }
 
@@ -180,7 +180,7 @@
       });
       return new Ok({ status: response.statusCode, body: await response.body.json() });
     } catch (error) {
-      return failure(ResultCodes.storeUnavailable, messageOf(error));
+      return createFailure(ResultCodes.storeUnavailable, getErrorMessage(error));
     }
   }
 }
@@ -192,7 +192,7 @@
   const checked = schema.safeParse(response.body);
   return checked.success
     ? new Ok(checked.data)
-    : failure(ResultCodes.storeAnswerInvalid, checked.error.message);
+    : createFailure(ResultCodes.storeAnswerInvalid, checked.error.message);
 }
 
 function createStatusError(status: number): HallholdError {
--- a/src/wire/frame-codec.ts
+++ b/src/wire/frame-codec.ts
@@ -6,7 +6,7 @@
  */
 import { deserialize, serialize } from 'bson';
 import { Ok, type Result } from 'ts-results';
-import { failure, messageOf, type HallholdError } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { FrameAuthenticator, TAG_BYTES } from './frame-authenticator';
 import type { FieldCodec } from './field-codecs';
@@ -81,15 +81,15 @@
   /** The body of an authentic frame of a version. Errors 1301 and 1302. */
   protected openFrame(frame: Buffer, version: number): Result<Buffer, HallholdError> {
     if (frame.length <= BODY_OFFSET) {
-      return failure(ResultCodes.frameTooShort, `${frame.length} bytes`);
+      return createFailure(ResultCodes.frameTooShort, `${frame.length} bytes`);
     }
     const body = frame.subarray(BODY_OFFSET);
     const key = frame[0] === version ? this.authenticators.get(frame[1]!) : undefined;
     if (!key) {
-      return failure(ResultCodes.frameNotAuthentic, 'unknown version or key id');
+      return createFailure(ResultCodes.frameNotAuthentic, 'unknown version or key id');
     }
     if (!key.verifyTag(body, frame.subarray(TAG_OFFSET, BODY_OFFSET))) {
-      return failure(ResultCodes.frameNotAuthentic, 'the authentication tag is wrong');
+      return createFailure(ResultCodes.frameNotAuthentic, 'the authentication tag is wrong');
     }
     return new Ok(body);
   }
@@ -114,11 +114,11 @@
     const type: unknown = document[TYPE_KEY];
     const fields = typeof type === 'number' ? schema.get(type) : undefined;
     if (!fields) {
-      return failure(ResultCodes.frameMalformed, 'unknown message type');
+      return createFailure(ResultCodes.frameMalformed, 'unknown message type');
     }
     return new Ok(decodeMessage<M>(type as number, fields, document));
   } catch (error) {
-    return failure(ResultCodes.frameMalformed, messageOf(error));
+    return createFailure(ResultCodes.frameMalformed, getErrorMessage(error));
   }
 }
 
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -6,7 +6,7 @@
 import { Events } from '../src/logging/events';
 
 /** Rows "| number | name | third | ..." of a page. */
-function tableRows(page: string): { number: number; name: string; third: string }[] {
+function readTableRows(page: string): { number: number; name: string; third: string }[] {
   const text = readFileSync(resolve(__dirname, '../../docs', page), 'utf8');
   return [...text.matchAll(/^\| (\d{4}) \| ([a-z-]+) \| ([a-z]+) \| \S/gm)].map((row) => ({
     number: Number(row[1]),
@@ -21,7 +21,7 @@
     name,
     third: retry,
   }));
-  t.deepEqual(tableRows('ERRORS.md'), inCode);
+  t.deepEqual(readTableRows('ERRORS.md'), inCode);
 });
 
 test('docs/EVENTS.md lists exactly the events of the code', (t) => {
@@ -30,7 +30,7 @@
     name,
     third: level,
   }));
-  t.deepEqual(tableRows('EVENTS.md'), inCode);
+  t.deepEqual(readTableRows('EVENTS.md'), inCode);
 });
 
 test('no number is used twice', (t) => {
--- a/test/table-rows.test.ts
+++ b/test/table-rows.test.ts
@@ -2,18 +2,18 @@
 import test from 'ava';
 import { parseEndpoint } from '../src/core/endpoint';
 import { findConflictingRows, findChangedRows, type TableRow } from '../src/core/table';
-import { formatCsvTable, parseCsvTable, viewRows } from '../src/operator/table-rows';
+import { formatCsvTable, parseCsvTable, createRowViews } from '../src/operator/table-rows';
 
 const HEADER = 'service,target,address,share,slots,connections';
 
-function row(target: string, share: number): TableRow {
+function createRow(target: string, share: number): TableRow {
   const address = parseEndpoint('127.0.0.1:7000').unwrap();
   return { target, address, share, slots: 5, connections: 2_000 };
 }
 
 test('a table survives being written and read, also as a spreadsheet saves it', (t) => {
-  const rows = [row('target-1', 1), { ...row('target-2', 0.5), address: 12_345_678 }];
-  const csv = formatCsvTable(viewRows('live-map', rows));
+  const rows = [createRow('target-1', 1), { ...createRow('target-2', 0.5), address: 12_345_678 }];
+  const csv = formatCsvTable(createRowViews('live-map', rows));
   const spreadsheet = `\uFEFF${csv.replace(/\n/g, '\r\n')}`;
   t.deepEqual(parseCsvTable(csv).unwrap(), [{ service: 'live-map', rows }]);
   t.deepEqual(parseCsvTable(spreadsheet).unwrap(), [{ service: 'live-map', rows }]);
@@ -46,10 +46,10 @@
 });
 
 test('edits of different rows do not collide, edits of the same row do', (t) => {
-  const base = [row('a', 1), row('b', 1), row('c', 1)];
-  const theirs = [row('a', 2), row('b', 1), row('c', 1)];
-  const mineElsewhere = [row('a', 1), row('b', 3), row('c', 1)];
-  const mineSame = [row('a', 5), row('b', 1)];
+  const base = [createRow('a', 1), createRow('b', 1), createRow('c', 1)];
+  const theirs = [createRow('a', 2), createRow('b', 1), createRow('c', 1)];
+  const mineElsewhere = [createRow('a', 1), createRow('b', 3), createRow('c', 1)];
+  const mineSame = [createRow('a', 5), createRow('b', 1)];
   t.deepEqual(findConflictingRows(base, theirs, mineElsewhere), []);
   t.deepEqual(
     findConflictingRows(base, theirs, mineSame).map((conflict) => conflict.target),
