--- a/src/bench/balance.ts
+++ b/src/bench/balance.ts
@@ -5,7 +5,7 @@
 import { chooseTarget, type PlacementCandidate } from '../core/placement';
 import { packEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
-import { hostsAnything, routingOf, type Design } from '../simulation/baselines';
+import { hostsAnyFlow, createRoutingFactory, type Design } from '../simulation/baselines';
 import { SeededRandom } from '../simulation/seeded-random';
 import { BalanceCluster, type BenchAgent, type BenchShape } from './balance-cluster';
 
@@ -106,14 +106,14 @@
   private shape(): BenchShape {
     const baseline: Design =
       this.design === 'hash' || this.design === 'hash-and-table' ? this.design : 'hallhold';
-    const routing = routingOf(baseline);
+    const routing = createRoutingFactory(baseline);
     const place = this.placement();
     return {
       balancers: BALANCERS,
       targets: this.order.targets,
       services: 1,
       shareOf: (number) => 1 + (number % 2),
-      hostsAnyFlow: hostsAnything(baseline),
+      hostsAnyFlow: hostsAnyFlow(baseline),
       ...(routing ? { routing } : {}),
       ...(place ? { place } : {}),
     };
--- a/src/cli/simulate-command.ts
+++ b/src/cli/simulate-command.ts
@@ -7,7 +7,7 @@
 import { DESIGNS } from '../simulation/baselines';
 import {
   runSimulation,
-  totalViolations,
+  countViolations,
   type SimulationReport,
 } from '../simulation/run-simulation';
 import { findScenario, SCENARIOS } from '../simulation/scenarios';
@@ -48,7 +48,7 @@
       printTable(
         this.context,
         ['scenario', 'what happens'],
-        SCENARIOS.map(({ name, what }) => [name, what]),
+        SCENARIOS.map(({ name, description: what }) => [name, what]),
       );
       return ExitCode.done;
     }
@@ -67,7 +67,7 @@
       ...(this.trace ? { trace: (line) => this.context.stderr.write(`${line}\n`) } : {}),
     });
     this.print(report);
-    return totalViolations(report) > 0 ? ExitCode.violations : ExitCode.done;
+    return countViolations(report) > 0 ? ExitCode.violations : ExitCode.done;
   }
 
   private print(report: SimulationReport): void {
--- a/src/cli/soak-command.ts
+++ b/src/cli/soak-command.ts
@@ -6,7 +6,7 @@
 import { DESIGNS } from '../simulation/baselines';
 import {
   runSimulation,
-  totalViolations,
+  countViolations,
   type SimulationReport,
 } from '../simulation/run-simulation';
 import { findScenario } from '../simulation/scenarios';
@@ -53,7 +53,7 @@
       const { design } = this;
       const report = runSimulation({ scenario, deployment, seed, design, without: [] });
       runs++;
-      failing += totalViolations(report) > 0 ? 1 : 0;
+      failing += countViolations(report) > 0 ? 1 : 0;
       this.print(report);
     }
     this.context.stdout.write(`${runs} runs, ${failing} with violations\n`);
@@ -77,7 +77,7 @@
     if (this.json) {
       printJson(this.context, report);
     }
-    if (totalViolations(report) === 0) {
+    if (countViolations(report) === 0) {
       return;
     }
     const { deployment, seed, faults } = report;
--- a/src/simulation/baselines.ts
+++ b/src/simulation/baselines.ts
@@ -77,7 +77,7 @@
 }
 
 /** The routing of a design; undefined for hallhold's own. */
-export function routingOf(design: Design): RoutingFactory | undefined {
+export function createRoutingFactory(design: Design): RoutingFactory | undefined {
   switch (design) {
     case 'hash':
       return (service, states) => new HashRouting(service, states);
@@ -89,6 +89,6 @@
 }
 
 /** True for designs in which an agent hosts whatever reaches it. */
-export function hostsAnything(design: Design): boolean {
+export function hostsAnyFlow(design: Design): boolean {
   return design === 'hash' || design === 'hash-and-table';
 }
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -3,7 +3,7 @@
 import { CALLER_ZONE, type NetworkCut } from './simulated-network';
 import type { SimulatedBalancer } from './simulated-balancer';
 import type { SimulatedTarget } from './simulated-target';
-import type { SimulatedWorld } from './simulated-world';
+import type { Simulation } from './simulation';
 
 /** Names of faults, as reports count them. */
 export type FaultName =
@@ -32,14 +32,14 @@
   | 'operator-race'
   | 'acceptor-and-store-die';
 
-const QUIET_BEFORE_STOP = 1_000;
+const PLANNED_STOP_DELAY_MS = 1_000;
 
 /** Faults acting on one world, counted. */
-export class Faults {
+export class FaultInjector {
   readonly counts = new Map<FaultName, number>();
-  private writes = 0;
+  private writeCount = 0;
 
-  constructor(private readonly world: SimulatedWorld) {}
+  constructor(private readonly simulation: Simulation) {}
 
   /** Applies a fault now; `duration` in milliseconds for those that end. */
   apply(name: FaultName, duration: number): void {
@@ -52,10 +52,10 @@
     if (!balancer) {
       return;
     }
-    this.world.watcher.unplannedFault(balancer);
+    this.simulation.monitor.recordUnplannedFault(balancer);
     balancer.process.kill();
-    this.world.withdraw(balancer, false);
-    this.later(duration, () => this.world.startBalancer(balancer));
+    this.simulation.withdraw(balancer, false);
+    this.schedule(duration, () => this.simulation.startBalancer(balancer));
   }
 
   freezeBalancer(duration: number): void {
@@ -63,34 +63,34 @@
     if (!balancer) {
       return;
     }
-    this.world.watcher.unplannedFault(balancer);
+    this.simulation.monitor.recordUnplannedFault(balancer);
     balancer.process.freeze();
-    this.world.withdraw(balancer, false);
-    this.later(duration, () => {
+    this.simulation.withdraw(balancer, false);
+    this.schedule(duration, () => {
       if (!balancer.process.isDead) {
-        balancer.process.wake();
-        this.world.watcher.unplannedFault(balancer);
-        this.world.sprayAgain(balancer);
+        balancer.process.resume();
+        this.simulation.monitor.recordUnplannedFault(balancer);
+        this.simulation.readmit(balancer);
       }
     });
   }
 
   /** Leaves the fabric, forwards until quiet, ends; a fresh one takes its place. */
-  restartBalancerAsPlanned(duration: number): void {
+  restartBalancerGracefully(duration: number): void {
     const balancer = this.pickBalancer();
     if (!balancer) {
       return;
     }
-    this.world.watcher.plannedStop();
-    balancer.stopping = true;
+    this.simulation.monitor.recordPlannedStop();
+    balancer.isStopping = true;
     balancer.node.beginStop();
-    this.world.withdraw(balancer, true);
+    this.simulation.withdraw(balancer, true);
     const { process } = balancer;
-    this.later(QUIET_BEFORE_STOP, () => {
+    this.schedule(PLANNED_STOP_DELAY_MS, () => {
       if (balancer.process === process && process.isRunning) {
         balancer.node.stop();
         process.kill();
-        this.later(duration, () => this.world.startBalancer(balancer));
+        this.schedule(duration, () => this.simulation.startBalancer(balancer));
       }
     });
   }
@@ -100,10 +100,10 @@
     if (!target) {
       return;
     }
-    this.world.watcher.unplannedFault(target);
+    this.simulation.monitor.recordUnplannedFault(target);
     target.agentProcess.kill();
-    this.later(duration, () => {
-      this.world.watcher.unplannedFault(target);
+    this.schedule(duration, () => {
+      this.simulation.monitor.recordUnplannedFault(target);
       target.startAgent();
     });
   }
@@ -113,12 +113,12 @@
     if (!target) {
       return;
     }
-    this.world.watcher.unplannedFault(target);
+    this.simulation.monitor.recordUnplannedFault(target);
     target.agentProcess.kill();
     target.backendProcess.kill();
     target.backend.stop();
-    this.later(duration, () => {
-      this.world.watcher.unplannedFault(target);
+    this.schedule(duration, () => {
+      this.simulation.monitor.recordUnplannedFault(target);
       target.startBackend();
       target.startAgent();
     });
@@ -129,20 +129,20 @@
     if (!target) {
       return;
     }
-    this.world.watcher.unplannedFault(target);
+    this.simulation.monitor.recordUnplannedFault(target);
     const { agentProcess } = target;
     agentProcess.freeze();
-    this.later(duration, () => {
-      this.world.watcher.unplannedFault(target);
-      agentProcess.wake();
+    this.schedule(duration, () => {
+      this.simulation.monitor.recordUnplannedFault(target);
+      agentProcess.resume();
     });
   }
 
   /** Hands everything over to a successor in one step. */
-  restartAgentAsPlanned(): void {
+  restartAgentGracefully(): void {
     const target = this.pickTarget();
     if (target) {
-      this.world.watcher.plannedStop();
+      this.simulation.monitor.recordPlannedStop();
       target.handOver();
     }
   }
@@ -150,31 +150,31 @@
   restartBackend(): void {
     const target = this.pickTarget();
     if (target) {
-      this.world.watcher.unplannedFault(target);
+      this.simulation.monitor.recordUnplannedFault(target);
       target.startBackend();
     }
   }
 
-  shed(duration: number): void {
+  shedLoad(duration: number): void {
     const target = this.pickTarget();
     if (target) {
       const { backend } = target;
       backend.shedding = true;
-      this.later(duration, () => (backend.shedding = false));
+      this.schedule(duration, () => (backend.shedding = false));
     }
   }
 
-  sayDraining(duration: number): void {
+  announceDraining(duration: number): void {
     const target = this.pickTarget();
     if (!target) {
       return;
     }
     const { backend } = target;
     backend.draining = true;
-    this.world.watcher.leaving(target);
-    this.later(duration, () => {
+    this.simulation.monitor.recordLeaving(target);
+    this.schedule(duration, () => {
       backend.draining = false;
-      this.world.watcher.returned(target);
+      this.simulation.monitor.recordReturn(target);
     });
   }
 
@@ -183,58 +183,58 @@
     if (!target) {
       return;
     }
-    this.world.store.setMachine({ address: target.address, leaving: true });
-    let listed = true;
-    this.whenReadable(0, () => {
-      if (listed) {
-        this.world.watcher.leaving(target);
+    this.simulation.store.setMachine({ address: target.address, leaving: true });
+    let isListed = true;
+    this.runWhenStoreReadable(0, () => {
+      if (isListed) {
+        this.simulation.monitor.recordLeaving(target);
       }
     });
-    this.later(MACHINE_LIST_REACTION + duration, () => {
-      listed = false;
-      this.world.watcher.returned(target);
-      this.world.store.setMachine({ address: target.address, leaving: false });
+    this.schedule(MACHINE_LIST_REACTION_TIME_MS + duration, () => {
+      isListed = false;
+      this.simulation.monitor.recordReturn(target);
+      this.simulation.store.setMachine({ address: target.address, leaving: false });
     });
   }
 
   /** Acts once the store has answered for the reaction time without a break. */
-  private whenReadable(readableFor: number, act: () => void): void {
-    if (readableFor >= MACHINE_LIST_REACTION) {
-      act();
+  private runWhenStoreReadable(readableFor: number, action: () => void): void {
+    if (readableFor >= MACHINE_LIST_REACTION_TIME_MS) {
+      action();
       return;
     }
-    this.later(READABLE_CHECK_INTERVAL, () => {
-      const next = this.world.store.faults.down ? 0 : readableFor + READABLE_CHECK_INTERVAL;
-      this.whenReadable(next, act);
+    this.schedule(STORE_CHECK_INTERVAL_MS, () => {
+      const next = this.simulation.store.faults.down ? 0 : readableFor + STORE_CHECK_INTERVAL_MS;
+      this.runWhenStoreReadable(next, action);
     });
   }
 
-  lieAboutLoad(duration: number): void {
+  misreportLoad(duration: number): void {
     const target = this.pickTarget();
     if (target) {
       const { backend } = target;
-      backend.reportedLoad = this.world.random.next() < 0.5 ? 0 : 1;
-      this.later(duration, () => (backend.reportedLoad = undefined));
+      backend.reportedLoad = this.simulation.random.next() < 0.5 ? 0 : 1;
+      this.schedule(duration, () => (backend.reportedLoad = undefined));
     }
   }
 
-  disturbNetwork(duration: number): void {
-    const { quality } = this.world.network;
-    this.world.watcher.networkFault();
+  degradeNetwork(duration: number): void {
+    const { quality } = this.simulation.network;
+    this.simulation.monitor.recordNetworkFault();
     Object.assign(quality, { loss: 0.05, duplication: 0.05, reordering: 0.1, reorderDelay: 20 });
-    this.later(duration, () => {
+    this.schedule(duration, () => {
       Object.assign(quality, { loss: 0, duplication: 0, reordering: 0, reorderDelay: 0 });
-      this.world.watcher.networkFault();
+      this.simulation.monitor.recordNetworkFault();
     });
   }
 
   cutZones(duration: number, bothWays: boolean): void {
-    const { zones } = this.world.options.deployment;
-    const from = this.world.random.pick(zones);
+    const { zones } = this.simulation.options.deployment;
+    const from = this.simulation.random.pick(zones);
     const others = zones.filter((zone) => zone !== from);
-    const forth = others.map((to) => ({ from, to }));
-    const back = bothWays ? others.map((to) => ({ from: to, to: from })) : [];
-    this.cut([...forth, ...back], duration);
+    const outbound = others.map((to) => ({ from, to }));
+    const inbound = bothWays ? others.map((to) => ({ from: to, to: from })) : [];
+    this.cut([...outbound, ...inbound], duration);
   }
 
   /** Cuts one target's machine off from everything, callers included. */
@@ -243,41 +243,41 @@
     if (!target) {
       return;
     }
-    const places = [...this.world.options.deployment.zones, CALLER_ZONE];
-    const cuts = places.flatMap((zone) => [
+    const peers = [...this.simulation.options.deployment.zones, CALLER_ZONE];
+    const cuts = peers.flatMap((zone) => [
       { from: target.address, to: zone },
       { from: zone, to: target.address },
     ]);
-    this.world.watcher.unplannedFault(target);
-    cuts.forEach((cut) => this.world.network.cut(cut));
-    this.later(duration, () => {
-      cuts.forEach((cut) => this.world.network.heal(cut));
-      this.world.watcher.unplannedFault(target);
+    this.simulation.monitor.recordUnplannedFault(target);
+    cuts.forEach((cut) => this.simulation.network.cut(cut));
+    this.schedule(duration, () => {
+      cuts.forEach((cut) => this.simulation.network.heal(cut));
+      this.simulation.monitor.recordUnplannedFault(target);
     });
   }
 
-  takeStoreDown(duration: number): void {
-    this.world.store.setDown(true);
-    this.later(duration, () => this.world.store.setDown(false));
+  stopStore(duration: number): void {
+    this.simulation.store.setDown(true);
+    this.schedule(duration, () => this.simulation.store.setDown(false));
   }
 
   slowStore(duration: number): void {
-    this.world.store.faults.slowness = 1_000;
-    this.later(duration, () => (this.world.store.faults.slowness = 0));
+    this.simulation.store.faults.slowness = 1_000;
+    this.schedule(duration, () => (this.simulation.store.faults.slowness = 0));
   }
 
   /** Writes take effect while their answers are lost; one is made at once. */
-  loseStoreAnswers(duration: number): void {
-    this.world.store.faults.lostAnswers = 1;
-    this.editShare(this.world.random.pick([1, 2, 3]));
-    this.later(duration, () => (this.world.store.faults.lostAnswers = 0));
+  dropStoreAnswers(duration: number): void {
+    this.simulation.store.faults.lostAnswers = 1;
+    this.editShare(this.simulation.random.pick([1, 2, 3]));
+    this.schedule(duration, () => (this.simulation.store.faults.lostAnswers = 0));
   }
 
   editShare(share: number): void {
     const target = this.pickTarget();
     const acceptor = this.pickBalancer();
     if (target && acceptor) {
-      this.edit(target, acceptor, (row) => ({ ...row, share }));
+      this.editTable(target, acceptor, (row) => ({ ...row, share }));
     }
   }
 
@@ -287,11 +287,11 @@
     if (!target || !acceptor) {
       return;
     }
-    this.edit(target, acceptor, (row) => ({ ...row, share: 0 }));
-    this.later(duration, () => {
-      const later = this.pickBalancer();
-      if (later) {
-        this.edit(target, later, (row) => ({ ...row, share: 1 }));
+    this.editTable(target, acceptor, (row) => ({ ...row, share: 0 }));
+    this.schedule(duration, () => {
+      const laterAcceptor = this.pickBalancer();
+      if (laterAcceptor) {
+        this.editTable(target, laterAcceptor, (row) => ({ ...row, share: 1 }));
       }
     });
   }
@@ -304,9 +304,9 @@
       return;
     }
     const service = target.service.name;
-    const id = this.writeId();
+    const id = this.createWriteId();
     let removed: TableRow | undefined;
-    this.world.edit(
+    this.simulation.editTable(
       service,
       (rows) => {
         removed = rows.find((row) => row.target === target.name);
@@ -315,13 +315,13 @@
       acceptor,
       id,
     );
-    this.later(duration, () => {
-      const later = this.pickBalancer();
-      if (later && removed) {
+    this.schedule(duration, () => {
+      const laterAcceptor = this.pickBalancer();
+      if (laterAcceptor && removed) {
         const row = removed;
-        const putBack = (rows: readonly TableRow[]): TableRow[] =>
-          rows.some((one) => one.target === row.target) ? [...rows] : [...rows, row];
-        this.world.edit(service, putBack, later, this.writeId());
+        const restoreRow = (rows: readonly TableRow[]): TableRow[] =>
+          rows.some((other) => other.target === row.target) ? [...rows] : [...rows, row];
+        this.simulation.editTable(service, restoreRow, laterAcceptor, this.createWriteId());
       }
     });
   }
@@ -329,98 +329,98 @@
   /** Two operators edit the same table through two balancers at once. */
   raceOperators(): void {
     const target = this.pickTarget();
-    const [first, second] = this.world.runningBalancers();
+    const [first, second] = this.simulation.listRunningBalancers();
     if (target && first && second) {
-      this.edit(target, first, (row) => ({ ...row, share: 2 }));
-      this.edit(target, second, (row) => ({ ...row, share: 3 }));
+      this.editTable(target, first, (row) => ({ ...row, share: 2 }));
+      this.editTable(target, second, (row) => ({ ...row, share: 3 }));
     }
   }
 
   /** A table is accepted, and its acceptor and the store die in the next moment. */
-  acceptThenDie(duration: number): void {
+  killAcceptorAndStore(duration: number): void {
     const target = this.pickTarget();
     const acceptor = this.pickBalancer();
     if (!target || !acceptor) {
       return;
     }
-    this.world.watcher.onNextAcceptance(() => {
-      this.world.watcher.unplannedFault(acceptor);
+    this.simulation.monitor.onNextAcceptance(() => {
+      this.simulation.monitor.recordUnplannedFault(acceptor);
       acceptor.process.kill();
-      this.world.withdraw(acceptor, false);
-      this.takeStoreDown(duration);
-      this.later(duration, () => this.world.startBalancer(acceptor));
+      this.simulation.withdraw(acceptor, false);
+      this.stopStore(duration);
+      this.schedule(duration, () => this.simulation.startBalancer(acceptor));
     });
-    this.edit(target, acceptor, (row) => ({ ...row, share: row.share === 1 ? 2 : 1 }));
+    this.editTable(target, acceptor, (row) => ({ ...row, share: row.share === 1 ? 2 : 1 }));
   }
 
-  private edit(
+  private editTable(
     target: SimulatedTarget,
     acceptor: SimulatedBalancer,
     change: (row: TableRow) => TableRow,
   ): void {
     const changeRows = (rows: readonly TableRow[]): TableRow[] =>
       rows.map((row) => (row.target === target.name ? change(row) : row));
-    this.world.edit(target.service.name, changeRows, acceptor, this.writeId());
+    this.simulation.editTable(target.service.name, changeRows, acceptor, this.createWriteId());
   }
 
   private cut(cuts: readonly NetworkCut[], duration: number): void {
-    this.world.watcher.networkFault();
-    cuts.forEach((cut) => this.world.network.cut(cut));
-    this.later(duration, () => {
-      cuts.forEach((cut) => this.world.network.heal(cut));
-      this.world.watcher.networkFault();
+    this.simulation.monitor.recordNetworkFault();
+    cuts.forEach((cut) => this.simulation.network.cut(cut));
+    this.schedule(duration, () => {
+      cuts.forEach((cut) => this.simulation.network.heal(cut));
+      this.simulation.monitor.recordNetworkFault();
     });
   }
 
-  private writeId(): string {
-    this.writes++;
-    return `simulated-${this.writes}`;
+  private createWriteId(): string {
+    this.writeCount++;
+    return `simulated-${this.writeCount}`;
   }
 
   private pickBalancer(): SimulatedBalancer | undefined {
-    const usable = this.world.runningBalancers().filter((one) => !one.stopping && one.node.isReady);
-    return usable.length > 1 ? this.world.random.pick(usable) : undefined;
+    const usable = this.simulation.listRunningBalancers().filter((one) => !one.isStopping && one.node.isReady);
+    return usable.length > 1 ? this.simulation.random.pick(usable) : undefined;
   }
 
   private pickTarget(): SimulatedTarget | undefined {
-    const running = this.world.targets.filter((target) => target.isRunning);
-    return running.length > 0 ? this.world.random.pick(running) : undefined;
+    const running = this.simulation.targets.filter((target) => target.isRunning);
+    return running.length > 0 ? this.simulation.random.pick(running) : undefined;
   }
 
-  private later(delay: number, action: () => void): void {
-    this.world.clock.schedule(delay, action);
+  private schedule(delay: number, action: () => void): void {
+    this.simulation.clock.schedule(delay, action);
   }
 }
 
 /** The machine list lags, is polled, and its notice must reach the agent. */
-const MACHINE_LIST_REACTION = 5_500;
-const READABLE_CHECK_INTERVAL = 100;
+const MACHINE_LIST_REACTION_TIME_MS = 5_500;
+const STORE_CHECK_INTERVAL_MS = 100;
 
-const FAULT_ACTIONS: Readonly<Record<FaultName, (faults: Faults, duration: number) => void>> = {
+const FAULT_ACTIONS: Readonly<Record<FaultName, (faults: FaultInjector, duration: number) => void>> = {
   'balancer-kill': (faults, duration) => faults.killBalancer(duration),
   'balancer-freeze': (faults, duration) => faults.freezeBalancer(duration),
-  'balancer-planned-restart': (faults, duration) => faults.restartBalancerAsPlanned(duration),
+  'balancer-planned-restart': (faults, duration) => faults.restartBalancerGracefully(duration),
   'agent-kill': (faults, duration) => faults.killAgent(duration),
   'agent-freeze': (faults, duration) => faults.freezeAgent(duration),
-  'agent-planned-restart': (faults) => faults.restartAgentAsPlanned(),
+  'agent-planned-restart': (faults) => faults.restartAgentGracefully(),
   'machine-kill': (faults, duration) => faults.killMachine(duration),
   'backend-restart': (faults) => faults.restartBackend(),
-  'backend-shed': (faults, duration) => faults.shed(duration),
-  'backend-drain-word': (faults, duration) => faults.sayDraining(duration),
+  'backend-shed': (faults, duration) => faults.shedLoad(duration),
+  'backend-drain-word': (faults, duration) => faults.announceDraining(duration),
   'machine-list-leaving': (faults, duration) => faults.listMachineLeaving(duration),
-  'lying-load': (faults, duration) => faults.lieAboutLoad(duration),
-  'network-loss': (faults, duration) => faults.disturbNetwork(duration),
+  'lying-load': (faults, duration) => faults.misreportLoad(duration),
+  'network-loss': (faults, duration) => faults.degradeNetwork(duration),
   'zone-cut': (faults, duration) => faults.cutZones(duration, true),
   'one-way-cut': (faults, duration) => faults.cutZones(duration, false),
   'target-cut': (faults, duration) => faults.cutTarget(duration),
-  'store-down': (faults, duration) => faults.takeStoreDown(duration),
+  'store-down': (faults, duration) => faults.stopStore(duration),
   'store-slow': (faults, duration) => faults.slowStore(duration),
-  'store-lost-answers': (faults, duration) => faults.loseStoreAnswers(duration),
+  'store-lost-answers': (faults, duration) => faults.dropStoreAnswers(duration),
   'table-edit': (faults) => faults.editShare(2),
   'table-drain': (faults, duration) => faults.drainByTable(duration),
   'table-row-removed': (faults, duration) => faults.removeRow(duration),
   'operator-race': (faults) => faults.raceOperators(),
-  'acceptor-and-store-die': (faults, duration) => faults.acceptThenDie(duration),
+  'acceptor-and-store-die': (faults, duration) => faults.killAcceptorAndStore(duration),
 };
 
 /** Every fault there is. */
--- a/src/simulation/invariant-checkers.ts
+++ b/src/simulation/invariant-checkers.ts
@@ -14,7 +14,7 @@
 
 export type CheckerName = (typeof CHECKER_NAMES)[number];
 
-const EXAMPLES_KEPT = 5;
+const MAXIMUM_EXAMPLES = 5;
 
 /** Outcome of one checker. */
 export interface CheckerOutcome {
@@ -27,33 +27,33 @@
 /** Collects judgements. */
 export class InvariantCheckers {
   private readonly judged = new Map<CheckerName, number>();
-  private readonly broken = new Map<CheckerName, string[]>();
+  private readonly violations = new Map<CheckerName, string[]>();
 
   /** Notes cases that a checker judged. */
-  judge(name: CheckerName, cases = 1): void {
+  recordChecks(name: CheckerName, cases = 1): void {
     this.judged.set(name, (this.judged.get(name) ?? 0) + cases);
   }
 
   /** Notes a violation. */
-  violate(name: CheckerName, what: string): void {
-    const known = this.broken.get(name) ?? [];
-    known.push(what);
-    this.broken.set(name, known);
+  recordViolation(name: CheckerName, description: string): void {
+    const descriptions = this.violations.get(name) ?? [];
+    descriptions.push(description);
+    this.violations.set(name, descriptions);
   }
 
   /** Violations of all checkers. */
-  get total(): number {
-    return [...this.broken.values()].reduce((sum, list) => sum + list.length, 0);
+  get totalViolations(): number {
+    return [...this.violations.values()].reduce((sum, list) => sum + list.length, 0);
   }
 
   /** Every checker's outcome, those that judged nothing too. */
-  outcomes(): Record<CheckerName, CheckerOutcome> {
+  listOutcomes(): Record<CheckerName, CheckerOutcome> {
     const entries = CHECKER_NAMES.map((name) => {
-      const broken = this.broken.get(name) ?? [];
+      const violations = this.violations.get(name) ?? [];
       const outcome = {
         judged: this.judged.get(name) ?? 0,
-        violations: broken.length,
-        examples: broken.slice(0, EXAMPLES_KEPT),
+        violations: violations.length,
+        examples: violations.slice(0, MAXIMUM_EXAMPLES),
       };
       return [name, outcome] as const;
     });
--- a/src/simulation/packets/model-client.ts
+++ b/src/simulation/packets/model-client.ts
@@ -7,16 +7,16 @@
 import type { VirtualClock } from '../virtual-clock';
 import {
   encodeModelPacket,
-  FAILED_ANSWER,
+  FAILED_ANSWER_PREFIX,
   ModelFlag,
   modelPacketFormat,
-  payloadOf,
+  decodePayload,
 } from './model-packet-format';
 
-const OPENING_COPIES = [0, 200, 600] as const;
-const OPENING_TIME = 1_400;
-const FIRST_REPEAT = 200;
-const LONGEST_REPEAT = 1_600;
+const OPENING_RETRANSMISSIONS_MS = [0, 200, 600] as const;
+const OPENING_TIMEOUT_MS = 1_400;
+const INITIAL_RETRANSMISSION_TIMEOUT_MS = 200;
+const MAXIMUM_RETRANSMISSION_TIMEOUT_MS = 1_600;
 
 /** How a client's flow stands. */
 export type ClientState = 'opening' | 'open' | 'failed' | 'reset' | 'done';
@@ -32,9 +32,9 @@
 
 /** What a client shows to the world. */
 export interface ModelClientObserver {
-  wasReset(client: ModelClient, packet: FlowPacket): void;
+  onReset(client: ModelClient, packet: FlowPacket): void;
   /** An answer came to a request: the text expected and the text that came. */
-  answerCame(expected: string, answered: string): void;
+  onAnswer(expected: string, answered: string): void;
 }
 
 /** One flow of one client. */
@@ -58,14 +58,14 @@
 
   start(): void {
     this.startedAt = this.clock.now;
-    OPENING_COPIES.forEach((delay, copy) => {
+    OPENING_RETRANSMISSIONS_MS.forEach((delay, copy) => {
       this.clock.schedule(delay, () => {
         if (this.state === 'opening') {
-          this.emit(ModelFlag.opens, this.sequence, copy, '');
+          this.sendPacket(ModelFlag.opens, this.sequence, copy, '');
         }
       });
     });
-    this.clock.schedule(OPENING_TIME, () => {
+    this.clock.schedule(OPENING_TIMEOUT_MS, () => {
       if (this.state === 'opening') {
         this.state = 'failed';
       }
@@ -79,70 +79,70 @@
       return;
     }
     if (packet.resets) {
-      this.observer.wasReset(this, packet);
+      this.observer.onReset(this, packet);
       this.state = 'reset';
     } else if (packet.opens) {
-      this.opened(packet);
+      this.handleOpened(packet);
     } else if (packet.payloadLength > 0 && packet.acknowledgement === this.sequence) {
-      this.takeAnswer(packet);
+      this.handleAnswer(packet);
     }
   }
 
-  private opened(packet: FlowPacket): void {
+  private handleOpened(packet: FlowPacket): void {
     if (this.state !== 'opening') {
       return;
     }
     this.state = 'open';
     this.acknowledged = packet.sequence + 1;
-    this.emit(0, this.sequence, this.acknowledged, '');
-    this.request();
+    this.sendPacket(0, this.sequence, this.acknowledged, '');
+    this.sendNextRequest();
   }
 
   /** An answer that has come before is only acknowledged again. */
-  private takeAnswer(packet: FlowPacket): void {
+  private handleAnswer(packet: FlowPacket): void {
     if (packet.sequence !== this.acknowledged) {
-      this.emit(0, this.sequence, this.acknowledged, '');
+      this.sendPacket(0, this.sequence, this.acknowledged, '');
       return;
     }
     this.acknowledged += packet.payloadLength + Number(packet.ends);
-    this.answered(packet);
+    this.recordAnswer(packet);
   }
 
-  private answered(packet: FlowPacket): void {
+  private recordAnswer(packet: FlowPacket): void {
     const { client } = this.plan;
-    const text = payloadOf(packet).replace(FAILED_ANSWER, '');
-    this.observer.answerCame(`answer to ${client}/${this.sequence}`, text);
+    const text = decodePayload(packet).replace(FAILED_ANSWER_PREFIX, '');
+    this.observer.onAnswer(`answer to ${client}/${this.sequence}`, text);
     this.answers++;
     this.answeredAt.push(this.clock.now);
-    const over = this.answers >= this.plan.requests;
-    if (packet.ends || over) {
+    const isFinished = this.answers >= this.plan.requests;
+    if (packet.ends || isFinished) {
       this.state = 'done';
-      this.emit(ModelFlag.ends, this.sequence + 1, this.acknowledged, '');
+      this.sendPacket(ModelFlag.ends, this.sequence + 1, this.acknowledged, '');
       return;
     }
-    this.emit(0, this.sequence, this.acknowledged, '');
-    this.clock.schedule(this.plan.pause, () => this.request());
+    this.sendPacket(0, this.sequence, this.acknowledged, '');
+    this.clock.schedule(this.plan.pause, () => this.sendNextRequest());
   }
 
-  private request(): void {
+  private sendNextRequest(): void {
     if (this.state !== 'open') {
       return;
     }
     this.sequence++;
-    this.repeat(this.sequence, FIRST_REPEAT);
+    this.sendRequest(this.sequence, INITIAL_RETRANSMISSION_TIMEOUT_MS);
   }
 
-  private repeat(sequence: number, delay: number): void {
+  private sendRequest(sequence: number, delay: number): void {
     const answersBefore = this.answers;
-    this.emit(0, sequence, this.acknowledged, `${this.plan.client}/${sequence}`);
+    this.sendPacket(0, sequence, this.acknowledged, `${this.plan.client}/${sequence}`);
     this.clock.schedule(delay, () => {
       if (this.state === 'open' && this.answers === answersBefore) {
-        this.repeat(sequence, Math.min(delay * 2, LONGEST_REPEAT));
+        this.sendRequest(sequence, Math.min(delay * 2, MAXIMUM_RETRANSMISSION_TIMEOUT_MS));
       }
     });
   }
 
-  private emit(flags: number, sequence: number, acknowledgement: number, payload: string): void {
+  private sendPacket(flags: number, sequence: number, acknowledgement: number, payload: string): void {
     const { client, destination } = this.plan;
     const fields = { client, destination, flags, sequence, acknowledgement, payload };
     this.send(encodeModelPacket(fields));
--- a/src/simulation/packets/model-packet-format.ts
+++ b/src/simulation/packets/model-packet-format.ts
@@ -11,10 +11,10 @@
   token: 21,
   payload: 25,
 } as const;
-const END_BYTES = 6;
+const ENDPOINT_BYTES = 6;
 
 /** How an answer begins that says that its request failed. */
-export const FAILED_ANSWER = 'failed: ';
+export const FAILED_ANSWER_PREFIX = 'failed: ';
 
 /** Flags of a model packet. */
 export const ModelFlag = { opens: 1, ends: 2, resets: 4, refused: 8 } as const;
@@ -34,8 +34,8 @@
   const payload = Buffer.from(fields.payload ?? '');
   const bytes = Buffer.alloc(Offset.payload + payload.length);
   bytes[Offset.flags] = fields.flags;
-  bytes.writeUIntBE(fields.client, Offset.client, END_BYTES);
-  bytes.writeUIntBE(fields.destination, Offset.destination, END_BYTES);
+  bytes.writeUIntBE(fields.client, Offset.client, ENDPOINT_BYTES);
+  bytes.writeUIntBE(fields.destination, Offset.destination, ENDPOINT_BYTES);
   bytes.writeUInt32BE(fields.sequence, Offset.sequence);
   bytes.writeUInt32BE(fields.acknowledgement, Offset.acknowledgement);
   payload.copy(bytes, Offset.payload);
@@ -43,7 +43,7 @@
 }
 
 /** The data of a packet as text. */
-export function payloadOf(packet: FlowPacket): string {
+export function decodePayload(packet: FlowPacket): string {
   return packet.bytes.toString('utf8', Offset.payload);
 }
 
@@ -56,8 +56,8 @@
   const acknowledgement = bytes.readUInt32BE(Offset.acknowledgement);
   return {
     flow: bytes.toString('latin1', Offset.client, Offset.sequence),
-    client: bytes.readUIntBE(Offset.client, END_BYTES),
-    destination: bytes.readUIntBE(Offset.destination, END_BYTES),
+    client: bytes.readUIntBE(Offset.client, ENDPOINT_BYTES),
+    destination: bytes.readUIntBE(Offset.destination, ENDPOINT_BYTES),
     opens,
     ends: (flags & ModelFlag.ends) !== 0,
     resets: (flags & ModelFlag.resets) !== 0,
@@ -82,7 +82,7 @@
     bytes[Offset.flags]! &= ~ModelFlag.refused;
   },
   readRequestId: () => undefined,
-  isFailure: (packet) => payloadOf(packet).startsWith(FAILED_ANSWER),
+  isFailure: (packet) => decodePayload(packet).startsWith(FAILED_ANSWER_PREFIX),
   createReset: ({ client, destination }) =>
     encodeModelPacket({
       client,
--- a/src/simulation/packets/model-store.ts
+++ b/src/simulation/packets/model-store.ts
@@ -18,8 +18,8 @@
 import type { SimulatedProcess } from '../simulated-process';
 import type { VirtualClock } from '../virtual-clock';
 
-const USUAL_ANSWER_TIME = 4;
-const CALL_TIMEOUT = 1_500;
+const DEFAULT_ANSWER_TIME_MS = 4;
+const CALL_TIMEOUT_MS = 1_500;
 
 interface Watcher {
   readonly after: StorePosition;
@@ -30,21 +30,21 @@
 class ModelCollection<T> {
   readonly items = new Map<string, Change<T>>();
   history: Change<T>[] = [];
-  oldest = 0;
+  oldestRevision = 0;
   watchers: Watcher[] = [];
 
   /** Holds what a copy holds; calls that wait are cut. */
-  returnTo(items: readonly Change<T>[], revision: number): void {
+  restore(items: readonly Change<T>[], revision: number): void {
     this.items.clear();
     items.forEach((item) => this.items.set(item.name, item));
     this.history = [];
-    this.oldest = revision;
+    this.oldestRevision = revision;
     [...this.watchers].forEach((watcher) => watcher.notify());
   }
 }
 
 /** What the store held at some time. */
-export interface ModelStoreCopy {
+export interface ModelStoreBackup {
   readonly revision: number;
   readonly routing: readonly Change<RoutingTable>[];
   readonly agents: readonly Change<AgentRecord>[];
@@ -57,13 +57,13 @@
   readonly agents = new ModelCollection<AgentRecord>();
   readonly evacuations = new ModelCollection<EvacuatedZone>();
   /** The store answers nobody. */
-  down = false;
+  isDown = false;
   /** Milliseconds from a call to its answer. */
-  answerTime = USUAL_ANSWER_TIME;
+  answerTime = DEFAULT_ANSWER_TIME_MS;
   /** Calls that have come, answered or not. */
   calls = 0;
   /** Machines whose calls are refused at once. */
-  readonly refused = new Set<string>();
+  readonly refusedProcesses = new Set<string>();
   private revision = 1;
   private era = 1;
 
@@ -71,29 +71,29 @@
 
   /** The operator writes a routing table. */
   writeRouting(table: RoutingTable): void {
-    this.change(this.routing, 'main', table, false);
+    this.applyChange(this.routing, 'main', table, false);
   }
 
   /** The operator takes a zone out of service. */
   evacuate(zone: string): void {
-    this.change(this.evacuations, zone, { zone }, false);
+    this.applyChange(this.evacuations, zone, { zone }, false);
   }
 
   /** The operator puts a zone back into service. */
-  restore(zone: string): void {
-    this.change(this.evacuations, zone, { zone }, true);
+  cancelEvacuation(zone: string): void {
+    this.applyChange(this.evacuations, zone, { zone }, true);
   }
 
   /** An agent's entry is lost, though its owner lives. */
-  lapse(name: string): void {
+  removeAgentEntry(name: string): void {
     const known = this.agents.items.get(name);
     if (known) {
-      this.change(this.agents, name, known.item, true);
+      this.applyChange(this.agents, name, known.item, true);
     }
   }
 
   /** A copy of all that the store holds now. */
-  copy(): ModelStoreCopy {
+  createBackup(): ModelStoreBackup {
     return {
       revision: this.revision,
       routing: [...this.routing.items.values()],
@@ -103,46 +103,46 @@
   }
 
   /** Comes back from a copy: what was written since is gone, and its revisions are given out again. */
-  returnFrom(copy: ModelStoreCopy): void {
-    this.revision = copy.revision;
+  restoreFrom(backup: ModelStoreBackup): void {
+    this.revision = backup.revision;
     this.era++;
-    this.routing.returnTo(copy.routing, copy.revision);
-    this.agents.returnTo(copy.agents, copy.revision);
-    this.evacuations.returnTo(copy.evacuations, copy.revision);
+    this.routing.restore(backup.routing, backup.revision);
+    this.agents.restore(backup.agents, backup.revision);
+    this.evacuations.restore(backup.evacuations, backup.revision);
   }
 
   /** Writes of others, so that the revision passes one that it had before. */
-  advance(revisions: number): void {
+  advanceRevision(revisions: number): void {
     this.revision += revisions;
   }
 
   /** Forgets all history. */
-  compact(): void {
+  compactHistory(): void {
     for (const collection of [this.routing, this.agents, this.evacuations]) {
       collection.history = [];
-      collection.oldest = this.revision;
+      collection.oldestRevision = this.revision;
     }
   }
 
   /** The routing collection as one process reaches it. */
-  routingPort(process: SimulatedProcess): CollectionPort<RoutingTable> {
-    return this.port(this.routing, process);
+  createRoutingPort(process: SimulatedProcess): CollectionPort<RoutingTable> {
+    return this.createPort(this.routing, process);
   }
 
   /** The evacuated zones as one process reaches them. */
-  evacuationsPort(process: SimulatedProcess): CollectionPort<EvacuatedZone> {
-    return this.port(this.evacuations, process);
+  createEvacuationsPort(process: SimulatedProcess): CollectionPort<EvacuatedZone> {
+    return this.createPort(this.evacuations, process);
   }
 
   /** The registry as one process reaches it. */
-  registryPort(process: SimulatedProcess): AgentRegistryPort {
+  createRegistryPort(process: SimulatedProcess): AgentRegistryPort {
     return {
-      ...this.port(this.agents, process),
+      ...this.createPort(this.agents, process),
       register: (agent, answer) =>
         this.call(process, answer, () => {
           const known = this.agents.items.get(String(agent.address));
           if (known?.item.service !== agent.service || known.item.zone !== agent.zone) {
-            this.change(this.agents, String(agent.address), agent, false);
+            this.applyChange(this.agents, String(agent.address), agent, false);
           }
           return new Ok(undefined);
         }),
@@ -154,7 +154,7 @@
             return createFailure(ResultCodes.storeConflict, 'another revision');
           }
           if (known) {
-            this.change(this.agents, known.name, known.item, true);
+            this.applyChange(this.agents, known.name, known.item, true);
           }
           return new Ok(undefined);
         }),
@@ -162,13 +162,13 @@
   }
 
   /** The probe of one process's connections, which never fall silent here. */
-  probePort(process: SimulatedProcess): StoreProbePort {
+  createProbePort(process: SimulatedProcess): StoreProbePort {
     return {
       check: (_timeout, answer) => this.call(process, answer, () => new Ok(undefined)),
     };
   }
 
-  private port<T>(collection: ModelCollection<T>, process: SimulatedProcess): CollectionPort<T> {
+  private createPort<T>(collection: ModelCollection<T>, process: SimulatedProcess): CollectionPort<T> {
     return {
       list: (answer: ResultCallback<Listing<T>>) =>
         this.call(process, answer, () => {
@@ -187,36 +187,36 @@
     waitTime: number,
     answer: ResultCallback<Changes<T>>,
   ): void {
-    if (!this.reaches(process)) {
+    if (!this.isReachableFrom(process)) {
       this.call(process, answer, () => undefined);
       return;
     }
-    let over = false;
+    let isFinished = false;
     const finish = (): void => {
-      if (over) {
+      if (isFinished) {
         return;
       }
-      over = true;
+      isFinished = true;
       collection.watchers = collection.watchers.filter((one) => one !== watcher);
-      this.call(process, answer, () => this.changesAfter(collection, after));
+      this.call(process, answer, () => this.listChangesAfter(collection, after));
     };
     const watcher: Watcher = { after, notify: finish };
     collection.watchers.push(watcher);
-    const hasNews = collection.history.some(({ revision }) => revision > after.revision);
-    if (hasNews || this.isGone(collection, after)) {
+    const hasChanges = collection.history.some(({ revision }) => revision > after.revision);
+    if (hasChanges || this.isHistoryUnavailable(collection, after)) {
       finish();
     }
     this.clock.schedule(waitTime, finish);
   }
 
-  private changesAfter<T>(
+  private listChangesAfter<T>(
     collection: ModelCollection<T>,
     after: StorePosition,
   ): Result<Changes<T>, HallholdError> {
     if (after.era !== this.era) {
       return createFailure(ResultCodes.storeEraChanged, 'another era');
     }
-    if (this.isGone(collection, after)) {
+    if (this.isHistoryUnavailable(collection, after)) {
       return createFailure(ResultCodes.storeWatchExpired, 'history gone');
     }
     const changes = collection.history.filter(({ revision }) => revision > after.revision);
@@ -224,11 +224,11 @@
   }
 
   /** Whether the history after a moment is not to be had. */
-  private isGone<T>({ oldest }: ModelCollection<T>, { era, revision }: StorePosition): boolean {
+  private isHistoryUnavailable<T>({ oldestRevision: oldest }: ModelCollection<T>, { era, revision }: StorePosition): boolean {
     return era !== this.era || revision < oldest || revision > this.revision;
   }
 
-  private change<T>(collection: ModelCollection<T>, name: string, item: T, removed: boolean): void {
+  private applyChange<T>(collection: ModelCollection<T>, name: string, item: T, removed: boolean): void {
     const change: Change<T> = { name, revision: ++this.revision, item, removed };
     if (removed) {
       collection.items.delete(name);
@@ -239,8 +239,8 @@
     [...collection.watchers].forEach((watcher) => watcher.notify());
   }
 
-  private reaches(process: SimulatedProcess): boolean {
-    return !this.down && !this.refused.has(process.name);
+  private isReachableFrom(process: SimulatedProcess): boolean {
+    return !this.isDown && !this.refusedProcesses.has(process.name);
   }
 
   /** Runs a call after the store's answer time; `act` answers undefined to say nothing yet. */
@@ -251,12 +251,12 @@
   ): void {
     this.calls++;
     const respond = (result: Result<T, HallholdError>): void => process.run(() => answer(result));
-    if (this.refused.has(process.name)) {
+    if (this.refusedProcesses.has(process.name)) {
       const refusal = createFailure(ResultCodes.storeUnavailable, 'refused');
       this.clock.schedule(this.answerTime, () => respond(refusal));
-    } else if (this.down) {
-      const silence = createFailure(ResultCodes.storeUnavailable, 'no answer in time');
-      this.clock.schedule(CALL_TIMEOUT, () => respond(silence));
+    } else if (this.isDown) {
+      const timeout = createFailure(ResultCodes.storeUnavailable, 'no answer in time');
+      this.clock.schedule(CALL_TIMEOUT_MS, () => respond(timeout));
     } else {
       this.clock.schedule(this.answerTime, () => {
         const result = act();
--- a/src/simulation/packets/model-target.ts
+++ b/src/simulation/packets/model-target.ts
@@ -6,18 +6,18 @@
 import type { VirtualClock } from '../virtual-clock';
 import {
   encodeModelPacket,
-  FAILED_ANSWER,
+  FAILED_ANSWER_PREFIX,
   ModelFlag,
   modelPacketFormat,
-  payloadOf,
+  decodePayload,
 } from './model-packet-format';
 
 /** What a target shows to the world. */
 export interface ModelTargetObserver {
   /** A flow opened: the client's next packet has come. */
-  opened(target: ModelTarget, packet: FlowPacket): void;
+  onFlowOpened(target: ModelTarget, packet: FlowPacket): void;
   /** A request began to run. */
-  ran(target: ModelTarget, request: string): void;
+  onRequestStarted(target: ModelTarget, request: string): void;
 }
 
 /** Where a target's packets go. */
@@ -39,13 +39,13 @@
 }
 
 /** How one start of a target is told from others. */
-export interface ModelLife {
+export interface ModelTargetIdentity {
   /** Differs from start to start. */
   readonly incarnation: string;
   /** What the target calls itself, which it may keep. */
   readonly id: string;
   /** When it started, by its own word. */
-  readonly born: number;
+  readonly startTime: number;
 }
 
 /** One start of one target. */
@@ -58,32 +58,32 @@
   coldUntil = 0;
   draining = false;
   /** Answers every request with a failure, at once. */
-  failing = false;
+  isFailing = false;
   /** Stands still: takes and sends nothing, and goes on later with what has come meanwhile. */
   private postponed: Buffer[] | undefined;
   /** Refuses new flows, as one whose queue is full. */
-  full = false;
+  isFull = false;
 
   /**
    * @param nextSequence the first sequence number of the target's own; differs by target
-   * @param workTime milliseconds for a request
+   * @param serviceTime milliseconds for a request
    */
   constructor(
-    readonly life: ModelLife,
+    readonly identity: ModelTargetIdentity,
     readonly service: string,
     private nextSequence: number,
-    private readonly workTime: number,
+    private readonly serviceTime: number,
     private readonly clock: VirtualClock,
     private readonly output: TargetOutput,
     private readonly observer: ModelTargetObserver,
   ) {}
 
   get incarnation(): string {
-    return this.life.incarnation;
+    return this.identity.incarnation;
   }
 
   /** Milliseconds for which it is still slow. */
-  coldLeft(now: number): number {
+  computeColdLeft(now: number): number {
     return Math.max(0, this.coldUntil - now);
   }
 
@@ -110,30 +110,30 @@
     }
     const packet = this.alive ? modelPacketFormat.decodeFromClient(bytes) : undefined;
     if (packet) {
-      this.take(packet);
+      this.handlePacket(packet);
     }
   }
 
-  private take(packet: FlowPacket): void {
+  private handlePacket(packet: FlowPacket): void {
     const flow = this.flows.get(packet.flow);
     if (packet.opens) {
       this.open(packet, flow);
     } else if (!flow || (!flow.open && packet.acknowledgement !== flow.sequence + 1)) {
-      this.giveBack(packet);
+      this.rejectPacket(packet);
     } else if (packet.resets || packet.ends) {
       this.flows.delete(packet.flow);
     } else {
       if (!flow.open) {
         flow.open = true;
-        this.observer.opened(this, packet);
+        this.observer.onFlowOpened(this, packet);
       }
-      this.takeData(packet, flow);
+      this.handleRequest(packet, flow);
     }
   }
 
   private open(packet: FlowPacket, known: ModelFlow | undefined): void {
-    if (this.full && !known) {
-      this.giveBack(packet);
+    if (this.isFull && !known) {
+      this.rejectPacket(packet);
       return;
     }
     const flow = known ?? this.createFlow();
@@ -146,7 +146,7 @@
     return { sequence, nextSequence: sequence + 1, open: false, answered: new Map() };
   }
 
-  private takeData(packet: FlowPacket, flow: ModelFlow): void {
+  private handleRequest(packet: FlowPacket, flow: ModelFlow): void {
     if (packet.payloadLength === 0) {
       return;
     }
@@ -154,12 +154,12 @@
       this.answer(packet, flow);
       return;
     }
-    const request = payloadOf(packet);
+    const request = decodePayload(packet);
     flow.answered.set(packet.sequence, undefined);
     this.requestsRun++;
-    this.observer.ran(this, request);
-    const text = `${this.failing ? FAILED_ANSWER : ''}answer to ${request}`;
-    this.clock.schedule(this.failing ? 0 : this.workTime, () => {
+    this.observer.onRequestStarted(this, request);
+    const text = `${this.isFailing ? FAILED_ANSWER_PREFIX : ''}answer to ${request}`;
+    this.clock.schedule(this.isFailing ? 0 : this.serviceTime, () => {
       flow.answered.set(packet.sequence, { sequence: flow.nextSequence, text });
       flow.nextSequence += Buffer.byteLength(text);
       this.answer(packet, flow);
@@ -167,22 +167,22 @@
   }
 
   private answer(packet: FlowPacket, flow: ModelFlow): void {
-    const answer = flow.answered.get(packet.sequence);
+    const known = flow.answered.get(packet.sequence);
     if (this.postponed) {
-      this.clock.schedule(this.workTime, () => this.answer(packet, flow));
+      this.clock.schedule(this.serviceTime, () => this.answer(packet, flow));
       return;
     }
-    if (!this.alive || answer === undefined) {
+    if (!this.alive || known === undefined) {
       return;
     }
     const flags = this.draining ? ModelFlag.ends : 0;
-    this.send(packet, flags, answer.sequence, packet.sequence, answer.text);
+    this.send(packet, flags, known.sequence, packet.sequence, known.text);
     if (this.draining) {
       this.flows.delete(packet.flow);
     }
   }
 
-  private giveBack(packet: FlowPacket): void {
+  private rejectPacket(packet: FlowPacket): void {
     const bytes = Buffer.from(packet.bytes);
     bytes[0]! |= ModelFlag.refused;
     this.output(bytes);
--- a/src/simulation/packets/world-judge.ts
+++ b/src/simulation/packets/packet-invariant-checker.ts
@@ -5,16 +5,16 @@
 import type { Endpoint } from '../../environment';
 import type { FlowKey } from '../../packets/flow-packet';
 
-const STRAYS_ALLOWED = 3;
-const STRAY_TIME = 2_000;
-const CONTACT_TIME = 4_000;
+const MINIMUM_STRAY_PACKETS = 3;
+const MINIMUM_STRAY_TIME_MS = 2_000;
+const FAULT_GRACE_MS = 4_000;
 /** Milliseconds after its acknowledgement in which a configuration must be in force. */
-const APPLY_TIME = 3_000;
+const APPLY_TIME_MS = 3_000;
 /** Milliseconds after an acknowledged drain in which openings may still arrive. */
-const DRAIN_TIME = 3_000;
+const DRAIN_TIME_MS = 3_000;
 
 /** Promises that a run has seen broken. */
-export interface WorldViolations {
+export interface InvariantViolations {
   /** A client's open flow was reset while its target held it. */
   flowsReset: string[];
   /** For two seconds only other targets got the packets of a flow whose target held it. */
@@ -32,41 +32,41 @@
 }
 
 /** What the judge asks of the time. */
-export interface JudgeClock {
+export interface CheckerClock {
   /** Milliseconds, steady. */
   readonly now: number;
 }
 
 /** One start of a target, as the judge sees it. */
-export interface JudgedTarget {
+export interface ObservedTarget {
   readonly incarnation: string;
   readonly service: string;
 }
 
 /** A client with its flow, as the judge sees it. */
-export interface JudgedClient {
+export interface ObservedClient {
   readonly state: string;
   readonly plan: { readonly client: Endpoint; readonly destination: Endpoint };
 }
 
 /** The target that holds a flow, and the processes that its packets pass. */
 export interface FlowHolder {
-  readonly target: JudgedTarget;
+  readonly target: ObservedTarget;
   /** Names of the agent and of every balancer. */
   readonly processes: readonly string[];
 }
 
 /** Services by destination. */
-export type JudgedRoutes = ReadonlyMap<Endpoint, readonly string[]>;
+export type ObservedRoutes = ReadonlyMap<Endpoint, readonly string[]>;
 
-interface JudgedConfiguration {
+interface ObservedConfiguration {
   readonly since: number;
-  readonly routes: JudgedRoutes;
+  readonly routes: ObservedRoutes;
 }
 
 /** The judge of one world. */
-export class WorldJudge {
-  readonly violations: WorldViolations = {
+export class PacketInvariantChecker {
+  readonly violations: InvariantViolations = {
     flowsReset: [],
     strayed: [],
     doubled: [],
@@ -76,18 +76,18 @@
     outdated: [],
   };
   private readonly servicesOf = new Map<Endpoint, Set<string>>();
-  private readonly configurations: JudgedConfiguration[] = [];
-  private readonly disturbedAt = new Map<string, number>();
-  private readonly restartedAt = new Map<string, number>();
+  private readonly configurations: ObservedConfiguration[] = [];
+  private readonly lastFaultAt = new Map<string, number>();
+  private readonly lastRestartAt = new Map<string, number>();
   private readonly strays = new Map<FlowKey, number[]>();
   private readonly drainingSince = new Map<string, number>();
   /** Incarnation at which each request ran. */
-  private readonly ran = new Map<string, string>();
+  private readonly ranAt = new Map<string, string>();
 
-  constructor(private readonly clock: JudgeClock) {}
+  constructor(private readonly clock: CheckerClock) {}
 
   /** A configuration was acknowledged; its routes replace those before. */
-  configured(routes: JudgedRoutes): void {
+  recordConfiguration(routes: ObservedRoutes): void {
     this.configurations.push({ since: this.clock.now, routes });
     routes.forEach((services, destination) => {
       const known = this.servicesOf.get(destination) ?? new Set<string>();
@@ -97,56 +97,56 @@
   }
 
   /** An unplanned fault begins or ends at a process. */
-  noteFault(name: string): void {
-    this.disturbedAt.set(name, this.clock.now);
+  recordFault(name: string): void {
+    this.lastFaultAt.set(name, this.clock.now);
   }
 
   /** A process is restarted as planned: that excuses late openings, but no harm to a flow. */
-  noteRestart(name: string): void {
-    this.restartedAt.set(name, this.clock.now);
+  recordRestart(name: string): void {
+    this.lastRestartAt.set(name, this.clock.now);
   }
 
   /** A target's announcement that it drains was acknowledged. */
-  drainAcknowledged(target: JudgedTarget): void {
+  recordDrainAcknowledged(target: ObservedTarget): void {
     this.drainingSince.set(target.incarnation, this.clock.now);
   }
 
   /** An opening packet reaches a target through its agent. */
-  openingReached(target: JudgedTarget, agent: string): void {
+  checkOpening(target: ObservedTarget, agent: string): void {
     const since = this.drainingSince.get(target.incarnation) ?? Infinity;
     const late = this.clock.now - since;
-    const inTouch = !this.isOutOfTouch([agent]) && !this.wasRestarted(agent);
-    if (late > DRAIN_TIME && inTouch) {
+    const isUndisturbed = !this.hasRecentFault([agent]) && !this.hasRecentRestart(agent);
+    if (late > DRAIN_TIME_MS && isUndisturbed) {
       this.violations.drained.push(`${target.incarnation} after ${Math.round(late)} ms`);
     }
   }
 
   /** A packet of an open flow reaches a target. */
-  packetReached(target: JudgedTarget, flow: FlowKey, holder: FlowHolder | undefined): void {
+  checkPacket(target: ObservedTarget, flow: FlowKey, holder: FlowHolder | undefined): void {
     if (
       !holder ||
       holder.target.incarnation === target.incarnation ||
-      this.isOutOfTouch(holder.processes)
+      this.hasRecentFault(holder.processes)
     ) {
       this.strays.delete(flow);
       return;
     }
     const times = [...(this.strays.get(flow) ?? []), this.clock.now];
     this.strays.set(flow, times);
-    const lasted = this.clock.now - times[0]!;
-    if (times.length >= STRAYS_ALLOWED && lasted >= STRAY_TIME) {
-      this.violations.strayed.push(`${times.length} packets in ${Math.round(lasted)} ms`);
+    const elapsed = this.clock.now - times[0]!;
+    if (times.length >= MINIMUM_STRAY_PACKETS && elapsed >= MINIMUM_STRAY_TIME_MS) {
+      this.violations.strayed.push(`${times.length} packets in ${Math.round(elapsed)} ms`);
       this.strays.delete(flow);
     }
   }
 
   /** A target begins to run a client's request. */
-  requestRan(target: JudgedTarget, request: string, client: JudgedClient | undefined): void {
-    const before = this.ran.get(request);
+  checkRequest(target: ObservedTarget, request: string, client: ObservedClient | undefined): void {
+    const before = this.ranAt.get(request);
     if (before !== undefined) {
       this.violations.doubled.push(`${request} at ${before} and ${target.incarnation}`);
     }
-    this.ran.set(request, target.incarnation);
+    this.ranAt.set(request, target.incarnation);
     const allowed = client ? this.servicesOf.get(client.plan.destination) : undefined;
     if (!allowed?.has(target.service)) {
       this.violations.misrouted.push(`${request} at ${target.service}`);
@@ -157,54 +157,54 @@
    * A flow whose opening packet was first sent at a time has opened.
    * @param processes the agent and every balancer that may have passed the packet
    */
-  flowOpened(
+  checkOpenedFlow(
     destination: Endpoint,
     service: string,
     sentAt: number,
     processes: readonly string[],
   ): void {
-    const allowed = this.inForceSince(sentAt - APPLY_TIME).some(({ routes }) =>
+    const allowed = this.listActiveSince(sentAt - APPLY_TIME_MS).some(({ routes }) =>
       routes.get(destination)?.includes(service),
     );
-    if (!allowed && !this.isOutOfTouch(processes)) {
+    if (!allowed && !this.hasRecentFault(processes)) {
       this.violations.outdated.push(`${destination} opened at ${service}, ${Math.round(sentAt)}`);
     }
   }
 
   /** A client got an answer to a request of its own, or of somebody else. */
-  answerCame(request: string, answered: string): void {
+  checkAnswer(request: string, answered: string): void {
     if (request !== answered) {
       this.violations.mixed.push(`${request} was answered with ${answered}`);
     }
   }
 
   /** A client is told that its flow is dead. */
-  clientReset(client: JudgedClient, isHeld: boolean, processes: readonly string[] = []): void {
+  checkReset(client: ObservedClient, isHeld: boolean, processes: readonly string[] = []): void {
     const { destination } = client.plan;
-    const wasDropped = this.inForceSince(this.clock.now - APPLY_TIME).some(
+    const wasDropped = this.listActiveSince(this.clock.now - APPLY_TIME_MS).some(
       ({ routes }) => !routes.has(destination),
     );
-    if (client.state === 'open' && isHeld && !wasDropped && !this.isOutOfTouch(processes)) {
+    if (client.state === 'open' && isHeld && !wasDropped && !this.hasRecentFault(processes)) {
       this.violations.flowsReset.push(`${client.plan.client} at ${Math.round(this.clock.now)}`);
     }
   }
 
   /** The configurations that were in force at some time since then. */
-  private inForceSince(time: number): readonly JudgedConfiguration[] {
+  private listActiveSince(time: number): readonly ObservedConfiguration[] {
     const firstLater = this.configurations.findIndex(({ since }) => since > time);
     return firstLater < 0
       ? this.configurations.slice(-1)
       : this.configurations.slice(Math.max(0, firstLater - 1));
   }
 
-  private wasRestarted(name: string): boolean {
-    const recent = this.clock.now - CONTACT_TIME;
-    return (this.restartedAt.get(name) ?? -Infinity) > recent;
+  private hasRecentRestart(name: string): boolean {
+    const recent = this.clock.now - FAULT_GRACE_MS;
+    return (this.lastRestartAt.get(name) ?? -Infinity) > recent;
   }
 
   /** Unplanned faults excuse strays and resets for a while; planned work does not. */
-  private isOutOfTouch(processes: readonly string[]): boolean {
-    const recent = this.clock.now - CONTACT_TIME;
-    return processes.some((name) => (this.disturbedAt.get(name) ?? -Infinity) > recent);
+  private hasRecentFault(processes: readonly string[]): boolean {
+    const recent = this.clock.now - FAULT_GRACE_MS;
+    return processes.some((name) => (this.lastFaultAt.get(name) ?? -Infinity) > recent);
   }
 }
--- a/src/simulation/packets/packet-world.ts
+++ b/src/simulation/packets/packet-simulation.ts
@@ -23,29 +23,29 @@
 import { modelPacketFormat } from './model-packet-format';
 import { ModelStore } from './model-store';
 import { ModelTarget } from './model-target';
-import { WorldJudge, type FlowHolder, type WorldViolations } from './world-judge';
+import { PacketInvariantChecker, type FlowHolder, type InvariantViolations } from './packet-invariant-checker';
 
 const FRAME_PORT = 7_000;
 const PACKET_PORT = 7_001;
 const OUTBOUND_PORT = 7_002;
 const CLIENT_PORT = 40_000;
-const PROBE_INTERVAL = 500;
-const MISSES_ALLOWED = 2;
-const HEARTBEAT_INTERVAL = 1_100;
-const SNAPSHOT_TIME = 3;
-const FLOW_LIFETIME = 60_000;
-const APPLY_TIME = 6_000;
+const PROBE_INTERVAL_MS = 500;
+const UNREADY_PROBE_COUNT = 2;
+const HEARTBEAT_INTERVAL_MS = 1_100;
+const SNAPSHOT_TIME_MS = 3;
+const FLOW_LIFETIME_MS = 60_000;
+const APPLY_TIME_MS = 6_000;
 const TRANSFER_COST = 400;
-const WORK_TIME = 20;
+const SERVICE_TIME_MS = 20;
 const SLOTS = 5;
 /** No more than the rates of a routing table, and nothing without them. */
 const COLD_LIMIT = { overshoot: 1, slack: 2 };
-const COLD_TIME = 2_000;
+const COLD_TIME_MS = 2_000;
 const SEQUENCE_RANGE = 2 ** 31;
 const KEY = { id: 1, secret: Buffer.from('simulation-cluster-key') };
 
 /** A balancer of the world. */
-export interface WorldBalancer {
+export interface PacketSimulationBalancer {
   readonly name: string;
   readonly zone: string;
   readonly capacity: number;
@@ -60,7 +60,7 @@
 }
 
 /** An agent of the world, with the target beside it. */
-export interface WorldAgent {
+export interface PacketSimulationAgent {
   readonly name: string;
   readonly zone: string;
   readonly address: Endpoint;
@@ -74,21 +74,21 @@
 }
 
 /** One deployment in virtual time. */
-export class PacketWorld {
+export class PacketSimulation {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   readonly network: SimulatedNetwork;
   readonly store = new ModelStore(this.clock);
-  readonly balancers: WorldBalancer[] = [];
-  readonly agents: WorldAgent[] = [];
+  readonly balancers: PacketSimulationBalancer[] = [];
+  readonly agents: PacketSimulationAgent[] = [];
   readonly clients: ModelClient[] = [];
-  readonly judge = new WorldJudge(this.clock);
+  readonly checker = new PacketInvariantChecker(this.clock);
   /** Seeds that starting processes are given; by default the first two balancers. */
   seeds: Endpoint[] | undefined;
   /** Whether balancers that start from now on shorten their start. */
   earlyStart = true;
   /** Milliseconds for which targets that start from now on are slow. */
-  coldTime = COLD_TIME;
+  coldTime = COLD_TIME_MS;
   /** Whether processes that start from now on repair losses between balancer and agent. */
   repairHops = true;
   /** Whether agents that start from now on repeat lost answers. */
@@ -105,19 +105,19 @@
     this.random = new SeededRandom(seed);
     const delays = { zoneDelay: 1.4, callerDelay: 1 };
     this.network = new SimulatedNetwork(this.clock, this.random, delays, () => undefined);
-    this.probe();
+    this.probeBalancers();
   }
 
   /** Puts a routing table into the store: service names by destination. */
   configure(
     version: number,
     routes: ReadonlyMap<Endpoint, readonly string[]>,
-    profiles: readonly ServiceProfile[] = this.profilesOf(routes),
+    profiles: readonly ServiceProfile[] = this.createProfiles(routes),
   ): void {
-    this.judge.configured(routes);
+    this.checker.recordConfiguration(routes);
     this.store.writeRouting({
       version,
-      idleTimeout: FLOW_LIFETIME,
+      idleTimeout: FLOW_LIFETIME_MS,
       profiles,
       routes: [...routes].map(([destination, services]) => ({
         name: `route-${destination}`,
@@ -127,7 +127,7 @@
     });
   }
 
-  private profilesOf(routes: ReadonlyMap<Endpoint, readonly string[]>): ServiceProfile[] {
+  private createProfiles(routes: ReadonlyMap<Endpoint, readonly string[]>): ServiceProfile[] {
     const services = new Set([...routes.values()].flat());
     return [...services].map((service) => ({
       service,
@@ -145,10 +145,10 @@
    * @param capacity processors that it may use
    * @param linkSpeed megabits a second that its link carries
    */
-  addBalancer(zone: string, capacity = 1, linkSpeed = 1_000): WorldBalancer {
+  addBalancer(zone: string, capacity = 1, linkSpeed = 1_000): PacketSimulationBalancer {
     const address = this.createAddress(FRAME_PORT);
     const name = `balancer-${this.balancers.length}`;
-    const misses = MISSES_ALLOWED;
+    const misses = UNREADY_PROBE_COUNT;
     const balancer = {
       name,
       zone,
@@ -157,13 +157,13 @@
       linkSpeed,
       locality: true,
       misses,
-    } as WorldBalancer;
+    } as PacketSimulationBalancer;
     this.balancers.push(balancer);
     this.startBalancer(balancer);
     return balancer;
   }
 
-  addAgent(service: string, zone: string): WorldAgent {
+  addAgent(service: string, zone: string): PacketSimulationAgent {
     const address = this.createAddress(FRAME_PORT);
     const name = `agent-${this.agents.length}`;
     const agent = {
@@ -173,7 +173,7 @@
       service,
       heartbeats: true,
       openings: [],
-    } as unknown as WorldAgent;
+    } as unknown as PacketSimulationAgent;
     this.agents.push(agent);
     this.startAgent(agent);
     this.startTarget(agent);
@@ -181,7 +181,7 @@
   }
 
   /** Starts a balancer's process with nothing in it. */
-  startBalancer(balancer: WorldBalancer): void {
+  startBalancer(balancer: PacketSimulationBalancer): void {
     balancer.process?.kill();
     const { name, zone, address } = balancer;
     const process = this.createProcess(name, zone);
@@ -189,12 +189,12 @@
       {
         zone,
         address,
-        packetAddress: samePlace(address, PACKET_PORT),
+        packetAddress: replacePort(address, PACKET_PORT),
         capacity: balancer.capacity,
         linkSpeed: balancer.linkSpeed,
-        seeds: this.currentSeeds(),
-        flowLifetime: FLOW_LIFETIME,
-        applyTime: APPLY_TIME,
+        seeds: this.listSeeds(),
+        flowLifetime: FLOW_LIFETIME_MS,
+        applyTime: APPLY_TIME_MS,
         repairHops: this.repairHops,
         locality: balancer.locality,
         transferCost: TRANSFER_COST,
@@ -205,10 +205,10 @@
         codec: this.codec,
         transport: { send: (to, frame) => this.network.send(process, address, to, frame) },
         format: modelPacketFormat,
-        routingTables: this.store.routingPort(process),
-        registry: this.store.registryPort(process),
-        evacuatedZones: this.store.evacuationsPort(process),
-        storeProbe: this.store.probePort(process),
+        routingTables: this.store.createRoutingPort(process),
+        registry: this.store.createRegistryPort(process),
+        evacuatedZones: this.store.createEvacuationsPort(process),
+        storeProbe: this.store.createProbePort(process),
         snapshots: { fetch: (peer, answer) => this.fetchSnapshot(process, peer, answer) },
         sendToClient: (client, packet) => this.network.send(process, address, client, packet),
         relay: (to, packet) => this.network.send(process, address, to, packet),
@@ -219,29 +219,29 @@
     this.network.bind(address, process, (frame, from) =>
       node.handleFrame(Buffer.from(frame), from),
     );
-    this.network.bind(samePlace(address, PACKET_PORT), process, (bytes) =>
+    this.network.bind(replacePort(address, PACKET_PORT), process, (bytes) =>
       node.handleClientDatagram(Buffer.from(bytes)),
     );
     node.start();
   }
 
   /** Starts an agent's process with nothing in it; the target goes on. */
-  startAgent(agent: WorldAgent): void {
+  startAgent(agent: PacketSimulationAgent): void {
     agent.process?.kill();
     const { name, zone, address, service } = agent;
     const process = this.createProcess(name, zone);
-    const outbound = samePlace(address, OUTBOUND_PORT);
+    const outbound = replacePort(address, OUTBOUND_PORT);
     const startedAt = this.clock.now;
     const node = new PacketAgent(
       {
         zone,
         address,
         service,
-        seeds: this.currentSeeds(),
-        heartbeatInterval: HEARTBEAT_INTERVAL,
+        seeds: this.listSeeds(),
+        heartbeatInterval: HEARTBEAT_INTERVAL_MS,
         coldLimit: COLD_LIMIT,
         earlyStart: this.earlyStart,
-        flowLifetime: FLOW_LIFETIME,
+        flowLifetime: FLOW_LIFETIME_MS,
         repairHops: this.repairHops,
         repairAnswers: this.repairAnswers,
         priorityQueue: true,
@@ -252,7 +252,7 @@
         codec: this.codec,
         transport: { send: (to, frame) => this.network.send(process, address, to, frame) },
         format: modelPacketFormat,
-        registry: this.store.registryPort(process),
+        registry: this.store.createRegistryPort(process),
         startedAt,
         targetProbe: { checkVacant: (answer) => answer(!(agent.target?.alive ?? false)) },
         sendToClient: (client, packet) => this.network.send(process, outbound, client, packet),
@@ -268,7 +268,7 @@
   }
 
   /** All machines lose power for so many milliseconds; all starts again with nothing in it. */
-  losePower(milliseconds: number): void {
+  restartAll(milliseconds: number): void {
     [...this.balancers, ...this.agents].forEach(({ process }) => process.kill());
     this.agents.forEach(({ target }) => (target.alive = false));
     this.runFor(milliseconds);
@@ -284,7 +284,7 @@
    * @param id what it calls itself: another name by default
    */
   startTarget(
-    agent: WorldAgent,
+    agent: PacketSimulationAgent,
     service = agent.service,
     id = `target-${this.nextIncarnation}`,
   ): ModelTarget {
@@ -296,35 +296,35 @@
       agent.process.run(() => agent.node.handleTargetDatagram(packet));
     const firstSequence = Math.floor(this.random.next() * SEQUENCE_RANGE);
     const target = new ModelTarget(
-      { incarnation, id, born: Math.round(this.clock.now) },
+      { incarnation, id, startTime: Math.round(this.clock.now) },
       service,
       firstSequence,
-      WORK_TIME,
+      SERVICE_TIME_MS,
       this.clock,
       output,
       {
-        opened: (by, packet) => this.flowOpened(by, agent, packet.client),
-        ran: (by, request) => this.judge.requestRan(by, request, this.clientOf(request)),
+        onFlowOpened: (by, packet) => this.handleFlowOpened(by, agent, packet.client),
+        onRequestStarted: (by, request) => this.checker.checkRequest(by, request, this.findClient(request)),
       },
     );
     target.coldUntil = this.clock.now + this.coldTime;
     agent.target = target;
-    this.beat(agent, target, 1);
+    this.runHeartbeats(agent, target, 1);
     return target;
   }
 
   /** The target says that it drains; the agent acknowledges at once. */
-  drain(agent: WorldAgent): void {
+  drain(agent: PacketSimulationAgent): void {
     agent.target.draining = true;
     this.sendHeartbeat(agent, agent.target, 1_000_000);
     if (agent.process.isRunning) {
-      this.judge.drainAcknowledged(agent.target);
+      this.checker.recordDrainAcknowledged(agent.target);
     }
   }
 
   /** Promises that this run has seen broken. */
-  get violations(): WorldViolations {
-    return this.judge.violations;
+  get violations(): InvariantViolations {
+    return this.checker.violations;
   }
 
   /** Opens a flow through the routers. */
@@ -334,10 +334,10 @@
     const flow = new ModelClient(
       { client, destination, requests, pause },
       this.clock,
-      (packet) => this.route(process, client, packet),
+      (packet) => this.sendThroughRouter(process, client, packet),
       {
-        wasReset: (one) => this.judge.clientReset(one, this.holderOf(one) !== undefined),
-        answerCame: (expected, answered) => this.judge.answerCame(expected, answered),
+        onReset: (one) => this.checker.checkReset(one, this.findHolder(one) !== undefined),
+        onAnswer: (expected, answered) => this.checker.checkAnswer(expected, answered),
       },
     );
     this.network.bind(client, process, (bytes) => flow.receive(Buffer.from(bytes)));
@@ -347,79 +347,79 @@
   }
 
   /** The agent whose target holds a client's flow. */
-  holderOf(client: ModelClient): WorldAgent | undefined {
-    return this.agents.find(({ target }) => target.holds(flowKeyOf(client)));
+  findHolder(client: ModelClient): PacketSimulationAgent | undefined {
+    return this.agents.find(({ target }) => target.holds(createFlowKey(client)));
   }
 
   /** Routers send to a balancer of their choice that they hold for ready. */
-  private route(process: SimulatedProcess, client: Endpoint, packet: Buffer): void {
-    const inUse = this.balancers.filter(({ misses }) => misses < MISSES_ALLOWED);
+  private sendThroughRouter(process: SimulatedProcess, client: Endpoint, packet: Buffer): void {
+    const inUse = this.balancers.filter(({ misses }) => misses < UNREADY_PROBE_COUNT);
     const pool = inUse.length > 0 ? inUse : this.balancers;
     const key = modelPacketFormat.decodeFromClient(packet)!.flow;
-    let best: WorldBalancer | undefined;
+    let best: PacketSimulationBalancer | undefined;
     for (const one of pool) {
       const better =
         !best || computeRendezvousScore(key, one.name) > computeRendezvousScore(key, best.name);
       best = better ? one : best;
     }
     if (best) {
-      this.network.send(process, client, samePlace(best.address, PACKET_PORT), packet);
+      this.network.send(process, client, replacePort(best.address, PACKET_PORT), packet);
     }
   }
 
-  private probe(): void {
+  private probeBalancers(): void {
     for (const balancer of this.balancers) {
       const ready = balancer.process.isRunning && balancer.node.isReady;
       balancer.misses = ready ? 0 : balancer.misses + 1;
     }
-    this.clock.schedule(PROBE_INTERVAL, () => this.probe());
+    this.clock.schedule(PROBE_INTERVAL_MS, () => this.probeBalancers());
   }
 
-  private beat(agent: WorldAgent, target: ModelTarget, sequence: number): void {
+  private runHeartbeats(agent: PacketSimulationAgent, target: ModelTarget, sequence: number): void {
     if (!target.alive || agent.target !== target) {
       return;
     }
     if (agent.heartbeats) {
       this.sendHeartbeat(agent, target, sequence);
     }
-    this.clock.schedule(HEARTBEAT_INTERVAL, () => this.beat(agent, target, sequence + 1));
+    this.clock.schedule(HEARTBEAT_INTERVAL_MS, () => this.runHeartbeats(agent, target, sequence + 1));
   }
 
-  private sendHeartbeat(agent: WorldAgent, target: ModelTarget, sequence: number): void {
+  private sendHeartbeat(agent: PacketSimulationAgent, target: ModelTarget, sequence: number): void {
     const { service, draining } = target;
-    const { id: incarnation, born } = target.life;
-    const coldLeft = target.coldLeft(this.clock.now);
+    const { id: incarnation, startTime: born } = target.identity;
+    const coldLeft = target.computeColdLeft(this.clock.now);
     const heartbeat = { incarnation, born, service, draining, slots: SLOTS, coldLeft, sequence };
     agent.process.run(() => agent.node.handleHeartbeat(heartbeat));
   }
 
-  private deliverToTarget(agent: WorldAgent, bytes: Buffer): void {
+  private deliverToTarget(agent: PacketSimulationAgent, bytes: Buffer): void {
     const packet = modelPacketFormat.decodeFromClient(bytes);
     if (packet?.opens && agent.target) {
       agent.openings.push(this.clock.now);
-      this.judge.openingReached(agent.target, agent.name);
+      this.checker.checkOpening(agent.target, agent.name);
     } else if (packet && agent.target) {
-      this.judge.packetReached(agent.target, packet.flow, this.flowHolder(packet.flow));
+      this.checker.checkPacket(agent.target, packet.flow, this.findFlowHolder(packet.flow));
     }
     agent.target?.receive(bytes);
   }
 
-  private flowHolder(flow: FlowKey): FlowHolder | undefined {
+  private findFlowHolder(flow: FlowKey): FlowHolder | undefined {
     const holder = this.agents.find(({ target }) => target.holds(flow));
     const processes = this.balancers.map(({ name }) => name);
     return holder && { target: holder.target, processes: [holder.name, ...processes] };
   }
 
-  private flowOpened(target: ModelTarget, agent: WorldAgent, from: Endpoint): void {
+  private handleFlowOpened(target: ModelTarget, agent: PacketSimulationAgent, from: Endpoint): void {
     const client = this.clients.find(({ plan }) => plan.client === from);
     if (client) {
       const processes = [agent.name, ...this.balancers.map(({ name }) => name)];
       const { destination } = client.plan;
-      this.judge.flowOpened(destination, target.service, client.startedAt, processes);
+      this.checker.checkOpenedFlow(destination, target.service, client.startedAt, processes);
     }
   }
 
-  private clientOf(request: string): ModelClient | undefined {
+  private findClient(request: string): ModelClient | undefined {
     return this.clients.find(({ plan }) => request.startsWith(`${plan.client}/`));
   }
 
@@ -430,7 +430,7 @@
   ): void {
     const balancer = this.balancers.find(({ address }) => address === peer);
     const reachable = balancer?.process.isRunning && !this.network.isCut(process, balancer.process);
-    this.clock.schedule(SNAPSHOT_TIME, () =>
+    this.clock.schedule(SNAPSHOT_TIME_MS, () =>
       process.run(() =>
         answer(
           reachable
@@ -441,7 +441,7 @@
     );
   }
 
-  private currentSeeds(): Endpoint[] {
+  private listSeeds(): Endpoint[] {
     return this.seeds ?? this.balancers.slice(0, 2).map(({ address }) => address);
   }
 
@@ -456,11 +456,11 @@
 
 const PORT_RANGE = 65_536;
 
-function samePlace(address: Endpoint, port: number): Endpoint {
+function replacePort(address: Endpoint, port: number): Endpoint {
   return Math.floor(address / PORT_RANGE) * PORT_RANGE + port;
 }
 
-function flowKeyOf(client: ModelClient): FlowKey {
+function createFlowKey(client: ModelClient): FlowKey {
   const bytes = Buffer.alloc(12);
   bytes.writeUIntBE(client.plan.client, 0, 6);
   bytes.writeUIntBE(client.plan.destination, 6, 6);
--- a/src/simulation/run-simulation.ts
+++ b/src/simulation/run-simulation.ts
@@ -2,14 +2,14 @@
 import type { SafeguardName } from '../agent/safeguards';
 import { withBeacon, type Deployment } from '../standins/deployments';
 import type { Design } from './baselines';
-import { Faults } from './faults';
+import { FaultInjector } from './faults';
 import type { CheckerOutcome } from './invariant-checkers';
 import type { Scenario } from './scenarios';
-import { SimulatedWorld } from './simulated-world';
-import type { ImbalanceSummary } from './world-watcher';
+import { Simulation } from './simulation';
+import type { ImbalanceSummary } from './simulation-monitor';
 
 /** Time for requests under way to end, after the last fault. */
-const SETTLING = 5_000;
+const SETTLING_TIME_MS = 5_000;
 
 /** What to run. */
 export interface SimulationRequest {
@@ -52,42 +52,42 @@
 /** Runs a simulation to its end. */
 export function runSimulation(request: SimulationRequest): SimulationReport {
   const { scenario, deployment, seed, design, without, trace } = request;
-  const world = new SimulatedWorld({
+  const simulation = new Simulation({
     deployment: withBeacon(deployment),
     seed,
     design,
     without,
     ...(trace ? { trace } : {}),
   });
-  const faults = new Faults(world);
-  world.start();
-  world.startCallers();
-  const begin = world.clock.now;
-  for (const { at, name, duration } of scenario.draw(world.random)) {
-    world.clock.schedule(at, () => {
-      world.trace(`FAULT ${name} for ${duration.toFixed(0)} ms`);
+  const faults = new FaultInjector(simulation);
+  simulation.start();
+  simulation.startCallers();
+  const startedAt = simulation.clock.now;
+  for (const { at, name, duration } of scenario.drawSchedule(simulation.random)) {
+    simulation.clock.schedule(at, () => {
+      simulation.writeTrace(`FAULT ${name} for ${duration.toFixed(0)} ms`);
       faults.apply(name, duration);
     });
   }
-  world.runUntil(begin + scenario.length + SETTLING);
-  const digest = world.finish();
-  world.watcher.conclude();
-  return reportOf(request, world, faults, digest);
+  simulation.runUntil(startedAt + scenario.length + SETTLING_TIME_MS);
+  const digest = simulation.finish();
+  simulation.monitor.runFinalChecks();
+  return createReport(request, simulation, faults, digest);
 }
 
 /** Violations of all checkers in a report. */
-export function totalViolations(report: SimulationReport): number {
+export function countViolations(report: SimulationReport): number {
   return Object.values(report.violations).reduce((sum, count) => sum + count, 0);
 }
 
-function reportOf(
+function createReport(
   request: SimulationRequest,
-  world: SimulatedWorld,
-  faults: Faults,
+  simulation: Simulation,
+  faults: FaultInjector,
   digest: string,
 ): SimulationReport {
-  const { statistics, record, watcher } = world;
-  const outcomes = Object.entries<CheckerOutcome>(watcher.checkers.outcomes());
+  const { statistics, record, monitor: watcher } = simulation;
+  const outcomes = Object.entries<CheckerOutcome>(watcher.checkers.listOutcomes());
   return {
     scenario: request.scenario.name,
     deployment: request.deployment.name,
@@ -100,8 +100,8 @@
     examples: outcomes.flatMap(([name, one]) => one.examples.map((text) => `${name}: ${text}`)),
     flowsOpened: statistics.flowsOpened,
     flowsBroken: statistics.flowsBroken,
-    imbalance: watcher.imbalance(),
-    busyImbalance: watcher.busyImbalance(),
+    imbalance: watcher.summarizeImbalance(),
+    busyImbalance: watcher.summarizeBusyImbalance(),
     requestsSent: statistics.requestsSent,
     answersWhole: statistics.answersWhole,
     refusedNotRun: statistics.refusedNotRun,
@@ -109,9 +109,9 @@
     unanswered: statistics.unanswered,
     doubled: record.doubled().length,
     latencyMs: statistics.latencies(),
-    controlBytesPerNodePerSecond: watcher.controlBytesPerNodePerSecond(),
-    tableSecondsToAll: watcher.tableSecondsToAll(),
-    virtualSeconds: world.clock.now / 1_000,
+    controlBytesPerNodePerSecond: watcher.computeControlBytesPerNodePerSecond(),
+    tableSecondsToAll: watcher.computeTableSecondsToAll(),
+    virtualSeconds: simulation.clock.now / 1_000,
     digest,
   };
 }
--- a/src/simulation/scenarios.ts
+++ b/src/simulation/scenarios.ts
@@ -12,57 +12,57 @@
 /** A scenario draws its schedule from the seed. */
 export interface Scenario {
   readonly name: string;
-  readonly what: string;
+  readonly description: string;
   /** Milliseconds that callers run. */
   readonly length: number;
-  draw(random: SeededRandom): ScheduledFault[];
+  drawSchedule(random: SeededRandom): ScheduledFault[];
 }
 
-const LENGTH = 60_000;
-const FIRST_FAULT = 5_000;
-const LAST_FAULT = 40_000;
-const EVERYTHING_FAULTS = 10;
-const PLANNED_FAULTS = 14;
+const SCENARIO_LENGTH_MS = 60_000;
+const FIRST_FAULT_MS = 5_000;
+const LAST_FAULT_MS = 40_000;
+const EVERYTHING_FAULT_COUNT = 10;
+const PLANNED_FAULT_COUNT = 14;
 
-function drawMany(
+function drawFaults(
   random: SeededRandom,
   names: readonly FaultName[],
   count: number,
 ): ScheduledFault[] {
   const drawn = Array.from({ length: count }, () => ({
-    at: random.between(FIRST_FAULT, LAST_FAULT),
+    at: random.between(FIRST_FAULT_MS, LAST_FAULT_MS),
     name: random.pick(names),
     duration: random.between(1_000, 12_000),
   }));
   return drawn.sort((a, b) => a.at - b.at);
 }
 
-function single(name: FaultName): Scenario {
+function createSingleFaultScenario(name: FaultName): Scenario {
   return {
     name,
-    what: `${name}, three times`,
-    length: LENGTH,
-    draw: (random) => drawMany(random, [name], 3),
+    description: `${name}, three times`,
+    length: SCENARIO_LENGTH_MS,
+    drawSchedule: (random) => drawFaults(random, [name], 3),
   };
 }
 
-const QUIET: Scenario = { name: 'quiet', what: 'no fault', length: LENGTH, draw: () => [] };
+const QUIET: Scenario = { name: 'quiet', description: 'no fault', length: SCENARIO_LENGTH_MS, drawSchedule: () => [] };
 
 const PLANNED: Scenario = {
   name: 'planned',
-  what: 'planned changes only: drains, table edits, rolling restarts',
-  length: LENGTH,
-  draw: (random) => drawMany(random, PLANNED_CHANGES, PLANNED_FAULTS),
+  description: 'planned changes only: drains, table edits, rolling restarts',
+  length: SCENARIO_LENGTH_MS,
+  drawSchedule: (random) => drawFaults(random, PLANNED_CHANGES, PLANNED_FAULT_COUNT),
 };
 
 const EVERYTHING: Scenario = {
   name: 'everything',
-  what: 'faults at random, together and twice',
-  length: LENGTH,
-  draw: (random) => {
-    const drawn = drawMany(random, FAULT_NAMES, EVERYTHING_FAULTS);
-    const twice = random.pick(drawn);
-    return [...drawn, { ...twice, at: twice.at + 50 }];
+  description: 'faults at random, together and twice',
+  length: SCENARIO_LENGTH_MS,
+  drawSchedule: (random) => {
+    const drawn = drawFaults(random, FAULT_NAMES, EVERYTHING_FAULT_COUNT);
+    const repeated = random.pick(drawn);
+    return [...drawn, { ...repeated, at: repeated.at + 50 }];
   },
 };
 
@@ -71,7 +71,7 @@
   QUIET,
   PLANNED,
   EVERYTHING,
-  ...FAULT_NAMES.map(single),
+  ...FAULT_NAMES.map(createSingleFaultScenario),
 ];
 
 /** A scenario by name. */
--- a/src/simulation/simulated-balancer.ts
+++ b/src/simulation/simulated-balancer.ts
@@ -9,18 +9,18 @@
 
 const FRAME_PORT = 7_000;
 const FIRST_SERVICE_PORT = 5_683;
-const LEARNT_FLOWS = 10_000;
+const MAXIMUM_LEARNT_FLOWS = 10_000;
 
 /** What all balancers of a simulation share. */
-export interface BalancerSurroundings {
+export interface SimulatedBalancerDependencies {
   readonly network: SimulatedNetwork;
   readonly codec: FrameCodec;
   readonly store: SimulatedStore;
   readonly routing: RoutingFactory | undefined;
   readonly serviceNames: readonly string[];
-  seedEndpoints(): Endpoint[];
+  listSeedEndpoints(): Endpoint[];
   createProcess(name: string, zone: string, machine: string): SimulatedProcess;
-  nextIncarnation(): number;
+  createIncarnation(): number;
 }
 
 /** A balancer and its process. */
@@ -30,13 +30,13 @@
   process!: SimulatedProcess;
   startedAt = 0;
   /** A planned stop is under way. */
-  stopping = false;
+  isStopping = false;
 
   constructor(
     readonly name: string,
     readonly zone: string,
     readonly address: string,
-    private readonly surroundings: BalancerSurroundings,
+    private readonly dependencies: SimulatedBalancerDependencies,
   ) {
     this.endpoint = packEndpoint(address, FRAME_PORT);
   }
@@ -46,47 +46,47 @@
   }
 
   /** Where this balancer receives a service's datagrams. */
-  serviceEndpoint(service: string): Endpoint {
-    const index = this.surroundings.serviceNames.indexOf(service);
+  getServiceEndpoint(service: string): Endpoint {
+    const index = this.dependencies.serviceNames.indexOf(service);
     return packEndpoint(this.address, FIRST_SERVICE_PORT + index);
   }
 
   /** Starts a fresh balancer with nothing in it. */
   start(): void {
     this.process?.kill();
-    const { network, codec, store, routing, serviceNames } = this.surroundings;
-    const process = this.surroundings.createProcess(this.name, this.zone, this.address);
+    const { network, codec, store, routing, serviceNames } = this.dependencies;
+    const process = this.dependencies.createProcess(this.name, this.zone, this.address);
     const node = new BalancerNode(
       {
         name: this.name,
         zone: this.zone,
         endpoint: this.endpoint,
-        peers: this.surroundings.seedEndpoints(),
-        incarnation: this.surroundings.nextIncarnation(),
-        learntFlows: LEARNT_FLOWS,
+        peers: this.dependencies.listSeedEndpoints(),
+        incarnation: this.dependencies.createIncarnation(),
+        learntFlows: MAXIMUM_LEARNT_FLOWS,
       },
       {
         environment: process,
         codec,
-        store: store.portFor(process),
+        store: store.createPort(process),
         ...(routing ? { routing } : {}),
         transport: { send: (to, frame) => network.send(process, this.endpoint, to, frame) },
         callers: {
           send: (service, caller, payload) =>
-            network.send(process, this.serviceEndpoint(service), caller, payload),
+            network.send(process, this.getServiceEndpoint(service), caller, payload),
         },
       },
     );
     network.bind(this.endpoint, process, (frame, from) => node.receiveFrame(frame, from));
     for (const service of serviceNames) {
-      network.bind(this.serviceEndpoint(service), process, (payload, caller) =>
+      network.bind(this.getServiceEndpoint(service), process, (payload, caller) =>
         node.receiveDatagram(service, caller, payload),
       );
     }
     this.node = node;
     this.process = process;
     this.startedAt = process.now();
-    this.stopping = false;
+    this.isStopping = false;
     node.start();
   }
 }
--- a/src/simulation/simulated-network.ts
+++ b/src/simulation/simulated-network.ts
@@ -4,9 +4,9 @@
 import type { SeededRandom } from './seeded-random';
 import type { VirtualClock } from './virtual-clock';
 
-const SAME_MACHINE_DELAY = 0.02;
-const SAME_ZONE_DELAY = 0.2;
-const JITTER_PART = 0.1;
+const SAME_MACHINE_DELAY_MS = 0.02;
+const SAME_ZONE_DELAY_MS = 0.2;
+const JITTER_FRACTION = 0.1;
 
 /** Zone name of callers. */
 export const CALLER_ZONE = 'callers';
@@ -50,7 +50,7 @@
     private readonly clock: VirtualClock,
     private readonly random: SeededRandom,
     private readonly delays: NetworkDelays,
-    private readonly delivered: DeliveryObserver,
+    private readonly onDelivery: DeliveryObserver,
   ) {}
 
   /** Binds an endpoint; the last binding wins, as with an address that is given away. */
@@ -81,27 +81,27 @@
     if (!receiver || this.isCut(sender, receiver)) {
       return;
     }
-    const local = sender.machine === receiver.machine;
-    if (!local && this.random.next() < this.quality.loss) {
+    const isLocal = sender.machine === receiver.machine;
+    if (!isLocal && this.random.next() < this.quality.loss) {
       return;
     }
-    this.carry(sender, receiver, from, to, payload);
-    if (!local && this.random.next() < this.quality.duplication) {
-      this.carry(sender, receiver, from, to, payload);
+    this.scheduleDelivery(sender, receiver, from, to, payload);
+    if (!isLocal && this.random.next() < this.quality.duplication) {
+      this.scheduleDelivery(sender, receiver, from, to, payload);
     }
   }
 
   /** Whether a cut lies between two processes in this direction. */
   isCut(sender: SimulatedProcess, receiver: SimulatedProcess): boolean {
     for (const { from, to } of this.cuts) {
-      if (isPlaceOf(from, sender) && isPlaceOf(to, receiver)) {
+      if (isLocatedAt(from, sender) && isLocatedAt(to, receiver)) {
         return true;
       }
     }
     return false;
   }
 
-  private carry(
+  private scheduleDelivery(
     sender: SimulatedProcess,
     receiver: SimulatedProcess,
     from: Endpoint,
@@ -111,7 +111,7 @@
     this.clock.schedule(this.drawDelay(sender, receiver), () => {
       const binding = this.bindings.get(to);
       if (binding && !binding.process.isDead && !this.isCut(sender, binding.process)) {
-        this.delivered(from, to, payload);
+        this.onDelivery(from, to, payload);
         binding.process.deliver(binding.handler, payload, from);
       }
     });
@@ -119,22 +119,22 @@
 
   private drawDelay(sender: SimulatedProcess, receiver: SimulatedProcess): number {
     if (sender.machine === receiver.machine) {
-      return SAME_MACHINE_DELAY;
+      return SAME_MACHINE_DELAY_MS;
     }
-    const base = this.baseDelay(sender.zone, receiver.zone);
-    const late = this.random.next() < this.quality.reordering;
-    const reordering = late ? this.random.next() * this.quality.reorderDelay : 0;
-    return base * (1 + this.random.next() * JITTER_PART) + reordering;
+    const base = this.computeBaseDelay(sender.zone, receiver.zone);
+    const isReordered = this.random.next() < this.quality.reordering;
+    const reordering = isReordered ? this.random.next() * this.quality.reorderDelay : 0;
+    return base * (1 + this.random.next() * JITTER_FRACTION) + reordering;
   }
 
-  private baseDelay(from: string, to: string): number {
+  private computeBaseDelay(from: string, to: string): number {
     if (from === CALLER_ZONE || to === CALLER_ZONE) {
       return this.delays.callerDelay;
     }
-    return from === to ? SAME_ZONE_DELAY : this.delays.zoneDelay;
+    return from === to ? SAME_ZONE_DELAY_MS : this.delays.zoneDelay;
   }
 }
 
-function isPlaceOf(place: string, process: SimulatedProcess): boolean {
-  return place === process.name || place === process.machine || place === process.zone;
+function isLocatedAt(location: string, process: SimulatedProcess): boolean {
+  return location === process.name || location === process.machine || location === process.zone;
 }
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -5,7 +5,7 @@
 import type { VirtualClock } from './virtual-clock';
 
 /** Datagrams that the socket of a frozen process holds. */
-const FROZEN_INBOX_MAXIMUM = 512;
+const MAXIMUM_POSTPONED_ACTIONS = 512;
 
 /** Receives events of all processes. */
 export type EventSink = (process: string, event: EventKind, fields: EventFields) => void;
@@ -22,7 +22,7 @@
     readonly machine: string,
     private readonly clock: VirtualClock,
     private readonly randomSource: SeededRandom,
-    private readonly events: EventSink,
+    private readonly eventSink: EventSink,
   ) {}
 
   get isRunning(): boolean {
@@ -54,7 +54,7 @@
   }
 
   report(event: EventKind, fields: EventFields): void {
-    this.events(this.name, event, fields);
+    this.eventSink(this.name, event, fields);
   }
 
   /** Runs something now, or when the process wakes; never when it is dead. */
@@ -72,7 +72,7 @@
     payload: Buffer,
     from: Endpoint,
   ): void {
-    if (this.state === 'frozen' && this.postponed.length >= FROZEN_INBOX_MAXIMUM) {
+    if (this.state === 'frozen' && this.postponed.length >= MAXIMUM_POSTPONED_ACTIONS) {
       return;
     }
     this.run(() => handler(payload, from));
@@ -85,7 +85,7 @@
   }
 
   /** Wakes and does everything that came due meanwhile. */
-  wake(): void {
+  resume(): void {
     if (this.state !== 'frozen') {
       return;
     }
@@ -96,9 +96,9 @@
   }
 
   /** Wakes after a delay and does `first` before anything that came due meanwhile. */
-  afterWake(delay: number, first: () => void): void {
+  resumeAfter(delay: number, first: () => void): void {
     this.postponed.unshift(first);
-    this.clock.schedule(delay, () => this.wake());
+    this.clock.schedule(delay, () => this.resume());
   }
 
   kill(): void {
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -17,10 +17,10 @@
 import type { SimulatedProcess } from './simulated-process';
 import type { VirtualClock } from './virtual-clock';
 
-const CALL_TIMEOUT = 2_000;
-const NORMAL_DELAY = 5;
+const CALL_TIMEOUT_MS = 2_000;
+const NORMAL_DELAY_MS = 5;
 /** A lost write takes effect up to so much later. */
-const LATE_EFFECT = 1_500;
+const MAXIMUM_LATE_WRITE_DELAY_MS = 1_500;
 
 /** What is wrong with the store now. */
 export interface StoreFaults {
@@ -46,7 +46,7 @@
   ) {}
 
   /** The port of one process. */
-  portFor(process: SimulatedProcess): StorePort {
+  createPort(process: SimulatedProcess): StorePort {
     return {
       list: (answer) => this.call(process, answer, () => this.list()),
       read: (service, answer) => this.call(process, answer, () => this.read(service)),
@@ -81,13 +81,13 @@
   }
 
   private delay(): number {
-    return (NORMAL_DELAY + this.faults.slowness) * (0.5 + this.random.next());
+    return (NORMAL_DELAY_MS + this.faults.slowness) * (0.5 + this.random.next());
   }
 
   /** Runs a read at the store and answers; a store that is down or slow answers by time-out. */
   private call<T>(process: SimulatedProcess, answer: ResultCallback<T>, read: () => T): void {
     const delay = this.delay();
-    if (this.faults.down || delay > CALL_TIMEOUT) {
+    if (this.faults.down || delay > CALL_TIMEOUT_MS) {
       this.timeOut(process, answer);
       return;
     }
@@ -98,7 +98,7 @@
   }
 
   private timeOut<T>(process: SimulatedProcess, answer: ResultCallback<T>): void {
-    process.startTimer(CALL_TIMEOUT, () => {
+    process.startTimer(CALL_TIMEOUT_MS, () => {
       answer(new Err(new HallholdError(ResultCodes.storeUnavailable, 'no answer in time')));
     });
   }
@@ -109,13 +109,13 @@
     expected: number,
     answer: ResultCallback<number>,
   ): void {
-    const lost = this.random.next() < this.faults.lostAnswers;
+    const isAnswerLost = this.random.next() < this.faults.lostAnswers;
     if (this.faults.down) {
       this.timeOut(process, answer);
       return;
     }
-    const delay = this.delay() + (lost ? this.random.next() * LATE_EFFECT : 0);
-    if (lost || delay > CALL_TIMEOUT) {
+    const delay = this.delay() + (isAnswerLost ? this.random.next() * MAXIMUM_LATE_WRITE_DELAY_MS : 0);
+    if (isAnswerLost || delay > CALL_TIMEOUT_MS) {
       this.timeOut(process, answer);
       this.clock.schedule(delay, () => this.apply(write, expected));
       return;
@@ -158,23 +158,23 @@
     const missed = this.faults.down ? undefined : this.objects.changesSince(fromRevision);
     if (!missed) {
       const error = new HallholdError(ResultCodes.storeWatchExpired, 'the watch cannot start');
-      process.startTimer(NORMAL_DELAY, () => ended(error));
+      process.startTimer(NORMAL_DELAY_MS, () => ended(error));
       return { close: () => undefined };
     }
-    return this.stream(process, missed, fromRevision, changed, ended);
+    return this.startStream(process, missed, fromRevision, changed, ended);
   }
 
-  private stream(
+  private startStream(
     process: SimulatedProcess,
     missed: readonly StoreEvent[],
     fromRevision: number,
     changed: (delta: TableDelta) => void,
     ended: (error: HallholdError) => void,
   ): WatchHandle {
-    let last = fromRevision;
-    let open = true;
+    let lastRevision = fromRevision;
+    let isOpen = true;
     const close = (): void => {
-      open = false;
+      isOpen = false;
       unsubscribe();
       this.watchers.delete(process.name);
     };
@@ -182,25 +182,25 @@
       close();
       process.run(() => ended(new HallholdError(ResultCodes.storeUnavailable, 'watch broken')));
     };
-    const pass = (event: StoreEvent): void => {
+    const forwardEvent = (event: StoreEvent): void => {
       if (process.isDead) {
         close();
         return;
       }
       const delta = {
-        fromRevision: last,
+        fromRevision: lastRevision,
         throughRevision: event.revision,
         tables: [convertToTable(tableResource.parse(event.object))],
       };
-      last = event.revision;
+      lastRevision = event.revision;
       // One delay for all keeps the stream in order.
-      this.clock.schedule(NORMAL_DELAY + this.faults.slowness, () => {
-        process.run(() => open && changed(delta));
+      this.clock.schedule(NORMAL_DELAY_MS + this.faults.slowness, () => {
+        process.run(() => isOpen && changed(delta));
       });
     };
-    const unsubscribe = this.objects.subscribe(pass);
+    const unsubscribe = this.objects.subscribe(forwardEvent);
     this.watchers.set(process.name, breakWatch);
-    missed.forEach(pass);
+    missed.forEach(forwardEvent);
     return { close };
   }
 }
--- a/src/simulation/simulated-target.ts
+++ b/src/simulation/simulated-target.ts
@@ -16,14 +16,14 @@
 const BACKEND_PORT = 5_700;
 const AGENT_BACKEND_PORT = 6_000;
 const FIRST_FLOW_PORT = 20_000;
-const FLOW_PORTS = 40_000;
-const FEED_INTERVAL = 1_000;
-const REQUEST_DEADLINE = 5_000;
+const FLOW_PORT_COUNT = 40_000;
+const FEED_INTERVAL_MS = 1_000;
+const REQUEST_DEADLINE_MS = 5_000;
 /** Milliseconds that a hand-over takes. */
-const HAND_OVER_TIME = 30;
+const HANDOVER_TIME_MS = 30;
 
 /** What all targets of a simulation share. */
-export interface TargetSurroundings {
+export interface SimulatedTargetDependencies {
   readonly network: SimulatedNetwork;
   readonly codec: FrameCodec;
   readonly record: RunRecord;
@@ -31,13 +31,13 @@
   readonly place: PlacementPolicy | undefined;
   readonly hostsAnyFlow: boolean;
   readonly flowIdle: number;
-  balancerEndpoints(): Endpoint[];
+  listBalancerEndpoints(): Endpoint[];
   /** Creates a process on a machine. */
   createProcess(name: string, zone: string, machine: string): SimulatedProcess;
   /** A number that rises with every start. */
-  nextIncarnation(): number;
+  createIncarnation(): number;
   /** A request or flow begins at a back end. */
-  workBegan(target: SimulatedTarget, datagram: Buffer): void;
+  onBackendDatagram(target: SimulatedTarget, datagram: Buffer): void;
 }
 
 /** A target and its two processes. */
@@ -48,7 +48,7 @@
   backend!: BackendStandin;
   backendProcess!: SimulatedProcess;
   /** Time of the last unplanned fault that touched this target; -Infinity for none. */
-  touchedAt = -Infinity;
+  lastFaultAt = -Infinity;
   private readonly backendEndpoint: Endpoint;
   private readonly agentBackendEndpoint: Endpoint;
   private readonly flowEndpoints = new Map<Endpoint, Endpoint>();
@@ -60,7 +60,7 @@
     readonly name: string,
     readonly zone: string,
     readonly address: string,
-    private readonly surroundings: TargetSurroundings,
+    private readonly dependencies: SimulatedTargetDependencies,
   ) {
     this.endpoint = packEndpoint(address, FRAME_PORT);
     this.backendEndpoint = packEndpoint(address, BACKEND_PORT);
@@ -81,15 +81,15 @@
     this.backendProcess?.kill();
     this.backend?.stop();
     const process = this.createProcess('backend');
-    const { network, record } = this.surroundings;
+    const { network, record } = this.dependencies;
     const { name: service, serviceTime, tileBytes } = this.service;
     const backend = new BackendStandin(
       {
         service,
         target: this.name,
-        run: this.surroundings.nextIncarnation(),
+        run: this.dependencies.createIncarnation(),
         serviceTime,
-        feedInterval: FEED_INTERVAL,
+        feedInterval: FEED_INTERVAL_MS,
         tileBytes,
       },
       process,
@@ -97,7 +97,7 @@
       (to, datagram) => network.send(process, this.backendEndpoint, to, datagram),
     );
     network.bind(this.backendEndpoint, process, (datagram, from) => {
-      this.surroundings.workBegan(this, datagram);
+      this.dependencies.onBackendDatagram(this, datagram);
       if (this.service.protocol === 'coap') {
         backend.receive(datagram, from);
       } else {
@@ -111,7 +111,7 @@
   /** Starts a fresh agent with nothing in it. */
   startAgent(): void {
     this.agentProcess?.kill();
-    this.runAgent(this.surroundings.nextIncarnation());
+    this.createAgent(this.dependencies.createIncarnation());
     this.agent.start();
   }
 
@@ -120,23 +120,23 @@
     const predecessor = this.agentProcess;
     const snapshot = decodeSnapshot(encodeSnapshot(this.agent.handOver()));
     predecessor.kill();
-    this.runAgent(snapshot.incarnation);
+    this.createAgent(snapshot.incarnation);
     const successor = this.agentProcess;
     successor.freeze();
-    successor.afterWake(HAND_OVER_TIME, () => {
+    successor.resumeAfter(HANDOVER_TIME_MS, () => {
       this.agent.takeOver(snapshot);
       this.agent.start();
     });
   }
 
-  private runAgent(incarnation: number): void {
+  private createAgent(incarnation: number): void {
     const process = this.createProcess('agent');
-    const { network, codec, safeguards, place } = this.surroundings;
-    const agent = new AgentNode(this.settings(incarnation), {
+    const { network, codec, safeguards, place } = this.dependencies;
+    const agent = new AgentNode(this.createSettings(incarnation), {
       environment: process,
       codec,
       safeguards,
-      hostsAnyFlow: this.surroundings.hostsAnyFlow,
+      hostsAnyFlow: this.dependencies.hostsAnyFlow,
       ...(place ? { place } : {}),
       transport: { send: (to, frame) => network.send(process, this.endpoint, to, frame) },
       backend: {
@@ -160,10 +160,10 @@
     caller: Endpoint,
     payload: Buffer,
   ): void {
-    const { network } = this.surroundings;
+    const { network } = this.dependencies;
     let endpoint = this.flowEndpoints.get(caller);
     if (endpoint === undefined) {
-      const port = FIRST_FLOW_PORT + (this.nextFlowPort++ % FLOW_PORTS);
+      const port = FIRST_FLOW_PORT + (this.nextFlowPort++ % FLOW_PORT_COUNT);
       endpoint = packEndpoint(this.address, port);
       this.flowEndpoints.set(caller, endpoint);
     }
@@ -171,21 +171,21 @@
     network.send(process, endpoint, this.backendEndpoint, payload);
   }
 
-  private settings(incarnation: number): AgentNodeSettings {
+  private createSettings(incarnation: number): AgentNodeSettings {
     return {
       service: this.service.name,
       protocol: this.service.protocol,
       target: this.name,
       endpoint: this.endpoint,
-      balancers: this.surroundings.balancerEndpoints(),
+      balancers: this.dependencies.listBalancerEndpoints(),
       incarnation,
-      flowIdle: this.surroundings.flowIdle,
-      requestDeadline: REQUEST_DEADLINE,
+      flowIdle: this.dependencies.flowIdle,
+      requestDeadline: REQUEST_DEADLINE_MS,
       loadPath: this.service.protocol === 'coap' ? 'load' : '',
     };
   }
 
   private createProcess(kind: string): SimulatedProcess {
-    return this.surroundings.createProcess(`${kind} ${this.label}`, this.zone, this.address);
+    return this.dependencies.createProcess(`${kind} ${this.label}`, this.zone, this.address);
   }
 }
--- a/src/simulation/simulated-world.ts
+++ b/src/simulation/simulation.ts
@@ -18,37 +18,37 @@
 import { targetName, type Deployment, type DeployedService } from '../standins/deployments';
 import { RunRecord } from '../standins/run-record';
 import { FrameCodec } from '../wire/frame-codec';
-import { hostsAnything, routingOf, type Design } from './baselines';
+import { hostsAnyFlow, createRoutingFactory, type Design } from './baselines';
 import { SeededRandom } from './seeded-random';
 import { SimulatedBalancer } from './simulated-balancer';
 import { CALLER_ZONE, SimulatedNetwork } from './simulated-network';
 import { SimulatedProcess } from './simulated-process';
 import { SimulatedStore } from './simulated-store';
-import { SimulatedTarget, type TargetSurroundings } from './simulated-target';
+import { SimulatedTarget, type SimulatedTargetDependencies } from './simulated-target';
 import { VirtualClock } from './virtual-clock';
-import { WorldWatcher } from './world-watcher';
+import { SimulationMonitor } from './simulation-monitor';
 
 const CALLER_PORT = 40_000;
-const MACHINE_LAG = 3_000;
+const MACHINE_LIST_LAG_MS = 3_000;
 /** The fabric goes on spraying at a balancer that died for so long. */
-const FABRIC_LAG = 1_500;
-const FEED_SILENCE_LIMIT = 20_000;
-const REPORT_INTERVAL = 2_000;
-const TRANSFER_INTERVAL = 3_000;
-const DATAGRAM_INTERVAL = 500;
-const FLOW_IDLE = 30_000;
+const FABRIC_LAG_MS = 1_500;
+const FEED_TIMEOUT_MS = 20_000;
+const REPORT_INTERVAL_MS = 2_000;
+const TRANSFER_INTERVAL_MS = 3_000;
+const DATAGRAM_INTERVAL_MS = 500;
+const FLOW_IDLE_TIMEOUT_MS = 30_000;
 const ARRIVALS_PER_SECOND = 3;
-const PASSING_FLOW_LENGTH = 10_000;
+const MEAN_SHORT_FLOW_LENGTH_MS = 10_000;
 /** Part of the new callers that come from the address of one that has ended. */
-const REUSED_ADDRESS_PART = 0.2;
+const REUSED_ADDRESS_FRACTION = 0.2;
 /** Pareto shape of flow lengths: below 2, a few flows are very long. */
-const LENGTH_SHAPE = 1.5;
+const FLOW_LENGTH_SHAPE = 1.5;
 const FIRST_INCARNATION = 1_000;
 /** The key of all simulated nodes; tests forge frames with it. */
 export const SIMULATION_KEY = { id: 1, secret: Buffer.from('simulation-cluster-key') };
 
 /** What a world is made of. */
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly deployment: Deployment;
   readonly seed: number;
   readonly design: Design;
@@ -58,39 +58,39 @@
 }
 
 /** The simulated deployment. */
-export class SimulatedWorld {
+export class Simulation {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   readonly network: SimulatedNetwork;
   readonly store: SimulatedStore;
   readonly statistics: CallerStatistics;
-  readonly record = new RunRecord((line) => this.trace(line));
+  readonly record = new RunRecord((line) => this.writeTrace(line));
   readonly balancers: SimulatedBalancer[] = [];
   readonly targets: SimulatedTarget[] = [];
-  readonly watcher: WorldWatcher;
+  readonly monitor: SimulationMonitor;
   private readonly codec = new FrameCodec([SIMULATION_KEY]);
   private readonly digest = createHash('sha256');
   private readonly callers = new Set<Caller>();
   private readonly callerProcess: SimulatedProcess;
-  private readonly targetSurroundings: TargetSurroundings;
+  private readonly targetDependencies: SimulatedTargetDependencies;
   /** Balancers that the fabric sprays over. */
-  private readonly sprayed = new Set<string>();
-  private incarnations = FIRST_INCARNATION;
+  private readonly activeBalancers = new Set<string>();
+  private lastIncarnation = FIRST_INCARNATION;
   private callerCount = 0;
-  private finished = false;
+  private isFinished = false;
   /** Endpoints of callers that have ended, free to be used again. */
   private readonly freeEndpoints: Endpoint[] = [];
 
-  constructor(readonly options: WorldOptions) {
+  constructor(readonly options: SimulationOptions) {
     const { deployment, seed } = options;
     this.random = new SeededRandom(seed);
     this.network = new SimulatedNetwork(this.clock, this.random, deployment, (from, to, payload) =>
-      this.noteDelivery(from, to, payload),
+      this.addToDigest(from, to, payload),
     );
-    this.store = new SimulatedStore(this.clock, this.random, MACHINE_LAG);
-    this.watcher = new WorldWatcher(this);
-    this.statistics = new CallerStatistics(this.watcher);
-    this.targetSurroundings = this.createTargetSurroundings();
+    this.store = new SimulatedStore(this.clock, this.random, MACHINE_LIST_LAG_MS);
+    this.monitor = new SimulationMonitor(this);
+    this.statistics = new CallerStatistics(this.monitor);
+    this.targetDependencies = this.createTargetDependencies();
     this.callerProcess = this.createProcess(CALLER_ZONE, CALLER_ZONE, CALLER_ZONE);
   }
 
@@ -101,10 +101,10 @@
     this.targets.forEach((target) => target.startBackend());
     this.balancers.forEach((balancer) => this.startBalancer(balancer));
     this.clock.runUntil(1_000);
-    this.options.deployment.services.forEach((service) => this.putFirstTable(service));
+    this.options.deployment.services.forEach((service) => this.writeInitialTable(service));
     this.targets.forEach((target) => target.startAgent());
     this.clock.runUntil(8_000);
-    this.watcher.start();
+    this.monitor.start();
   }
 
   /** Starts the callers of every service. */
@@ -112,20 +112,20 @@
     for (const service of this.options.deployment.services) {
       const { feeds, reporters, transfers, datagrams } = service.callers;
       if (feeds > 0) {
-        this.startArrivals(service, ARRIVALS_PER_SECOND, PASSING_FLOW_LENGTH);
+        this.startArrivals(service, ARRIVALS_PER_SECOND, MEAN_SHORT_FLOW_LENGTH_MS);
       }
-      this.startMany(service, feeds, (surroundings, index) => {
-        return new FeedCaller(surroundings, `feed/${service.name}-${index}`, FEED_SILENCE_LIMIT);
+      this.startServiceCallers(service, feeds, (surroundings, index) => {
+        return new FeedCaller(surroundings, `feed/${service.name}-${index}`, FEED_TIMEOUT_MS);
       });
-      this.startMany(service, reporters, (surroundings, index) => {
-        return new ReportCaller(surroundings, `${service.name}-${index}`, REPORT_INTERVAL);
+      this.startServiceCallers(service, reporters, (surroundings, index) => {
+        return new ReportCaller(surroundings, `${service.name}-${index}`, REPORT_INTERVAL_MS);
       });
-      this.startMany(service, transfers, (surroundings, index) => {
+      this.startServiceCallers(service, transfers, (surroundings, index) => {
         const name = `${service.name}-${index}`;
-        return new TransferCaller(surroundings, name, TRANSFER_INTERVAL, service.tileBytes);
+        return new TransferCaller(surroundings, name, TRANSFER_INTERVAL_MS, service.tileBytes);
       });
-      this.startMany(service, datagrams, (surroundings, index) => {
-        return new DatagramCaller(surroundings, `${service.name}-${index}`, DATAGRAM_INTERVAL);
+      this.startServiceCallers(service, datagrams, (surroundings, index) => {
+        return new DatagramCaller(surroundings, `${service.name}-${index}`, DATAGRAM_INTERVAL_MS);
       });
     }
   }
@@ -138,8 +138,8 @@
   startArrivals(service: DeployedService, perSecond: number, meanLength: number): void {
     const wait = this.random.exponential(1_000 / perSecond);
     this.clock.schedule(wait, () => {
-      if (!this.finished) {
-        this.openPassingFlow(service, meanLength);
+      if (!this.isFinished) {
+        this.openShortFlow(service, meanLength);
         this.startArrivals(service, perSecond, meanLength);
       }
     });
@@ -149,14 +149,14 @@
   addCaller(
     service: string,
     create: (surroundings: CallerSurroundings) => Caller,
-    endpoint = this.newCallerEndpoint(),
+    endpoint = this.createCallerEndpoint(),
   ): Caller {
     const caller = create({
       environment: this.callerProcess,
       statistics: this.statistics,
       record: this.record,
       service,
-      send: (datagram) => this.spray(service, endpoint, datagram),
+      send: (datagram) => this.sendThroughFabric(service, endpoint, datagram),
     });
     this.network.bind(endpoint, this.callerProcess, (datagram) => caller.receive(datagram));
     this.callers.add(caller);
@@ -170,7 +170,7 @@
 
   /** Stops the callers and lets what is under way end. */
   finish(): string {
-    this.finished = true;
+    this.isFinished = true;
     this.callers.forEach((caller) => caller.stop());
     return this.digest.digest('hex');
   }
@@ -178,35 +178,35 @@
   /** Starts a balancer; the fabric sprays at it once it is ready. */
   startBalancer(balancer: SimulatedBalancer): void {
     balancer.start();
-    this.sprayWhenReady(balancer);
+    this.activateWhenReady(balancer);
   }
 
   /** Takes a balancer out of the fabric: at once when planned, after a lag when it died. */
   withdraw(balancer: SimulatedBalancer, planned: boolean): void {
-    this.clock.schedule(planned ? 0 : FABRIC_LAG, () => {
+    this.clock.schedule(planned ? 0 : FABRIC_LAG_MS, () => {
       if (planned || !balancer.isRunning) {
-        this.sprayed.delete(balancer.name);
+        this.activeBalancers.delete(balancer.name);
       }
     });
   }
 
   /** Puts a balancer that woke back into the fabric. */
-  sprayAgain(balancer: SimulatedBalancer): void {
-    this.sprayWhenReady(balancer);
+  readmit(balancer: SimulatedBalancer): void {
+    this.activateWhenReady(balancer);
   }
 
   /** Sends a caller's datagram through a random balancer. */
-  spray(service: string, caller: Endpoint, datagram: Buffer): void {
-    const live = this.balancers.filter((balancer) => this.sprayed.has(balancer.name));
-    if (live.length > 0) {
-      const balancer = this.random.pick(live);
-      const to = balancer.serviceEndpoint(service);
+  sendThroughFabric(service: string, caller: Endpoint, datagram: Buffer): void {
+    const active = this.balancers.filter((balancer) => this.activeBalancers.has(balancer.name));
+    if (active.length > 0) {
+      const balancer = this.random.pick(active);
+      const to = balancer.getServiceEndpoint(service);
       this.network.send(this.callerProcess, caller, to, datagram);
     }
   }
 
   /** An operator edits a service's rows through a balancer. */
-  edit(
+  editTable(
     service: string,
     change: (rows: readonly TableRow[]) => TableRow[],
     acceptor: SimulatedBalancer,
@@ -217,26 +217,26 @@
     const baseRevision = table?.revision ?? 0;
     const rows = change(baseRows);
     const submitted = { service, rows, baseRows, baseRevision, writeId };
-    const undo = this.watcher.tableSubmitted(service, rows);
+    const undo = this.monitor.recordTableSubmitted(service, rows);
     acceptor.node.acceptance.submit(submitted, (result) => {
       if (result.ok) {
-        this.watcher.tableAccepted(service, result.val.revision, rows);
+        this.monitor.recordTableAccepted(service, result.val.revision, rows);
       } else if (result.val.retry === 'never') {
         undo();
       }
     });
   }
 
-  targetsOf(service: string): SimulatedTarget[] {
+  listTargets(service: string): SimulatedTarget[] {
     return this.targets.filter((target) => target.service.name === service);
   }
 
-  runningBalancers(): SimulatedBalancer[] {
+  listRunningBalancers(): SimulatedBalancer[] {
     return this.balancers.filter((balancer) => balancer.isRunning);
   }
 
   /** Control bytes sent by all nodes that run now. */
-  controlBytes(): number {
+  countControlBytes(): number {
     const balancers = this.balancers.map((one) => one.node.statistics.controlBytesSent);
     const agents = this.targets.map((one) => one.agent.statistics.controlBytesSent);
     return [...balancers, ...agents].reduce((sum, bytes) => sum + bytes, 0);
@@ -249,32 +249,32 @@
       machine,
       this.clock,
       this.random,
-      (process, event, fields) => this.trace(`${process} ${event.name} ${JSON.stringify(fields)}`),
+      (process, event, fields) => this.writeTrace(`${process} ${event.name} ${JSON.stringify(fields)}`),
     );
   }
 
   /** Writes a line to the trace, if there is one. */
-  trace(line: string): void {
+  writeTrace(line: string): void {
     this.options.trace?.(`${this.clock.now.toFixed(3)} ${line}`);
   }
 
   private createBalancers(): void {
     const { deployment, design } = this.options;
-    const surroundings = {
+    const dependencies = {
       network: this.network,
       codec: this.codec,
       store: this.store,
-      routing: routingOf(design),
+      routing: createRoutingFactory(design),
       serviceNames: deployment.services.map((service) => service.name),
-      seedEndpoints: () => this.balancers.map((balancer) => balancer.endpoint),
+      listSeedEndpoints: () => this.balancers.map((balancer) => balancer.endpoint),
       createProcess: this.createProcess.bind(this),
-      nextIncarnation: () => this.nextIncarnation(),
+      createIncarnation: () => this.createIncarnation(),
     };
     for (const [zoneIndex, zone] of deployment.zones.entries()) {
       for (let index = 0; index < deployment.balancersPerZone; index++) {
         const name = `balancer-${this.balancers.length + 1}`;
         const address = `10.1.${zoneIndex}.${index + 1}`;
-        this.balancers.push(new SimulatedBalancer(name, zone, address, surroundings));
+        this.balancers.push(new SimulatedBalancer(name, zone, address, dependencies));
       }
     }
   }
@@ -286,25 +286,25 @@
     zone: string,
     address: string,
   ): SimulatedTarget {
-    const target = new SimulatedTarget(service, name, zone, address, this.targetSurroundings);
+    const target = new SimulatedTarget(service, name, zone, address, this.targetDependencies);
     this.targets.push(target);
     return target;
   }
 
-  private createTargetSurroundings(): TargetSurroundings {
+  private createTargetDependencies(): SimulatedTargetDependencies {
     const { design, without } = this.options;
     return {
       network: this.network,
       codec: this.codec,
       record: this.record,
       safeguards: new Safeguards(new Set(without)),
-      place: design === 'oracle' ? this.oracle() : undefined,
-      hostsAnyFlow: hostsAnything(design),
-      flowIdle: FLOW_IDLE,
-      balancerEndpoints: () => this.balancers.map((balancer) => balancer.endpoint),
+      place: design === 'oracle' ? this.createOracle() : undefined,
+      hostsAnyFlow: hostsAnyFlow(design),
+      flowIdle: FLOW_IDLE_TIMEOUT_MS,
+      listBalancerEndpoints: () => this.balancers.map((balancer) => balancer.endpoint),
       createProcess: this.createProcess.bind(this),
-      nextIncarnation: () => this.nextIncarnation(),
-      workBegan: (target, datagram) => this.watcher.workBegan(target, datagram),
+      createIncarnation: () => this.createIncarnation(),
+      onBackendDatagram: (target, datagram) => this.monitor.recordBackendDatagram(target, datagram),
     };
   }
 
@@ -320,14 +320,14 @@
   }
 
   /** Places on the fewest flows per share with every count known at once: the limit. */
-  private oracle(): PlacementPolicy {
+  private createOracle(): PlacementPolicy {
     return (candidates, _owners, tieBreak) => {
-      const exact = candidates.map((candidate) => this.withExactCount(candidate));
+      const exact = candidates.map((candidate) => this.replaceWithExactCount(candidate));
       return chooseTarget(exact, 1, tieBreak);
     };
   }
 
-  private withExactCount(candidate: PlacementCandidate): PlacementCandidate {
+  private replaceWithExactCount(candidate: PlacementCandidate): PlacementCandidate {
     const target = this.targets.find(
       (one) => one.name === candidate.target && one.endpoint === candidate.address,
     );
@@ -335,30 +335,30 @@
     return { ...candidate, reportedFlows, placedSince: 0, reportedLoad: 0, warmth: 1 };
   }
 
-  private putFirstTable(service: DeployedService): void {
-    const rows = this.targetsOf(service.name).map((target) => ({
+  private writeInitialTable(service: DeployedService): void {
+    const rows = this.listTargets(service.name).map((target) => ({
       target: target.name,
       address: target.endpoint,
       share: 1,
       slots: service.slots,
       connections: service.connections,
     }));
-    this.edit(service.name, () => rows, this.balancers[0]!, `first-${service.name}`);
+    this.editTable(service.name, () => rows, this.balancers[0]!, `first-${service.name}`);
   }
 
-  private sprayWhenReady(balancer: SimulatedBalancer): void {
+  private activateWhenReady(balancer: SimulatedBalancer): void {
     const { process } = balancer;
-    const look = (): void => {
-      if (balancer.node.isReady && !balancer.stopping) {
-        this.sprayed.add(balancer.name);
+    const check = (): void => {
+      if (balancer.node.isReady && !balancer.isStopping) {
+        this.activeBalancers.add(balancer.name);
       } else {
-        process.startTimer(100, look);
+        process.startTimer(100, check);
       }
     };
-    process.startTimer(100, look);
+    process.startTimer(100, check);
   }
 
-  private startMany(
+  private startServiceCallers(
     service: DeployedService,
     count: number,
     create: (surroundings: CallerSurroundings, index: number) => Caller,
@@ -369,18 +369,18 @@
     }
   }
 
-  private openPassingFlow(service: DeployedService, meanLength: number): void {
-    const reuse = this.freeEndpoints.length > 0 && this.random.next() < REUSED_ADDRESS_PART;
-    const endpoint = reuse ? this.freeEndpoints.shift()! : this.newCallerEndpoint();
+  private openShortFlow(service: DeployedService, meanLength: number): void {
+    const reuse = this.freeEndpoints.length > 0 && this.random.next() < REUSED_ADDRESS_FRACTION;
+    const endpoint = reuse ? this.freeEndpoints.shift()! : this.createCallerEndpoint();
     const path = `feed/${service.name}-passing-${this.callerCount}`;
     const caller = this.addCaller(
       service.name,
-      (surroundings) => new FeedCaller(surroundings, path, FEED_SILENCE_LIMIT),
+      (surroundings) => new FeedCaller(surroundings, path, FEED_TIMEOUT_MS),
       endpoint,
     );
     caller.start();
-    const scale = (meanLength * (LENGTH_SHAPE - 1)) / LENGTH_SHAPE;
-    const length = scale / (1 - this.random.next()) ** (1 / LENGTH_SHAPE);
+    const scale = (meanLength * (FLOW_LENGTH_SHAPE - 1)) / FLOW_LENGTH_SHAPE;
+    const length = scale / (1 - this.random.next()) ** (1 / FLOW_LENGTH_SHAPE);
     this.clock.schedule(length, () => {
       caller.stop();
       this.callers.delete(caller);
@@ -388,18 +388,18 @@
     });
   }
 
-  private newCallerEndpoint(): Endpoint {
+  private createCallerEndpoint(): Endpoint {
     this.callerCount++;
     const high = this.callerCount >> 8;
     return packEndpoint(`10.9.${high}.${this.callerCount & 255}`, CALLER_PORT);
   }
 
-  private nextIncarnation(): number {
-    this.incarnations++;
-    return this.incarnations;
+  private createIncarnation(): number {
+    this.lastIncarnation++;
+    return this.lastIncarnation;
   }
 
-  private noteDelivery(from: Endpoint, to: Endpoint, payload: Buffer): void {
+  private addToDigest(from: Endpoint, to: Endpoint, payload: Buffer): void {
     this.digest.update(`${this.clock.now} ${from} ${to} ${payload.length}\n`);
   }
 }
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -15,18 +15,18 @@
 /** The clock and event queue of one simulation; milliseconds. */
 export class VirtualClock {
   private readonly queue = new Heap<ScheduledEvent>(compareEvents);
-  private current = 0;
-  private scheduled = 0;
+  private currentTime = 0;
+  private nextOrder = 0;
 
   get now(): number {
-    return this.current;
+    return this.currentTime;
   }
 
   /** Runs `action` after a delay of 0 or more milliseconds. */
   schedule(delay: number, action: () => void): TimerHandle {
     const event: ScheduledEvent = {
-      at: this.current + Math.max(0, delay),
-      order: this.scheduled++,
+      at: this.currentTime + Math.max(0, delay),
+      order: this.nextOrder++,
       action,
     };
     this.queue.push(event);
@@ -37,9 +37,9 @@
   runUntil(time: number): void {
     for (let next = this.queue.peek(); next && next.at <= time; next = this.queue.peek()) {
       this.queue.pop();
-      this.current = next.at;
+      this.currentTime = next.at;
       next.action?.();
     }
-    this.current = time;
+    this.currentTime = time;
   }
 }
--- a/test/answer-repair.test.ts
+++ b/test/answer-repair.test.ts
@@ -8,7 +8,7 @@
 import { AnswerFlow } from '../src/packets/repair/answer-flow';
 import { AnswerRepair } from '../src/packets/repair/answer-repair';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { AnswerTiming } from '../src/packets/repair/answer-timing';
 import { VirtualClock } from '../src/simulation/virtual-clock';
 import { AgentHarness, type Arrival } from './support/agent-harness';
@@ -743,8 +743,8 @@
 });
 
 /** A deployment whose links lose 2 % of datagrams. */
-function simulateLossyLinks(repairAnswers: boolean): PacketWorld {
-  const simulation = new PacketWorld(2_708);
+function simulateLossyLinks(repairAnswers: boolean): PacketSimulation {
+  const simulation = new PacketSimulation(2_708);
   simulation.repairAnswers = repairAnswers;
   startModelDeployment(simulation);
   simulation.network.quality.loss = 0.02;
@@ -754,7 +754,7 @@
 }
 
 /** Answers delayed as long as a retransmission by their client or target takes. */
-function countDelayedAnswers({ clients }: PacketWorld): number {
+function countDelayedAnswers({ clients }: PacketSimulation): number {
   const gaps = clients.flatMap(({ startedAt, answeredAt }) =>
     answeredAt.map((at, index) => at - (answeredAt[index - 1] ?? startedAt)),
   );
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -4,7 +4,7 @@
 import { RefusalReason } from '../src/packets/packet-messages';
 import { ServiceProfileView } from '../src/packets/service-profile-view';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import {
   MODEL_ROUTES,
   openModelFlows,
@@ -124,8 +124,8 @@
   t.is(harness.sent.length, sent + 1);
 });
 
-function startWorld(seed: number): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed: number): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world);
   world.configure(2, MODEL_ROUTES, [
     { service: 'map', latencyGoal: 0, coldTime: 2_000, coldRate: WORLD_RATE },
@@ -135,14 +135,14 @@
 }
 
 /** Maximum new flows that an agent's targets got in any second between two times. */
-function countMostInASecond({ openings }: WorldAgent, from: number, to: number): number {
+function countMostInASecond({ openings }: PacketSimulationAgent, from: number, to: number): number {
   const counted = openings.filter((at) => at >= from && at <= to);
   const spans = counted.map((at) => counted.filter((one) => one >= at && one < at + 1_000).length);
   return Math.max(0, ...spans);
 }
 
 /** Opens flows fast enough to keep warm targets busy, so that cold ones get some too. */
-function overload(world: PacketWorld, milliseconds: number): void {
+function overload(world: PacketSimulation, milliseconds: number): void {
   for (let passed = 0; passed < milliseconds; passed += 50) {
     openModelFlows(world, 12, 1, 50);
     world.runFor(50);
@@ -170,7 +170,7 @@
   world.runFor(1_000);
   const back = world.agents.filter(({ zone, service }) => zone === 'north' && service === 'map');
   back.forEach(({ target }) => (target.coldUntil = world.clock.now + 2_500));
-  world.store.restore('north');
+  world.store.cancelEvacuation('north');
   const from = world.clock.now;
   overload(world, 2_000);
   for (const agent of back) {
@@ -181,7 +181,7 @@
 test('after a power loss all targets are cold, and each is within its limit', (t) => {
   const world = startWorld(23);
   world.coldTime = 3_000;
-  world.losePower(500);
+  world.restartAll(500);
   const from = world.clock.now;
   overload(world, 2_500);
   for (const agent of world.agents.filter(({ service }) => service === 'map')) {
--- a/test/conclusive-search.test.ts
+++ b/test/conclusive-search.test.ts
@@ -7,7 +7,7 @@
   type SearchMessage,
 } from '../src/packets/packet-messages';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { createReport } from './support/reports';
 import { RouterHarness } from './support/router-harness';
@@ -107,8 +107,8 @@
   t.is(first!.agents.length, 4);
 });
 
-function startWorld(seed: number, mapTargets: number): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed: number, mapTargets: number): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world);
   for (let index = 0; index < mapTargets; index++) {
     world.addAgent('map', 'north');
@@ -117,7 +117,7 @@
   return world;
 }
 
-function countRejected(world: PacketWorld): number {
+function countRejected(world: PacketSimulation): number {
   return world.agents.reduce((sum, { node }) => sum + node.counters.packetsReturned, 0);
 }
 
@@ -126,7 +126,7 @@
   openModelFlows(world, 60, 400, 100);
   world.runFor(1_000);
   const open = world.clients.filter(({ state }) => state === 'open');
-  world.losePower(500);
+  world.restartAll(500);
   world.runFor(1_600);
   t.true(countRejected(world) <= 5, `${countRejected(world)} packets rejected by targets`);
   t.is(open.filter(({ state }) => state === 'reset').length, open.length);
--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -9,7 +9,7 @@
 import { FrameAuthenticator, TAG_BYTES } from '../src/wire/frame-authenticator';
 import { FrameCodec } from '../src/wire/frame-codec';
 import { AgentState, MessageType, type Message } from '../src/wire/messages';
-import { SimulatedWorld } from '../src/simulation/simulated-world';
+import { Simulation } from '../src/simulation/simulation';
 import { DEPLOYMENTS } from '../src/standins/deployments';
 
 const RUNS = { seed: 20_261_202, numRuns: 500 };
@@ -150,7 +150,7 @@
 });
 
 test('running nodes survive arbitrary and mutated datagrams', (t) => {
-  const world = new SimulatedWorld({
+  const world = new Simulation({
     deployment: DEPLOYMENTS.map,
     seed: 1,
     design: 'hallhold',
--- a/test/foreign-entries.test.ts
+++ b/test/foreign-entries.test.ts
@@ -17,7 +17,7 @@
 import type { Changes } from '../src/packets/collection-port';
 import type { AgentRecord } from '../src/packets/packet-messages';
 import { decodeSnapshotText, encodeSnapshotText } from '../src/packets/peer-snapshot';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { startModelDeployment } from '../src/simulation/packets/random-faults';
 import { awaitAnswer } from './support/answers';
 import { fetchStatus } from './support/fetch-status';
@@ -195,7 +195,7 @@
 });
 
 test('a heartbeat of a service that no table names is refused', (t) => {
-  const world = new PacketWorld(91);
+  const world = new PacketSimulation(91);
   startModelDeployment(world);
   world.runFor(4_000);
   const { node } = world.agents[0]!;
--- a/test/hard-cases.test.ts
+++ b/test/hard-cases.test.ts
@@ -4,7 +4,7 @@
 import type { SafeguardName } from '../src/agent/safeguards';
 import { packEndpoint } from '../src/core/endpoint';
 import type { TableRow } from '../src/core/table';
-import { SIMULATION_KEY, SimulatedWorld } from '../src/simulation/simulated-world';
+import { SIMULATION_KEY, Simulation } from '../src/simulation/simulation';
 import { DEPLOYMENTS } from '../src/standins/deployments';
 import { FrameCodec } from '../src/wire/frame-codec';
 import { MessageType } from '../src/wire/messages';
@@ -14,14 +14,14 @@
 const SERVICE = 'live-map';
 let writes = 0;
 
-function editTable(world: SimulatedWorld, service: string, change: (row: TableRow) => TableRow): void {
+function editTable(world: Simulation, service: string, change: (row: TableRow) => TableRow): void {
   writes++;
-  world.edit(service, (rows) => rows.map(change), world.balancers[0]!, `hard-case-${writes}`);
+  world.editTable(service, (rows) => rows.map(change), world.balancers[0]!, `hard-case-${writes}`);
   world.runUntil(world.clock.now + 4_000);
 }
 
 /** The target that hosts a caller's flow. */
-function findHost(world: SimulatedWorld, caller: RawCaller): SimulatedTarget {
+function findHost(world: Simulation, caller: RawCaller): SimulatedTarget {
   return world.targets.find((target) => target.agent.listHostedCallers().includes(caller.endpoint))!;
 }
 
@@ -68,7 +68,7 @@
   caller.resend(copy);
   const told = (await caller.runAndGetNewest(5_000))?.code;
   world.runUntil(world.clock.now + 60_000);
-  host.agentProcess.wake();
+  host.agentProcess.resume();
   world.runUntil(world.clock.now + 5_000);
   return { runs: world.record.attempts(), told };
 }
@@ -92,7 +92,7 @@
   world.runUntil(world.clock.now + 10_000);
   caller.resend(copy);
   world.runUntil(world.clock.now + 2_000);
-  host.agentProcess.wake();
+  host.agentProcess.resume();
   world.runUntil(world.clock.now + 3_000);
   return world.record.doubled();
 }
@@ -137,7 +137,7 @@
   }
   world.store.setDown(true);
   const hosts = new Map<string, Set<string>>();
-  for (const target of world.targetsOf('beacon')) {
+  for (const target of world.listTargets('beacon')) {
     const { backend } = target;
     const receive = backend.receiveDatagram.bind(backend);
     backend.receiveDatagram = (datagram, from) => {
@@ -182,13 +182,13 @@
   moved.startBackend();
   moved.startAgent();
   const row = { target: 'target-9', address: moved.endpoint, share: 1, slots: 5, connections: 100 };
-  world.edit('tiles', (rows) => [...rows, row], world.balancers[0]!, 'moved');
+  world.editTable('tiles', (rows) => [...rows, row], world.balancers[0]!, 'moved');
   world.runUntil(world.clock.now + 1_500);
   for (const balancer of world.balancers) {
     caller.send({ method: 'GET', path: 'live-map-secret', messageId: 9 }, balancer);
   }
   world.runUntil(world.clock.now + 3_000);
-  return world.watcher.checkers.outcomes()['right-service-only'].violations;
+  return world.monitor.checkers.listOutcomes()['right-service-only'].violations;
 }
 
 test('an address given to another service: frames of the old one are dropped', async (t) => {
@@ -201,7 +201,7 @@
   const world = createQuietSimulation(without);
   const old = world.balancers[0]!.node.distribution.cache.get(SERVICE)!;
   editTable(world, SERVICE, (row) => ({ ...row, share: 3 }));
-  const agent = world.targetsOf(SERVICE)[1]!.agent;
+  const agent = world.listTargets(SERVICE)[1]!.agent;
   const codec = new FrameCodec([SIMULATION_KEY]);
   const late = { type: MessageType.helloAnswer, service: SERVICE, tables: [old] } as const;
   agent.receiveFrame(codec.encode({ ...late, balancers: [], notices: [] }), 1);
@@ -244,7 +244,7 @@
   caller.start();
   world.runUntil(world.clock.now + 500);
   editTable(world, 'tiles', (row) => ({ ...row, share: row.target === 'target-1' ? 3 : 1 }));
-  const host = world.targetsOf('tiles').find((target) => target.agent.statistics.flows > 0)!;
+  const host = world.listTargets('tiles').find((target) => target.agent.statistics.flows > 0)!;
   editTable(world, 'tiles', (row) => ({ ...row, share: row.target === host.name ? 0 : 1 }));
   const killed = world.balancers[1]!;
   killed.process.kill();
@@ -298,10 +298,10 @@
   cuts.forEach((cut) => world.network.cut(cut));
   world.store.objects.subscribe(() => world.store.setDown(true));
   const revisionBefore = apart!.node.distribution.cache.get(SERVICE)!.revision;
-  world.watcher.onNextAcceptance(() => acceptor!.process.kill());
+  world.monitor.onNextAcceptance(() => acceptor!.process.kill());
   const change = (rows: readonly TableRow[]): TableRow[] =>
     rows.map((row) => ({ ...row, share: 2 }));
-  world.edit(SERVICE, change, acceptor!, 'last-words');
+  world.editTable(SERVICE, change, acceptor!, 'last-words');
   world.runUntil(world.clock.now + 3_000);
   t.is(apart!.node.distribution.cache.get(SERVICE)!.revision, revisionBefore);
   cuts.forEach((cut) => world.network.heal(cut));
@@ -347,7 +347,7 @@
 
 test('three balancers at most watch the store, and others take over from dead ones', (t) => {
   const deployment = DEPLOYMENTS.porting;
-  const world = new SimulatedWorld({ deployment, seed: 1, design: 'hallhold', without: [] });
+  const world = new Simulation({ deployment, seed: 1, design: 'hallhold', without: [] });
   world.start();
   t.is(world.store.watchers.size, 3);
   const [reader] = world.store.watchers.keys();
--- a/test/hop-repair.test.ts
+++ b/test/hop-repair.test.ts
@@ -17,7 +17,7 @@
 import { RoundTripEstimator } from '../src/packets/repair/round-trip-estimator';
 import { ModelFlag } from '../src/simulation/packets/model-packet-format';
 import { SeededRandom } from '../src/simulation/seeded-random';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import {
   countViolations,
   MAP_DESTINATION,
@@ -615,14 +615,14 @@
   t.is(harness.sent.filter(({ message: { type } }) => type === received).length, 2);
 });
 
-function sumCounter(simulation: PacketWorld, counter: 'hopRepeats' | 'hopDuplicates'): number {
+function sumCounter(simulation: PacketSimulation, counter: 'hopRepeats' | 'hopDuplicates'): number {
   const nodes = [...simulation.balancers, ...simulation.agents];
   return nodes.reduce((sum, { node }) => sum + node.figures[counter], 0);
 }
 
 test('flows open without client retransmission over lossy links between balancers and agents', (t) => {
   const countLateOpenings = (repairHops: boolean): number => {
-    const simulation = new PacketWorld(31);
+    const simulation = new PacketSimulation(31);
     simulation.repairHops = repairHops;
     startModelDeployment(simulation);
     const lossy = simulation.agents.map(({ name }) => name);
@@ -649,7 +649,7 @@
 
 /** Drops a fraction of the datagrams between the named processes. */
 function addLossBetween(
-  simulation: PacketWorld,
+  simulation: PacketSimulation,
   names: ReadonlySet<string>,
   fraction: number,
 ): void {
@@ -663,7 +663,7 @@
 
 test('loss, duplication and reordering together violate no invariant', (t) => {
   for (const seed of [41, 42, 43]) {
-    const simulation = new PacketWorld(seed);
+    const simulation = new PacketSimulation(seed);
     startModelDeployment(simulation);
     Object.assign(simulation.network.quality, {
       loss: 0.02,
@@ -685,7 +685,7 @@
 });
 
 test('agents and balancers announce hop repair to each other', (t) => {
-  const simulation = new PacketWorld(44);
+  const simulation = new PacketSimulation(44);
   startModelDeployment(simulation, 1);
   const [balancer] = simulation.balancers;
   openModelFlows(simulation, 20, 2, 50);
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -27,7 +27,7 @@
 } from '../src/packets/packet-messages';
 import { PacketFrameCodec } from '../src/packets/packet-frames';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { PacketWorld, type WorldBalancer } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationBalancer } from '../src/simulation/packets/packet-simulation';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { createReport } from './support/reports';
 import { FIRST_AGENT, NEXT_MACHINE, RouterHarness } from './support/router-harness';
@@ -186,7 +186,7 @@
 });
 
 test('balancers measure zones, also after a restart, and retain distances during a cut', (t) => {
-  const simulation = new PacketWorld(31);
+  const simulation = new PacketSimulation(31);
   startModelDeployment(simulation, 3);
   const [first] = simulation.balancers as [(typeof simulation.balancers)[number]];
   t.is(first.node.figures.zonesMeasured, 3);
@@ -206,7 +206,7 @@
 });
 
 test('a balancer with locality disabled sends no probes', (t) => {
-  const simulation = new PacketWorld(32);
+  const simulation = new PacketSimulation(32);
   startModelDeployment(simulation, 2);
   simulation.balancers.forEach((balancer) => {
     balancer.locality = false;
@@ -218,15 +218,15 @@
 
 for (const isEnabled of [false, true]) {
   test(`balancers with the other setting find flows placed with locality ${isEnabled}`, (t) => {
-    const simulation = new PacketWorld(isEnabled ? 34 : 33);
+    const simulation = new PacketSimulation(isEnabled ? 34 : 33);
     startModelDeployment(simulation, 4);
     for (let index = 0; index < 24; index++) {
       simulation.addAgent('map', ZONES[index % 3]!);
     }
     const [first, second, ...others] = simulation.balancers as [
-      WorldBalancer,
-      WorldBalancer,
-      ...WorldBalancer[],
+      PacketSimulationBalancer,
+      PacketSimulationBalancer,
+      ...PacketSimulationBalancer[],
     ];
     others.forEach((balancer) => {
       balancer.locality = !isEnabled;
@@ -242,7 +242,7 @@
     openModelFlows(simulation, 40, 15, 200);
     simulation.runFor(600);
     others.forEach(({ node }) => t.is(node.router.counters.flowsPlaced, 0));
-    others.forEach(({ process }) => process.wake());
+    others.forEach(({ process }) => process.resume());
     [first, second].forEach(({ process }) => process.kill());
     simulation.runFor(20_000);
     t.deepEqual(simulation.violations.flowsReset, []);
--- a/test/packet-health.test.ts
+++ b/test/packet-health.test.ts
@@ -6,7 +6,7 @@
   openModelFlows,
   startModelDeployment,
 } from '../src/simulation/packets/random-faults';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 
 const OPENING_RETRANSMISSION_MS = 200;
 
@@ -45,14 +45,14 @@
   t.true(health.computeFailureShare(20_000) < 0.05);
 });
 
-function startWorld(seed = 5): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed = 5): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world);
   return world;
 }
 
 /** Opens a flow of one request every 40 ms and returns those whose answer took long. */
-function countSlowFlows(world: PacketWorld, flows: number): number {
+function countSlowFlows(world: PacketSimulation, flows: number): number {
   const clients = [];
   for (let index = 0; index < flows; index++) {
     clients.push(world.openFlow(MAP_DESTINATION, 1, 0));
@@ -81,7 +81,7 @@
     openModelFlows(world, 40, 100, 100);
     world.runFor(2_000);
     const unresponsive = world.agents[0]!;
-    const clients = world.clients.filter((client) => world.holderOf(client) === unresponsive);
+    const clients = world.clients.filter((client) => world.findHolder(client) === unresponsive);
     t.true(clients.length > 3);
     unresponsive.target.alive = false;
     countSlowFlows(world, 40);
@@ -117,7 +117,7 @@
 test('a target whose answers fail gets few new flows', (t) => {
   const world = startWorld();
   const failing = world.agents[0]!;
-  failing.target.failing = true;
+  failing.target.isFailing = true;
   for (let index = 0; index < 100; index++) {
     world.openFlow(MAP_DESTINATION, 1, 0);
     world.runFor(40);
--- a/test/packet-many-agents.test.ts
+++ b/test/packet-many-agents.test.ts
@@ -1,13 +1,13 @@
 /** Searches in groups where a service has many targets, in virtual time. */
 import test from 'ava';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION } from '../src/simulation/packets/random-faults';
 
 const AGENTS = 80;
 const FLOWS = 60;
 
-function startManyAgents(seed: number): PacketWorld {
-  const world = new PacketWorld(seed);
+function startManyAgents(seed: number): PacketSimulation {
+  const world = new PacketSimulation(seed);
   world.configure(1, new Map([[MAP_DESTINATION, ['map']]]));
   for (let index = 0; index < 3; index++) {
     world.addBalancer('north');
@@ -23,13 +23,13 @@
   return world;
 }
 
-function countReset(world: PacketWorld): number {
+function countReset(world: PacketSimulation): number {
   return world.clients.filter(({ state }) => state === 'reset').length;
 }
 
 test('after a power loss all clients are reset within a second of their next packet', (t) => {
   const world = startManyAgents(71);
-  world.losePower(800);
+  world.restartAll(800);
   world.runFor(2_200);
   t.is(countReset(world), FLOWS);
 });
--- a/test/packet-queue.test.ts
+++ b/test/packet-queue.test.ts
@@ -11,7 +11,7 @@
 import { StartupBacklog } from '../src/packets/startup/startup-backlog';
 import { encodeModelPacket, ModelFlag } from '../src/simulation/packets/model-packet-format';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { encodePacket, Flag } from './support/packet-cluster';
 
 const getWaitLimit = (): number => 100;
@@ -127,7 +127,7 @@
 });
 
 test('a packet that arrives before a starting balancer has a view is served, not lost', (t) => {
-  const world = new PacketWorld(31);
+  const world = new PacketSimulation(31);
   startModelDeployment(world, 1);
   const [balancer] = world.balancers;
   world.startBalancer(balancer!);
--- a/test/packet-relay.test.ts
+++ b/test/packet-relay.test.ts
@@ -5,14 +5,14 @@
   openModelFlows,
   startModelDeployment,
 } from '../src/simulation/packets/random-faults';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { TrafficRelay } from '../src/packets/traffic-relay';
 
 const RELAYING_CAPACITY = 0.03;
 
 /** Starts two routing balancers and three relaying ones in one zone. */
-function startMixedWorld(): PacketWorld {
-  const world = new PacketWorld(9);
+function startMixedWorld(): PacketSimulation {
+  const world = new PacketSimulation(9);
   world.configure(1, MODEL_ROUTES);
   world.addBalancer('north');
   world.addBalancer('north');
@@ -26,7 +26,7 @@
   return world;
 }
 
-function countOpen(world: PacketWorld): number {
+function countOpen(world: PacketSimulation): number {
   return world.clients.filter(({ state }) => state === 'open').length;
 }
 
@@ -108,7 +108,7 @@
 });
 
 test('flows unknown to a balancer are found without offers to other targets', (t) => {
-  const world = new PacketWorld(10);
+  const world = new PacketSimulation(10);
   startModelDeployment(world, 2);
   openModelFlows(world, 40, 100, 200);
   world.runFor(1_000);
@@ -123,13 +123,13 @@
 });
 
 test('a search reaches other agents when one does not respond', (t) => {
-  const world = new PacketWorld(11);
+  const world = new PacketSimulation(11);
   startModelDeployment(world, 2);
   openModelFlows(world, 60, 100, 200);
   world.runFor(1_000);
   const [killed, searching] = world.balancers;
   const [holder, unresponsive] = world.agents;
-  const clients = world.clients.filter((client) => world.holderOf(client) === holder);
+  const clients = world.clients.filter((client) => world.findHolder(client) === holder);
   t.true(clients.length > 5);
   // The holder's agent restarts without its flow table, and another agent gets no frames.
   holder!.process.kill();
--- a/test/packet-search.test.ts
+++ b/test/packet-search.test.ts
@@ -14,7 +14,7 @@
 import { determineNextStep, type SearchStep } from '../src/packets/search-steps';
 import { modelPacketFormat } from '../src/simulation/packets/model-packet-format';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { createReport } from './support/reports';
 import {
   FIRST_AGENT,
@@ -340,11 +340,11 @@
 });
 
 test('after a power loss each dead flow takes about two searches and two resets', (t) => {
-  const world = new PacketWorld(21);
+  const world = new PacketSimulation(21);
   startModelDeployment(world, 2);
   openModelFlows(world, 60, 100, 100);
   world.runFor(1_000);
-  world.losePower(800);
+  world.restartAll(800);
   world.runFor(1_900);
   t.is(world.clients.filter(({ state }) => state === 'reset').length, 60);
   const sum = (counter: 'resetsSent' | 'searchesStarted'): number =>
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -10,7 +10,7 @@
 import { createReport } from './support/reports';
 import { modelPacketFormat } from '../src/simulation/packets/model-packet-format';
 import type { ModelTarget } from '../src/simulation/packets/model-target';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import {
   MAP_DESTINATION,
   MODEL_ROUTES,
@@ -21,13 +21,13 @@
 } from '../src/simulation/packets/random-faults';
 import { NO_VIOLATIONS } from './support/violations';
 
-function startWorld(seed = 1, balancers = 3): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed = 1, balancers = 3): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world, balancers);
   return world;
 }
 
-function countInState(world: PacketWorld, state: string): number {
+function countInState(world: PacketSimulation, state: string): number {
   return world.clients.filter((client) => client.state === state).length;
 }
 
@@ -67,7 +67,7 @@
   const world = startWorld(3, 1);
   openModelFlows(world, 30, 40);
   world.runFor(1_000);
-  world.store.down = true;
+  world.store.isDown = true;
   const [balancer] = world.balancers;
   const [agent] = world.agents;
   // One target is unreachable when the balancer restarts without any state.
@@ -91,14 +91,14 @@
   world.runFor(4_000);
   t.deepEqual(world.violations, NO_VIOLATIONS);
   t.is(balancer!.node.router.counters.resetsSent, 0);
-  world.store.down = false;
+  world.store.isDown = false;
   world.runFor(20_000);
   t.is(countInState(world, 'done'), 30);
 });
 
 test('a balancer that the store refuses gets table and view from a peer', (t) => {
   const world = startWorld(4, 2);
-  world.store.refused.add('balancer-2');
+  world.store.refusedProcesses.add('balancer-2');
   const late = world.addBalancer('east');
   world.runFor(2_000);
   t.true(late.node.isReady);
@@ -112,7 +112,7 @@
   const world = startWorld(5, 2);
   world.configure(9, MODEL_ROUTES);
   world.runFor(500);
-  world.store.compact();
+  world.store.compactHistory();
   world.configure(7, MODEL_ROUTES);
   world.runFor(4_000);
   world.balancers.forEach(({ node }) => t.is(node.figures.routingVersion, 9));
@@ -120,11 +120,11 @@
 
 test('a compacted store history leads to a new listing', (t) => {
   const world = startWorld(6, 2);
-  world.store.down = true;
+  world.store.isDown = true;
   world.runFor(15_000);
   world.configure(3, MODEL_ROUTES);
-  world.store.compact();
-  world.store.down = false;
+  world.store.compactHistory();
+  world.store.isDown = false;
   world.runFor(5_000);
   world.balancers.forEach(({ node }) => t.is(node.figures.routingVersion, 3));
 });
@@ -176,7 +176,7 @@
   const before = world.clock.now;
   world.runFor(250);
   const waiting = world.clients.filter(
-    (client) => world.holderOf(client) === away && !client.answeredAt.some((at) => at > before),
+    (client) => world.findHolder(client) === away && !client.answeredAt.some((at) => at > before),
   );
   t.deepEqual(
     waiting.map(({ state, answers, plan }) => ({ state, answers, client: plan.client })),
@@ -188,7 +188,7 @@
 });
 
 /** Blocks an agent's reports, so that balancers keep their outdated state of it; returns the undo. */
-function blockReports(world: PacketWorld, agent: WorldAgent): () => void {
+function blockReports(world: PacketSimulation, agent: PacketSimulationAgent): () => void {
   const cuts = world.balancers.map(({ name }) => ({ from: agent.name, to: name }));
   cuts.forEach((cut) => world.network.cut(cut));
   return () => cuts.forEach((cut) => world.network.heal(cut));
@@ -239,8 +239,8 @@
 
 test('a new flow refused by a full target is placed at one with free slots', (t) => {
   const world = startWorld(9);
-  world.agents[0]!.target.full = true;
-  world.agents[1]!.target.full = true;
+  world.agents[0]!.target.isFull = true;
+  world.agents[1]!.target.isFull = true;
   openModelFlows(world, 24, 3, 100);
   world.runFor(5_000);
   t.is(countInState(world, 'done'), 24);
@@ -248,7 +248,7 @@
 
 test('a new flow that no target accepts is reset at once', (t) => {
   const world = startWorld(10);
-  world.agents.forEach(({ target }) => (target.full = true));
+  world.agents.forEach(({ target }) => (target.isFull = true));
   const client = world.openFlow(MAP_DESTINATION, 1, 100);
   world.runFor(100);
   t.is(client.state, 'reset');
@@ -258,7 +258,7 @@
   const world = startWorld(11);
   openModelFlows(world, 40, 100, 100);
   world.runFor(1_000);
-  world.losePower(800);
+  world.restartAll(800);
   // A client retransmits after at most 1.6 s; the response to that packet is the reset.
   world.runFor(1_900);
   t.is(countInState(world, 'reset'), 40);
@@ -280,7 +280,7 @@
 
 test('an agent that the store refuses is registered by a balancer', (t) => {
   const world = startWorld(13);
-  world.store.refused.add('agent-6');
+  world.store.refusedProcesses.add('agent-6');
   const late = world.addAgent('map', 'north');
   world.runFor(6_000);
   t.true(world.store.agents.items.has(String(late.address)));
@@ -290,7 +290,7 @@
   const world = startWorld(14);
   const leaving = world.agents[0]!;
   world.drain(leaving);
-  leaving.node.handleTargetLeaving(leaving.target.life.id, leaving.target.life.born);
+  leaving.node.handleTargetLeaving(leaving.target.identity.id, leaving.target.identity.startTime);
   leaving.target.alive = false;
   leaving.node.beginStop(() => leaving.process.kill());
   world.runFor(500);
@@ -299,7 +299,7 @@
 
 test('a forged or broken frame changes nothing and is counted', (t) => {
   const reported: string[] = [];
-  const world = new PacketWorld(15, (_process, event) => reported.push(event.name));
+  const world = new PacketSimulation(15, (_process, event) => reported.push(event.name));
   world.configure(1, MODEL_ROUTES);
   const balancer = world.addBalancer('north');
   world.runFor(1_000);
--- a/test/relay-ends.test.ts
+++ b/test/relay-ends.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { Events } from '../src/logging/events';
 import { MODEL_ROUTES, openModelFlows } from '../src/simulation/packets/random-faults';
-import { PacketWorld, type WorldBalancer } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationBalancer } from '../src/simulation/packets/packet-simulation';
 import type { EventSink } from '../src/simulation/simulated-process';
 import { NO_VIOLATIONS } from './support/violations';
 
@@ -15,8 +15,8 @@
 const FRAME_TIME_MS = 50;
 
 /** Starts two routing balancers and a relaying one per zone, 32 agents, and flows that then idle. */
-function startIdleFlows(seed: number, events?: EventSink): PacketWorld {
-  const world = new PacketWorld(seed, events);
+function startIdleFlows(seed: number, events?: EventSink): PacketSimulation {
+  const world = new PacketSimulation(seed, events);
   world.configure(1, MODEL_ROUTES);
   for (const zone of [...ZONES, ...ZONES]) {
     world.addBalancer(zone);
@@ -33,9 +33,9 @@
   return world;
 }
 
-function splitByCapacity(world: PacketWorld): {
-  routing: WorldBalancer[];
-  relaying: WorldBalancer[];
+function splitByCapacity(world: PacketSimulation): {
+  routing: PacketSimulationBalancer[];
+  relaying: PacketSimulationBalancer[];
 } {
   const routing = world.balancers.filter(({ capacity }) => capacity > RELAYING_CAPACITY);
   const relaying = world.balancers.filter(({ capacity }) => capacity === RELAYING_CAPACITY);
@@ -43,7 +43,7 @@
 }
 
 /** Makes a balancer handle its frames one after the other, each with a delay. */
-function delayFrames(world: PacketWorld, { address, node, process }: WorldBalancer): void {
+function delayFrames(world: PacketSimulation, { address, node, process }: PacketSimulationBalancer): void {
   let freeAt = 0;
   world.network.bind(address, process, (frame, from) => {
     const bytes = Buffer.from(frame);
@@ -53,11 +53,11 @@
   });
 }
 
-function countRejected(world: PacketWorld): number {
+function countRejected(world: PacketSimulation): number {
   return world.agents.reduce((sum, { node }) => sum + node.counters.packetsReturned, 0);
 }
 
-function countAnswers(world: PacketWorld): number {
+function countAnswers(world: PacketSimulation): number {
   return world.clients.reduce((sum, { answers }) => sum + answers, 0);
 }
 
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -19,7 +19,7 @@
   ModelFlag,
   modelPacketFormat,
 } from '../src/simulation/packets/model-packet-format';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { SimulatedProcess } from '../src/simulation/simulated-process';
@@ -158,8 +158,8 @@
 });
 
 /** Starts balancers, of which the first is strong, and agents together. */
-function startMixedSimulation(): PacketWorld {
-  const world = new PacketWorld(61);
+function startMixedSimulation(): PacketSimulation {
+  const world = new PacketSimulation(61);
   startModelDeployment(world, 1);
   world.addBalancer('south', 0.3);
   world.runFor(3_000);
@@ -169,7 +169,7 @@
 test('packets are served by a stronger balancer while a slow one starts', (t) => {
   const world = startMixedSimulation();
   const [strong, slow] = world.balancers;
-  world.store.down = true;
+  world.store.isDown = true;
   world.startBalancer(slow!);
   slow!.node.handleClientDatagram(
     encodeModelPacket({
@@ -199,7 +199,7 @@
 const FLOWS = 12;
 
 test('a flow that changes balancers before its first data is found without other targets', (t) => {
-  const world = new PacketWorld(62);
+  const world = new PacketSimulation(62);
   // No agent can tell the age of its target, so none knows all flows of its target.
   world.coldTime = 0;
   startModelDeployment(world, 2);
@@ -229,8 +229,8 @@
 });
 
 /** Creates a world with an agent that has restarted without its target and is still registered. */
-function startWithoutTarget(earlyStart: boolean): { world: PacketWorld; orphan: WorldAgent } {
-  const world = new PacketWorld(63);
+function startWithoutTarget(earlyStart: boolean): { world: PacketSimulation; orphan: PacketSimulationAgent } {
+  const world = new PacketSimulation(63);
   world.earlyStart = earlyStart;
   startModelDeployment(world, 2);
   world.runFor(3_000);
@@ -245,7 +245,7 @@
 }
 
 /** Sends data of a flow that no target holds and counts the resets within 100 ms. */
-function countResetsOfUnheldFlow(world: PacketWorld): number {
+function countResetsOfUnheldFlow(world: PacketSimulation): number {
   const { node } = world.balancers[0]!;
   const packet = {
     client: 0x6440_0007_9c41,
@@ -275,7 +275,7 @@
 });
 
 test('an agent that restarts with a running but unresponsive target stays registered', (t) => {
-  const world = new PacketWorld(64);
+  const world = new PacketSimulation(64);
   startModelDeployment(world, 2);
   world.runFor(3_000);
   const agent = world.agents[0]!;
@@ -301,7 +301,7 @@
   const { world, orphan } = startWithoutTarget(true);
   world.runFor(12_000);
   world.balancers.forEach(({ node }) => t.is(node.directory.find(orphan.address), undefined));
-  world.store.down = true;
+  world.store.isDown = true;
   world.startTarget(orphan);
   world.runFor(1_000);
   world.balancers.forEach(({ node }) =>
@@ -312,10 +312,10 @@
 test('the removal of the entry is retried until the store accepts it', (t) => {
   const { world, orphan } = startWithoutTarget(true);
   world.runFor(1_000);
-  world.store.refused.add(orphan.name);
+  world.store.refusedProcesses.add(orphan.name);
   world.runFor(3_000);
   t.true(world.store.agents.items.has(String(orphan.address)));
-  world.store.refused.clear();
+  world.store.refusedProcesses.clear();
   world.runFor(2_000);
   t.false(world.store.agents.items.has(String(orphan.address)));
 });
@@ -334,9 +334,9 @@
 test('an outdated listing does not prevent the registration of a target that starts later', (t) => {
   const { world, orphan } = startWithoutTarget(true);
   const isListed = (): boolean => world.store.agents.items.has(String(orphan.address));
-  world.store.refused.add(orphan.name);
+  world.store.refusedProcesses.add(orphan.name);
   world.runFor(5_000);
-  world.store.refused.clear();
+  world.store.refusedProcesses.clear();
   for (let step = 0; step < 200 && isListed(); step++) {
     world.runFor(10);
   }
@@ -348,9 +348,9 @@
 
 test('an agent without a target removes its entry when it stops', (t) => {
   const { world, orphan } = startWithoutTarget(true);
-  world.store.refused.add(orphan.name);
+  world.store.refusedProcesses.add(orphan.name);
   world.runFor(3_000);
-  world.store.refused.clear();
+  world.store.refusedProcesses.clear();
   let isDone = false;
   orphan.node.beginStop(() => {
     isDone = true;
@@ -374,7 +374,7 @@
 test('a report of a missing target is valid for a limited time while the entry remains', (t) => {
   const { world, orphan } = startWithoutTarget(true);
   world.runFor(600);
-  world.store.down = true;
+  world.store.isDown = true;
   orphan.node.beginStop(() => undefined);
   world.runFor(50);
   orphan.process.kill();
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -7,18 +7,18 @@
  * then it just gets no new flows. target-start-unseen.test.ts guards against another cause.
  */
 import test from 'ava';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { TargetLiveness } from '../src/packets/target-liveness';
 
 interface SimulatedTarget {
-  readonly world: PacketWorld;
-  readonly agent: WorldAgent;
+  readonly world: PacketSimulation;
+  readonly agent: PacketSimulationAgent;
 }
 
 /** All map targets but one are full, so that all new flows go to that one. */
 function startSimulation(seed: number): SimulatedTarget {
-  const world = new PacketWorld(seed);
+  const world = new PacketSimulation(seed);
   startModelDeployment(world);
   world.runFor(4_000);
   const [agent, ...others] = world.agents.filter(({ service }) => service === 'map');
@@ -26,14 +26,14 @@
     world.openFlow(MAP_DESTINATION, 40, 100);
   }
   world.runFor(800);
-  others.forEach((one) => (one.target.full = true));
+  others.forEach((one) => (one.target.isFull = true));
   return { world, agent: agent! };
 }
 
 for (const stall of [700, 1_500, 2_500]) {
   test(`flows of a target that pauses for ${stall} ms are not reset`, (t) => {
     const { world, agent } = startSimulation(95);
-    const held = world.clients.filter((client) => world.holderOf(client) === agent);
+    const held = world.clients.filter((client) => world.findHolder(client) === agent);
     t.true(held.length > 3);
     agent.target.stall(stall);
     for (let index = 0; index < 30; index++) {
@@ -48,7 +48,7 @@
 
 test('flows of a target that has ended are reset within a second', (t) => {
   const { world, agent } = startSimulation(96);
-  const held = world.clients.filter((client) => world.holderOf(client) === agent);
+  const held = world.clients.filter((client) => world.findHolder(client) === agent);
   agent.target.alive = false;
   for (let index = 0; index < 30; index++) {
     world.openFlow(MAP_DESTINATION, 2, 50);
--- a/test/soak/play-soak.ts
+++ b/test/soak/play-soak.ts
@@ -1,5 +1,5 @@
 /** Plays one seed of the soak and tells what was seen. */
-import type { WorldViolations } from '../../src/simulation/packets/world-judge';
+import type { InvariantViolations } from '../../src/simulation/packets/packet-invariant-checker';
 import { SeededRandom } from '../../src/simulation/seeded-random';
 import type { SoakClientState } from './soak-client';
 import { strikeAtRandom } from './soak-faults';
@@ -28,7 +28,7 @@
   readonly seed: number;
   readonly faults: readonly string[];
   readonly flows: Readonly<Record<SoakClientState, number>>;
-  readonly violations: WorldViolations;
+  readonly violations: InvariantViolations;
   /** Packets that reached their end in another form than their sender wrote. */
   readonly altered: readonly string[];
   /** Agents whose targets got no flow after all faults. */
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -187,7 +187,7 @@
   unplanned('store returns from a copy', returnStore),
   planned('junk of others', leaveJunk),
   planned('series of signals, restarts and changes', (scene) => {
-    [scene.machine, scene.balancer].forEach(({ name }) => scene.world.judge.noteRestart(name));
+    [scene.machine, scene.balancer].forEach(({ name }) => scene.world.judge.recordRestart(name));
     strikeInSeries(scene);
   }),
   planned('target is away', ({ agent }) => crash(agent, ABSENCE)),
@@ -202,7 +202,7 @@
     later(length, () => (agent.target.full = false));
   }),
   planned('restart a process', ({ world, machine }) => {
-    world.judge.noteRestart(machine.name);
+    world.judge.recordRestart(machine.name);
     machine.process.terminate();
   }),
   planned('reload', ({ machine }) => machine.process.signal('SIGHUP')),
@@ -242,7 +242,7 @@
   const kind = random.pick(KINDS);
   const isForAll = kind.name.includes('all') || kind.name.includes('store');
   const struck = isForAll ? [...world.balancers, ...world.agents] : [balancer, agent];
-  const note = (): void => struck.forEach(({ name }) => world.judge.noteFault(name));
+  const note = (): void => struck.forEach(({ name }) => world.judge.recordFault(name));
   if (!kind.isPlanned) {
     note();
     later(length, note);
--- a/test/soak/soak-target.ts
+++ b/test/soak/soak-target.ts
@@ -8,7 +8,7 @@
 import { createServer, type Server } from 'node:net';
 import { packetFormat } from '../../platform/packet-header';
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
-import type { JudgedTarget } from '../../src/simulation/packets/world-judge';
+import type { ObservedTarget } from '../../src/simulation/packets/packet-invariant-checker';
 import { encodePacket, Flag, HEADER_BYTES, type ClusterPorts } from '../support/packet-cluster';
 import { isClientsOwn, seal } from './packet-seal';
 
@@ -43,13 +43,13 @@
 
 /** What a target tells the soak. */
 export interface SoakTargetObserver {
-  openingReached(target: JudgedTarget): void;
-  packetReached(target: JudgedTarget, flow: FlowKey): void;
-  flowOpened(target: JudgedTarget, packet: FlowPacket): void;
-  requestRan(target: JudgedTarget, text: string): void;
-  drainAcknowledged(target: JudgedTarget): void;
+  openingReached(target: ObservedTarget): void;
+  packetReached(target: ObservedTarget, flow: FlowKey): void;
+  flowOpened(target: ObservedTarget, packet: FlowPacket): void;
+  requestRan(target: ObservedTarget, text: string): void;
+  drainAcknowledged(target: ObservedTarget): void;
   /** A client's packet is not as the client wrote it. */
-  alteredReached(target: JudgedTarget, packet: FlowPacket): void;
+  alteredReached(target: ObservedTarget, packet: FlowPacket): void;
 }
 
 /** The targets that follow each other at one machine. */
@@ -124,7 +124,7 @@
     return this.alive && this.flows.get(flow)?.open === true;
   }
 
-  get judged(): JudgedTarget {
+  get judged(): ObservedTarget {
     return { incarnation: this.incarnation, service: this.service };
   }
 
--- a/test/soak/soak-world.ts
+++ b/test/soak/soak-world.ts
@@ -10,10 +10,10 @@
 import type { Endpoint } from '../../src/environment';
 import type { FlowKey } from '../../src/packets/flow-packet';
 import {
-  WorldJudge,
+  PacketInvariantChecker,
   type FlowHolder,
-  type JudgedTarget,
-} from '../../src/simulation/packets/world-judge';
+  type ObservedTarget,
+} from '../../src/simulation/packets/packet-invariant-checker';
 import { SeededRandom } from '../../src/simulation/seeded-random';
 import { ObjectApiStandin, type StoreBackup } from '../support/object-api-standin';
 import type { ClusterPorts } from '../support/packet-cluster';
@@ -77,7 +77,7 @@
   readonly random: SeededRandom;
   /** A stream of its own, so that a seed always draws the same faults. */
   readonly faultRandom: SeededRandom;
-  readonly judge = new WorldJudge({
+  readonly judge = new PacketInvariantChecker({
     get now() {
       return performance.now();
     },
@@ -127,11 +127,11 @@
     for (const [index, service] of SERVICES.entries()) {
       const machine = await this.createMachine('agent', index, service);
       const target = new SoakTarget(machine.machine, service, PORTS, () => this.random.next(), {
-        openingReached: (one) => this.judge.openingReached(one, machine.name),
-        packetReached: (one, flow) => this.judge.packetReached(one, flow, this.flowHolder(flow)),
+        openingReached: (one) => this.judge.checkOpening(one, machine.name),
+        packetReached: (one, flow) => this.judge.checkPacket(one, flow, this.flowHolder(flow)),
         flowOpened: (one, packet) => this.flowOpened(one, machine.name, packet.client),
         requestRan: (one, text) => this.requestRan(one, text),
-        drainAcknowledged: (one) => this.judge.drainAcknowledged(one),
+        drainAcknowledged: (one) => this.judge.recordDrainAcknowledged(one),
         alteredReached: (one, packet) =>
           this.altered.push(`at ${one.incarnation}: ${packet.bytes.toString('hex')}`),
       });
@@ -185,7 +185,7 @@
       limits: {},
     };
     this.writeTable();
-    this.judge.configured(new Map([...services].map(([to, service]) => [to, [service]])));
+    this.judge.recordConfiguration(new Map([...services].map(([to, service]) => [to, [service]])));
   }
 
   /** The operator writes its latest configuration, for the first time or again. */
@@ -218,7 +218,7 @@
       () => performance.now(),
       (packet) => this.router?.route(packet),
       {
-        answerCame: (_one, expected, answered) => this.judge.answerCame(expected, answered),
+        answerCame: (_one, expected, answered) => this.judge.checkAnswer(expected, answered),
         wasReset: (one) => this.clientReset(one),
         ended: (one) => void this.ended[one.state]++,
       },
@@ -303,23 +303,23 @@
     return this.clients.get(getEndpointPort(address));
   }
 
-  private flowOpened(target: JudgedTarget, agent: string, from: Endpoint): void {
+  private flowOpened(target: ObservedTarget, agent: string, from: Endpoint): void {
     this.openedAt.set(agent, performance.now());
     const client = this.clientAt(from);
     if (client) {
       const { destination } = client.plan;
       const processes = this.processesTo(agent);
-      this.judge.flowOpened(destination, target.service, client.startedAt, processes);
+      this.judge.checkOpenedFlow(destination, target.service, client.startedAt, processes);
     }
   }
 
-  private requestRan(target: JudgedTarget, text: string): void {
+  private requestRan(target: ObservedTarget, text: string): void {
     const [, id = text, from = 0] = REQUEST_ID.exec(text) ?? [];
-    this.judge.requestRan(target, id, this.clientAt(Number(from)));
+    this.judge.checkRequest(target, id, this.clientAt(Number(from)));
   }
 
   private clientReset(client: SoakClient): void {
     const holder = this.flowHolder(client.flow);
-    this.judge.clientReset(client, holder !== undefined, holder?.processes);
+    this.judge.checkReset(client, holder !== undefined, holder?.processes);
   }
 }
--- a/test/store-copy.test.ts
+++ b/test/store-copy.test.ts
@@ -12,7 +12,7 @@
 import { packEndpoint } from '../src/core/endpoint';
 import type { Endpoint } from '../src/environment';
 import { REWRITE_TIME_MS } from '../src/packets/store-position';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import {
   MAP_DESTINATION,
   MODEL_ROUTES,
@@ -32,18 +32,18 @@
   [ADDED, ['map']],
 ]);
 
-function startWorld(seed: number, balancers = 3): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed: number, balancers = 3): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world, balancers);
   world.runFor(5_000);
   return world;
 }
 
-function getVersions(world: PacketWorld): number[] {
+function getVersions(world: PacketSimulation): number[] {
   return world.balancers.map(({ node }) => node.figures.routingVersion);
 }
 
-function repeatVersion(world: PacketWorld, version: number): number[] {
+function repeatVersion(world: PacketSimulation, version: number): number[] {
   return world.balancers.map(() => version);
 }
 
@@ -54,22 +54,22 @@
  * @param outageMs time for which the store does not answer; 0: waiting calls are only cut
  */
 function restoreWithChanges(
-  world: PacketWorld,
+  world: PacketSimulation,
   isPastOldRevision: boolean,
   outageMs: number,
 ): void {
   const { store } = world;
-  const backup = store.copy();
-  store.advance(20);
+  const backup = store.createBackup();
+  store.advanceRevision(20);
   world.configure(2, MODEL_ROUTES);
   world.runFor(1_000);
-  store.down = outageMs > 0;
+  store.isDown = outageMs > 0;
   world.runFor(outageMs);
-  store.returnFrom(backup);
+  store.restoreFrom(backup);
   world.configure(2, MODEL_ROUTES);
   world.configure(3, MODEL_ROUTES);
-  store.advance(isPastOldRevision ? 40 : 0);
-  store.down = false;
+  store.advanceRevision(isPastOldRevision ? 40 : 0);
+  store.isDown = false;
 }
 
 for (const { isPastOldRevision, outageMs, balancers } of [
@@ -93,13 +93,13 @@
   const world = startWorld(53);
   restoreWithChanges(world, true, 0);
   world.runFor(300);
-  const backup = world.store.copy();
+  const backup = world.store.createBackup();
   world.configure(4, MODEL_ROUTES);
   world.runFor(100);
-  world.store.returnFrom(backup);
+  world.store.restoreFrom(backup);
   world.configure(4, MODEL_ROUTES);
   world.configure(5, MODEL_ROUTES);
-  world.store.advance(60);
+  world.store.advanceRevision(60);
   world.runFor(APPLY_TIME_MS);
   t.deepEqual(getVersions(world), repeatVersion(world, 5));
 });
@@ -107,11 +107,11 @@
 test('a balancer that the store refuses gets the agents of the new era from its peers', (t) => {
   const world = startWorld(54);
   const [refused] = world.balancers;
-  world.store.refused.add(refused!.name);
-  world.store.advance(500);
+  world.store.refusedProcesses.add(refused!.name);
+  world.store.advanceRevision(500);
   const lost = world.addAgent('map', 'north');
   world.runFor(2_000);
-  world.store.returnFrom({ ...world.store.copy(), agents: [] });
+  world.store.restoreFrom({ ...world.store.createBackup(), agents: [] });
   world.runFor(8_000);
   t.is(world.store.agents.items.size, world.agents.length, 'all agents are listed again');
   const added = world.addAgent('map', 'south');
@@ -123,7 +123,7 @@
 test('a balancer started after a restore resets no flow of an agent missing from the backup', (t) => {
   for (let seed = 60; seed < 66; seed++) {
     const world = startWorld(seed, 2);
-    const backup = world.store.copy();
+    const backup = world.store.createBackup();
     // The new agent reports half an interval after the others.
     world.runFor(125);
     world.addAgent('map', 'south');
@@ -133,7 +133,7 @@
     }
     // Agents report every 250 ms: the balancers start at various times between two reports.
     world.runFor(1_000 + 40 * (seed - 60));
-    world.store.returnFrom(backup);
+    world.store.restoreFrom(backup);
     world.balancers.forEach((balancer) => world.startBalancer(balancer));
     world.runFor(6_000);
     t.deepEqual(world.violations.flowsReset, [], `seed ${seed}`);
@@ -142,7 +142,7 @@
 
 test('a balancer started after a restore resets no flow of a route missing from the backup', (t) => {
   const world = startWorld(57);
-  const backup = world.store.copy();
+  const backup = world.store.createBackup();
   world.configure(2, ADDED_ROUTES);
   world.runFor(2 * VERIFIER_APPLY_TIME_MS);
   for (let index = 0; index < 30; index++) {
@@ -150,7 +150,7 @@
     world.openFlow(TILE_DESTINATION, 60, 40);
   }
   world.runFor(500);
-  world.store.returnFrom(backup);
+  world.store.restoreFrom(backup);
   world.balancers.forEach((balancer) => world.startBalancer(balancer));
   // The operator writes the lost table again.
   world.clock.schedule(1_500, () => world.configure(2, ADDED_ROUTES));
@@ -161,10 +161,10 @@
 
 test('a balancer started while the store is outdated gets the later table from its peers', (t) => {
   const world = startWorld(58);
-  const backup = world.store.copy();
+  const backup = world.store.createBackup();
   world.configure(2, ADDED_ROUTES);
   world.runFor(2_000);
-  world.store.returnFrom(backup);
+  world.store.restoreFrom(backup);
   const [balancer] = world.balancers;
   world.startBalancer(balancer!);
   world.runFor(1_000);
@@ -183,7 +183,7 @@
     world.balancers.reduce((sum, { node }) => sum + node.figures.registryCalls, 0);
   const before = listRegistrations();
   const callsBefore = countRegistryCalls();
-  world.store.returnFrom({ ...world.store.copy(), agents: [] });
+  world.store.restoreFrom({ ...world.store.createBackup(), agents: [] });
   world.runFor(REWRITE_TIME_MS);
   t.is(world.store.agents.items.size, world.agents.length);
   t.deepEqual(
@@ -201,12 +201,12 @@
   const world = startWorld(60);
   const gone = world.addAgent('map', 'north');
   world.runFor(3_000);
-  const backup = world.store.copy();
+  const backup = world.store.createBackup();
   gone.process.kill();
   gone.target.alive = false;
-  world.store.lapse(String(gone.address));
+  world.store.removeAgentEntry(String(gone.address));
   world.runFor(5_000);
-  world.store.returnFrom(backup);
+  world.store.restoreFrom(backup);
   world.runFor(1_000);
   t.true(world.store.agents.items.has(String(gone.address)), 'the backup has it');
   world.runFor(15_000);
--- a/test/store-era.test.ts
+++ b/test/store-era.test.ts
@@ -23,7 +23,7 @@
   type StorePosition,
 } from '../src/packets/store-position';
 import { UNKNOWN_EVACUATIONS, ZoneEvacuationView } from '../src/packets/zone-evacuations';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { MODEL_ROUTES, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { awaitAnswer } from './support/answers';
 import { ObjectApiStandin } from './support/object-api-standin';
@@ -41,9 +41,9 @@
 }
 
 /** Starts a model deployment, runs it for a while and collects its log events. */
-function startLoggingWorld(seed: number): { world: PacketWorld; events: LoggedEvent[] } {
+function startLoggingWorld(seed: number): { world: PacketSimulation; events: LoggedEvent[] } {
   const events: LoggedEvent[] = [];
-  const world = new PacketWorld(seed, (_process, event, fields) => {
+  const world = new PacketSimulation(seed, (_process, event, fields) => {
     events.push({ event, fields });
   });
   startModelDeployment(world);
@@ -81,10 +81,10 @@
   const listings = events.filter(({ event }) => event === Events.storeListed);
   t.true(listings.length > 0);
   t.true(listings.every(({ fields }) => fields['era'] === 1));
-  const backup = world.store.copy();
+  const backup = world.store.createBackup();
   world.configure(2, MODEL_ROUTES);
   world.runFor(1_000);
-  world.store.returnFrom(backup);
+  world.store.restoreFrom(backup);
   world.runFor(3_000);
   const changes = events.filter(({ event }) => event === Events.storeEraChanged);
   t.true(changes.length > 0);
--- a/test/store-readers.test.ts
+++ b/test/store-readers.test.ts
@@ -1,6 +1,6 @@
 /** A few balancers read the store for all: number of calls, and behaviour when readers fail. */
 import test from 'ava';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import { MODEL_ROUTES, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { READER_COUNT, StoreReaders } from '../src/packets/store-readers';
 import { AgentDirectory } from '../src/packets/agent-directory';
@@ -14,21 +14,21 @@
 const SLOW_LINK_MBPS = 7;
 const HALF_MINUTE_MS = 30_000;
 
-function startLargeWorld(seed: number, balancers = BALANCERS): PacketWorld {
-  const world = new PacketWorld(seed);
+function startLargeWorld(seed: number, balancers = BALANCERS): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world, balancers);
   world.runFor(10_000);
   return world;
 }
 
-function getReaders(world: PacketWorld): PacketWorld['balancers'] {
+function getReaders(world: PacketSimulation): PacketSimulation['balancers'] {
   return world.balancers.filter(
     ({ node, process }) => process.isRunning && node.figures.readsStore,
   );
 }
 
 /** Milliseconds until a version is active on every running balancer. */
-function measureApplyTime(world: PacketWorld, version: number): number {
+function measureApplyTime(world: PacketSimulation, version: number): number {
   const start = world.clock.now;
   const running = world.balancers.filter(({ process }) => process.isRunning);
   while (running.some(({ node }) => node.figures.routingVersion < version)) {
@@ -81,11 +81,11 @@
 test('a table becomes active in time when the store refuses all readers and a third of the rest', (t) => {
   for (let seed = 51; seed < 56; seed++) {
     const world = startLargeWorld(seed);
-    getReaders(world).forEach(({ name }) => world.store.refused.add(name));
+    getReaders(world).forEach(({ name }) => world.store.refusedProcesses.add(name));
     world.balancers
       .filter((_, index) => index % 3 === 0)
       .forEach(({ name }) => {
-        world.store.refused.add(name);
+        world.store.refusedProcesses.add(name);
       });
     world.configure(6, MODEL_ROUTES);
     t.true(measureApplyTime(world, 6) < APPLY_TIME_MS, `seed ${seed}`);
@@ -96,24 +96,24 @@
 
 test('while the store is down few calls are made, and its recovery is detected', (t) => {
   const world = startLargeWorld(61);
-  world.store.down = true;
+  world.store.isDown = true;
   const before = world.store.calls;
   world.runFor(10_000);
   const perSecond = (world.store.calls - before) / 10;
   t.true(perSecond < BALANCERS / 2, `calls a second: ${perSecond}`);
-  world.store.down = false;
+  world.store.isDown = false;
   world.configure(7, MODEL_ROUTES);
   t.true(measureApplyTime(world, 7) < 3_000);
 });
 
 test('entries that were lost while the store was down are back within 2 s of its recovery', (t) => {
   const world = startLargeWorld(62);
-  world.store.down = true;
+  world.store.isDown = true;
   world.runFor(5_000);
   for (const { address } of world.agents) {
-    world.store.lapse(String(address));
+    world.store.removeAgentEntry(String(address));
   }
-  world.store.down = false;
+  world.store.isDown = false;
   world.runFor(2_000);
   world.agents.forEach(({ address }) => t.true(world.store.agents.items.has(String(address))));
 });
@@ -121,7 +121,7 @@
 test('after a power loss few calls restore tables, views and entries', (t) => {
   const world = startLargeWorld(63);
   const before = world.store.calls;
-  world.losePower(800);
+  world.restartAll(800);
   world.runFor(1_500);
   world.balancers.forEach(({ node }) => t.true(node.isReady));
   const calls = world.store.calls - before;
@@ -137,9 +137,9 @@
 
 test('a store that answers slowly after an outage is read again', (t) => {
   const world = startLargeWorld(65);
-  world.store.down = true;
+  world.store.isDown = true;
   world.runFor(8_000);
-  world.store.down = false;
+  world.store.isDown = false;
   world.store.answerTime = 700;
   world.configure(8, MODEL_ROUTES);
   t.true(measureApplyTime(world, 8) < APPLY_TIME_MS);
@@ -179,7 +179,7 @@
   const world = startLargeWorld(66, 6);
   const slow = Array.from({ length: 10 }, () => world.addBalancer('north', 1, SLOW_LINK_MBPS));
   world.runFor(3_000);
-  world.losePower(500);
+  world.restartAll(500);
   world.runFor(150);
   for (const { name, node } of slow) {
     t.true(node.figures.agentsKnown > 0 && node.figures.routingVersion > 0, name);
@@ -193,7 +193,7 @@
   const slow = Array.from({ length: 10 }, () => world.addBalancer('north', 1, SLOW_LINK_MBPS));
   world.runFor(3_000);
   const [one, two] = world.balancers;
-  world.losePower(500);
+  world.restartAll(500);
   [one!, two!].forEach(({ process }) => process.kill());
   world.runFor(200);
   t.true(first!.node.figures.routingVersion > 0);
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -3,16 +3,16 @@
 import type { Endpoint } from '../../src/environment';
 import { packEndpoint } from '../../src/core/endpoint';
 import type { SimulatedBalancer } from '../../src/simulation/simulated-balancer';
-import { SimulatedWorld } from '../../src/simulation/simulated-world';
+import { Simulation } from '../../src/simulation/simulation';
 import type { SafeguardName } from '../../src/agent/safeguards';
 import { DEPLOYMENTS, withBeacon } from '../../src/standins/deployments';
 
 const ECHO_OPTION = 252;
 
 /** A settled map office without callers. */
-export function createQuietSimulation(without: readonly SafeguardName[] = [], seed = 1): SimulatedWorld {
+export function createQuietSimulation(without: readonly SafeguardName[] = [], seed = 1): Simulation {
   const deployment = withBeacon(DEPLOYMENTS.map);
-  const world = new SimulatedWorld({ deployment, seed, design: 'hallhold', without });
+  const world = new Simulation({ deployment, seed, design: 'hallhold', without });
   world.start();
   return world;
 }
@@ -35,7 +35,7 @@
   readonly endpoint: Endpoint;
 
   constructor(
-    private readonly simulation: SimulatedWorld,
+    private readonly simulation: Simulation,
     private readonly service: string,
     number: number,
   ) {
@@ -75,7 +75,7 @@
     if (through) {
       through.node.receiveDatagram(this.service, this.endpoint, datagram);
     } else {
-      this.simulation.spray(this.service, this.endpoint, datagram);
+      this.simulation.sendThroughFabric(this.service, this.endpoint, datagram);
     }
   }
 
--- a/test/support/violations.ts
+++ b/test/support/violations.ts
@@ -1,7 +1,7 @@
 /** What the judge of a world has noted when no promise was broken. */
-import type { WorldViolations } from '../../src/simulation/packets/world-judge';
+import type { InvariantViolations } from '../../src/simulation/packets/packet-invariant-checker';
 
-export const NO_VIOLATIONS: WorldViolations = {
+export const NO_VIOLATIONS: InvariantViolations = {
   flowsReset: [],
   strayed: [],
   doubled: [],
--- a/test/target-incarnations.test.ts
+++ b/test/target-incarnations.test.ts
@@ -4,7 +4,7 @@
 import { packEndpoint } from '../src/core/endpoint';
 import { TargetState } from '../src/packets/packet-messages';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { fetchStatus } from './support/fetch-status';
 import { NO_VIOLATIONS } from './support/violations';
@@ -144,7 +144,7 @@
   ]);
 });
 
-function openFlows(world: PacketWorld, count: number): void {
+function openFlows(world: PacketSimulation, count: number): void {
   for (let index = 0; index < count; index++) {
     world.openFlow(MAP_DESTINATION, 40, 100);
   }
@@ -152,12 +152,12 @@
 
 /** Crashes an agent's target and restarts it under its name. */
 function restartTarget(
-  world: PacketWorld,
-  agent: WorldAgent,
+  world: PacketSimulation,
+  agent: PacketSimulationAgent,
   downTime: number,
   service?: string,
 ): void {
-  const { id } = agent.target.life;
+  const { id } = agent.target.identity;
   agent.target.alive = false;
   world.runFor(downTime);
   world.startTarget(agent, service, id);
@@ -168,7 +168,7 @@
     const how = `${isDraining ? 'draining' : 'ready'}, agent ${restartsAgent ? 'restarted' : 'running'}`;
     test(`a target that was ${how}, gets flows after its restart, and no guarantee is violated`, (t) => {
       for (let seed = 80; seed < 84; seed++) {
-        const world = new PacketWorld(seed);
+        const world = new PacketSimulation(seed);
         startModelDeployment(world);
         world.runFor(4_000);
         const [agent] = world.agents;
@@ -200,13 +200,13 @@
 }
 
 test('flows of the earlier incarnation are reset soon', (t) => {
-  const world = new PacketWorld(85);
+  const world = new PacketSimulation(85);
   startModelDeployment(world);
   world.runFor(4_000);
   const [agent] = world.agents;
   openFlows(world, 60);
   world.runFor(800);
-  const held = world.clients.filter((client) => world.holderOf(client) === agent);
+  const held = world.clients.filter((client) => world.findHolder(client) === agent);
   t.true(held.length > 0);
   restartTarget(world, agent!, 500);
   world.runFor(2_000);
--- a/test/target-start-unseen.test.ts
+++ b/test/target-start-unseen.test.ts
@@ -8,18 +8,18 @@
  * no cold time is configured the agent offers the packets to its target, and the flows are kept.
  */
 import test, { type ExecutionContext } from 'ava';
-import { PacketWorld, type WorldAgent } from '../src/simulation/packets/packet-world';
+import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 
 const FLOWS = 60;
 
 interface SimulatedAgent {
-  readonly world: PacketWorld;
-  readonly agent: WorldAgent;
+  readonly world: PacketSimulation;
+  readonly agent: PacketSimulationAgent;
 }
 
 function startSimulation(seed: number): SimulatedAgent {
-  const world = new PacketWorld(seed);
+  const world = new PacketSimulation(seed);
   startModelDeployment(world);
   world.runFor(5_000);
   return { world, agent: world.agents[0]! };
@@ -28,7 +28,7 @@
 /** Sends a heartbeat of the agent's current target that reports an age in milliseconds. */
 function sendHeartbeat({ world, agent }: SimulatedAgent, age: number, sequence: number): void {
   const { service, draining } = agent.target;
-  const { id: incarnation, born } = agent.target.life;
+  const { id: incarnation, startTime: born } = agent.target.identity;
   const coldLeft = world.coldTime - age;
   agent.node.handleHeartbeat({ incarnation, born, service, draining, slots: 5, coldLeft, sequence });
 }
--- a/test/zone-cut.test.ts
+++ b/test/zone-cut.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import { ZoneDetour } from '../src/packets/zone-detour';
 import { ZoneReachability } from '../src/packets/zone-reachability';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import {
   MAP_DESTINATION,
   openModelFlows,
@@ -57,7 +57,7 @@
   t.is(detour.findBalancer('f', 'south', 20_000), undefined);
 });
 
-function cutZones(world: PacketWorld, one: string, other: string): () => void {
+function cutZones(world: PacketSimulation, one: string, other: string): () => void {
   const nodes = [...world.balancers, ...world.agents];
   const findNames = (zone: string): string[] =>
     nodes.filter((node) => node.zone === zone).map(({ name }) => name);
@@ -71,8 +71,8 @@
   return () => cuts.forEach((cut) => world.network.heal(cut));
 }
 
-function startWorld(seed: number): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed: number): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world, 6);
   for (const zone of ['north', 'south', 'east']) {
     for (let index = 0; index < 8; index++) {
@@ -90,7 +90,7 @@
   world.runFor(500);
   const flows = Array.from({ length: 90 }, () => world.openFlow(MAP_DESTINATION, 40, 100));
   world.runFor(500);
-  world.store.restore('north');
+  world.store.cancelEvacuation('north');
   world.runFor(500);
   const heal = cutZones(world, 'north', 'south');
   world.runFor(1_000);
