--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -6,7 +6,7 @@
   ModelFlag,
   modelPacketFormat,
 } from '../src/simulation/packets/model-packet-format';
-import { PacketWorld } from '../src/simulation/packets/packet-world';
+import { PacketSimulation } from '../src/simulation/packets/packet-simulation';
 import {
   MAP_DESTINATION,
   openModelFlows,
@@ -100,20 +100,20 @@
   t.deepEqual(harness.sent, []);
 });
 
-function startWorld(seed: number, balancers = 3): PacketWorld {
-  const world = new PacketWorld(seed);
+function startWorld(seed: number, balancers = 3): PacketSimulation {
+  const world = new PacketSimulation(seed);
   startModelDeployment(world, balancers);
   return world;
 }
 
 /** Counts the opening packets that the targets of a zone have received so far. */
-function countOpened(world: PacketWorld, zone: string): number {
+function countOpened(world: PacketSimulation, zone: string): number {
   const agents = world.agents.filter((agent) => agent.zone === zone);
   return agents.reduce((sum, { openings }) => sum + openings.length, 0);
 }
 
 /** Opens flows for a while and counts those that went to a zone. */
-function countNewFlows(world: PacketWorld, zone: string): number {
+function countNewFlows(world: PacketSimulation, zone: string): number {
   const before = countOpened(world, zone);
   openModelFlows(world, 60, 2, 100);
   world.runFor(1_500);
@@ -128,7 +128,7 @@
   world.store.evacuate('north');
   world.runFor(300);
   t.is(countNewFlows(world, 'north'), 0);
-  world.store.restore('north');
+  world.store.cancelEvacuation('north');
   world.runFor(300);
   t.true(countNewFlows(world, 'north') > 0);
   world.runFor(15_000);
@@ -140,11 +140,11 @@
   const world = startWorld(12);
   world.store.evacuate('north');
   world.runFor(2);
-  world.store.restore('north');
+  world.store.cancelEvacuation('north');
   world.runFor(400);
   world.store.evacuate('south');
   world.runFor(3);
-  world.store.restore('south');
+  world.store.cancelEvacuation('south');
   world.store.evacuate('south');
   world.runFor(600);
   t.true(countNewFlows(world, 'north') > 0);
@@ -167,7 +167,7 @@
 
 test('balancers that the store refuses learn of an evacuation from peers in time', (t) => {
   const world = startWorld(14, 14);
-  world.balancers.slice(0, 5).forEach(({ name }) => world.store.refused.add(name));
+  world.balancers.slice(0, 5).forEach(({ name }) => world.store.refusedProcesses.add(name));
   world.runFor(4_000);
   world.store.evacuate('north');
   world.runFor(EVACUATE_TIME_MS - 500);
@@ -204,7 +204,7 @@
   const world = startWorld(17);
   world.store.evacuate('north');
   world.runFor(500);
-  world.losePower(800);
+  world.restartAll(800);
   const before = countOpened(world, 'north');
   for (let round = 0; round < 30; round++) {
     openModelFlows(world, 4, 1, 50);
@@ -217,7 +217,7 @@
 test('agents refuse flows of a balancer that does not know of the evacuation', (t) => {
   const world = startWorld(18);
   const [stale, ...others] = world.balancers;
-  world.store.refused.add(stale!.name);
+  world.store.refusedProcesses.add(stale!.name);
   for (const { name } of others) {
     world.network.cut({ from: name, to: stale!.name });
   }
