--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -377,7 +377,9 @@
     this.directory.claimMissing();
     this.directory.checkMisplacedBuckets();
     const { environment } = this.dependencies;
-    this.heartbeatTimer = environment.startTimer(HEARTBEAT_INTERVAL_MS, () => this.runPeriodicTasks());
+    this.heartbeatTimer = environment.startTimer(HEARTBEAT_INTERVAL_MS, () =>
+      this.runPeriodicTasks(),
+    );
   }
 
   private endIdleFlows(): void {
@@ -407,11 +409,16 @@
       this.sendHello(balancer);
     }
     const interval = this.membership.table ? HELLO_INTERVAL_MS : FIRST_HELLO_INTERVAL_MS;
-    this.helloTimer = this.dependencies.environment.startTimer(interval, () => this.sendPeriodicHello());
+    this.helloTimer = this.dependencies.environment.startTimer(interval, () =>
+      this.sendPeriodicHello(),
+    );
   }
 
   private sendPromptedHello(balancer: Endpoint): void {
-    if (this.dependencies.environment.now() - this.lastHelloAt >= MINIMUM_PROMPTED_HELLO_INTERVAL_MS) {
+    if (
+      this.dependencies.environment.now() - this.lastHelloAt >=
+      MINIMUM_PROMPTED_HELLO_INTERVAL_MS
+    ) {
       this.sendHello(balancer);
     }
   }
--- a/src/agent/backend-requests.ts
+++ b/src/agent/backend-requests.ts
@@ -264,7 +264,9 @@
     const observation = this.observations.get(token);
     if (observation) {
       this.observations.delete(token);
-      this.observationKeys.delete(formatObservationKey(observation.caller, observation.callerToken));
+      this.observationKeys.delete(
+        formatObservationKey(observation.caller, observation.callerToken),
+      );
     }
   }
 
--- a/src/agent/balancer-contacts.ts
+++ b/src/agent/balancer-contacts.ts
@@ -54,7 +54,9 @@
 
   private isFresh(balancer: Endpoint): boolean {
     const contactAt = this.lastContactAt.get(balancer);
-    return contactAt !== undefined && this.context.environment.now() - contactAt <= BALANCER_FRESHNESS_MS;
+    return (
+      contactAt !== undefined && this.context.environment.now() - contactAt <= BALANCER_FRESHNESS_MS
+    );
   }
 
   private evictOldest(): void {
--- a/src/agent/bucket-directory.ts
+++ b/src/agent/bucket-directory.ts
@@ -145,7 +145,10 @@
 
   /** Computes the owners anew and claims what this agent now should own. */
   reconcile(): void {
-    this.owners = computeOwners(this.context.settings.service, this.membership.listEligibleTargets());
+    this.owners = computeOwners(
+      this.context.settings.service,
+      this.membership.listEligibleTargets(),
+    );
     this.distinctOwnerCount = Math.max(1, new Set(this.owners).size);
     this.claimMissing();
   }
@@ -256,7 +259,13 @@
     const { hosts, bytes } = packEntries(all);
     const sentAnswers = [...this.sentAnswers.values()];
     const { nextClaimId } = this;
-    return { owned: this.getOwnedBuckets().encode(), hosts, entries: bytes, nextClaimId, sentAnswers };
+    return {
+      owned: this.getOwnedBuckets().encode(),
+      hosts,
+      entries: bytes,
+      nextClaimId,
+      sentAnswers,
+    };
   }
 
   importState(state: BucketDirectoryState): void {
@@ -446,7 +455,9 @@
 
   private listEntries(buckets: BucketSet): FlowEntry[] {
     const own = this.context.settings.target;
-    const hostedEntries = this.hostedFlows.listCallersIn(buckets).map((caller) => ({ caller, host: own }));
+    const hostedEntries = this.hostedFlows
+      .listCallersIn(buckets)
+      .map((caller) => ({ caller, host: own }));
     const known: FlowEntry[] = [];
     for (const bucket of buckets.listBuckets()) {
       this.entries.get(bucket)?.forEach((host, caller) => {
--- a/src/agent/flow-router.ts
+++ b/src/agent/flow-router.ts
@@ -223,6 +223,10 @@
 
   private refuse(message: ForwardMessage): void {
     this.context.environment.report(Events.flowRefused, {});
-    this.sink.refuse(message.caller, this.contacts.selectForReply(message.balancer), message.payload);
+    this.sink.refuse(
+      message.caller,
+      this.contacts.selectForReply(message.balancer),
+      message.payload,
+    );
   }
 }
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -427,7 +427,9 @@
     }
     const agreeing = [...this.peers.values()].filter(
       (peer) =>
-        peer.row !== undefined && !this.isUnresponsive(peer) && peer.unheard.includes(subject.target),
+        peer.row !== undefined &&
+        !this.isUnresponsive(peer) &&
+        peer.unheard.includes(subject.target),
     );
     const own = this.ownRow ? 1 : 0;
     return agreeing.length + own >= computeQuorum(voters);
--- a/src/agent/request-guard.ts
+++ b/src/agent/request-guard.ts
@@ -185,7 +185,9 @@
         respond(createUnknownOutcome());
         break;
       case 'foreign':
-        this.queries.queryIssuer(verdict.permit, (burnt) => respond(burnt ? createRefusal() : createUnknownOutcome()));
+        this.queries.queryIssuer(verdict.permit, (burnt) =>
+          respond(burnt ? createRefusal() : createUnknownOutcome()),
+        );
         break;
       case 'running':
         break;
@@ -265,7 +267,10 @@
 
   private storeExchange(exchange: RequestExchange): void {
     const known = this.exchanges.get(exchange.caller);
-    const callerExchanges: CallerExchanges = known ?? { byMessageId: new Map(), unanswered: new Set() };
+    const callerExchanges: CallerExchanges = known ?? {
+      byMessageId: new Map(),
+      unanswered: new Set(),
+    };
     // Set anew, so that the order of the map is the order in which answers are forgotten.
     callerExchanges.byMessageId.delete(exchange.messageId);
     callerExchanges.byMessageId.set(exchange.messageId, exchange);
--- a/src/balancer/balancer-membership.ts
+++ b/src/balancer/balancer-membership.ts
@@ -165,7 +165,9 @@
     this.applyGossip(message, from);
     const sequence = this.allocateSequence();
     this.relayedProbes.set(sequence, { requester: from, sequence: message.sequence });
-    this.context.environment.startTimer(PROBE_INTERVAL_MS, () => this.relayedProbes.delete(sequence));
+    this.context.environment.startTimer(PROBE_INTERVAL_MS, () =>
+      this.relayedProbes.delete(sequence),
+    );
     this.context.send(message.subject, { type: MessageType.ping, ...this.createGossip(sequence) });
   }
 
@@ -310,7 +312,8 @@
   }
 
   private createGossip(sequence: number): GossipFields {
-    const maximumTransmissions = TRANSMISSION_MULTIPLIER * Math.ceil(Math.log2(this.memberList.liveCount + 2));
+    const maximumTransmissions =
+      TRANSMISSION_MULTIPLIER * Math.ceil(Math.log2(this.memberList.liveCount + 2));
     return {
       sequence,
       sender: this.ownRecord,
@@ -350,7 +353,8 @@
   }
 
   private refute(record: MemberRecord): void {
-    const isContradicted = record.state !== MemberState.alive && record.state !== this.ownRecord.state;
+    const isContradicted =
+      record.state !== MemberState.alive && record.state !== this.ownRecord.state;
     if (isContradicted && record.incarnation >= this.ownRecord.incarnation) {
       this.ownRecord = { ...this.ownRecord, incarnation: record.incarnation + 1 };
       this.memberUpdates.add(this.ownRecord.name, this.ownRecord);
@@ -372,7 +376,10 @@
     });
   }
 
-  private reportStateChange(record: MemberRecord, previousState: MemberStateValue | undefined): void {
+  private reportStateChange(
+    record: MemberRecord,
+    previousState: MemberStateValue | undefined,
+  ): void {
     const event = MEMBER_EVENTS[record.state];
     if (record.state !== previousState) {
       this.context.environment.report(event, { member: record.name, zone: record.zone });
--- a/src/balancer/balancer-node.ts
+++ b/src/balancer/balancer-node.ts
@@ -310,7 +310,11 @@
       : new DirectoryRouting(service, this.targetStates, this.cacheBudget);
   }
 
-  private distributeTable(table: ServiceTable, copies: number, done: (confirmed: number) => void): void {
+  private distributeTable(
+    table: ServiceTable,
+    copies: number,
+    done: (confirmed: number) => void,
+  ): void {
     const { revision } = table;
     const delta = { fromRevision: revision, throughRevision: revision, tables: [table] };
     this.distribution.applyAndPush(delta, undefined);
@@ -319,7 +323,9 @@
 
   /** Tells the agents on leaving machines, as the machine list has them. */
   private notifyLeavingMachines(machines: readonly MachineRecord[]): void {
-    const leavingAddresses = new Set(machines.filter((one) => one.leaving).map((one) => one.address));
+    const leavingAddresses = new Set(
+      machines.filter((one) => one.leaving).map((one) => one.address),
+    );
     if (leavingAddresses.size === 0) {
       return;
     }
--- a/src/balancer/flow-routing.ts
+++ b/src/balancer/flow-routing.ts
@@ -76,7 +76,9 @@
   private computeBucketOwners(): readonly (FlowHost | undefined)[] {
     const rows = this.table?.rows ?? [];
     const withShare = rows.filter((row) => row.share > 0);
-    const serving = withShare.filter((row) => this.targetStates.isServing(this.service, row.target));
+    const serving = withShare.filter((row) =>
+      this.targetStates.isServing(this.service, row.target),
+    );
     const eligible = serving.length > 0 ? serving : withShare.length > 0 ? withShare : rows;
     const endpoints = new Map(eligible.map((row) => [row.target, row.address]));
     const ownerNames = computeOwners(this.service, [...endpoints.keys()].sort());
--- a/src/balancer/table-acceptance.ts
+++ b/src/balancer/table-acceptance.ts
@@ -91,7 +91,9 @@
     const startedAt = this.context.environment.now();
     const pending: PendingEdit = { edit, startedAt, callback: callback, isAnswered: false };
     this.recordStatus(edit.writeId, { state: 'pending' });
-    this.context.environment.startTimer(UNKNOWN_OUTCOME_DELAY_MS, () => this.reportUnknownOutcome(pending));
+    this.context.environment.startTimer(UNKNOWN_OUTCOME_DELAY_MS, () =>
+      this.reportUnknownOutcome(pending),
+    );
     this.write(pending);
   }
 
--- a/src/balancer/table-distribution.ts
+++ b/src/balancer/table-distribution.ts
@@ -160,7 +160,9 @@
     for (const member of this.selectReplicas(pending)) {
       this.pushTo(member.endpoint, pending.delta, id);
     }
-    this.context.environment.startTimer(CONFIRM_RETRY_INTERVAL_MS, () => this.pushUntilConfirmed(id, pending));
+    this.context.environment.startTimer(CONFIRM_RETRY_INTERVAL_MS, () =>
+      this.pushUntilConfirmed(id, pending),
+    );
   }
 
   private selectReplicas(pending: PendingReplication): MemberRecord[] {
--- a/src/bench/datapath.ts
+++ b/src/bench/datapath.ts
@@ -171,7 +171,10 @@
       },
     ];
     const tables = [{ service: SERVICE, revision: 1, writeId: 'bench', rows }];
-    this.balancer.distribution.applyAndPush({ fromRevision: 0, throughRevision: 1, tables }, undefined);
+    this.balancer.distribution.applyAndPush(
+      { fromRevision: 0, throughRevision: 1, tables },
+      undefined,
+    );
   }
 }
 
--- a/src/cli/demo-command.ts
+++ b/src/cli/demo-command.ts
@@ -119,7 +119,10 @@
     );
   }
 
-  private createResult(embedded: EmbeddedDeployment, imbalance: Record<string, number>): DemoResult {
+  private createResult(
+    embedded: EmbeddedDeployment,
+    imbalance: Record<string, number>,
+  ): DemoResult {
     const { statistics, record } = embedded;
     return {
       deployment: this.deployment,
@@ -187,7 +190,10 @@
   return (rows) => rows.map((row) => (row.target === target ? { ...row, share } : row));
 }
 
-function createPlannedChanges(embedded: EmbeddedDeployment, deployment: Deployment): PlannedChange[] {
+function createPlannedChanges(
+  embedded: EmbeddedDeployment,
+  deployment: Deployment,
+): PlannedChange[] {
   const service = deployment.services[0]!.name;
   const lastBalancer = embedded.runningBalancers().at(-1)!;
   return [
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -30,10 +30,15 @@
     try {
       text = this.readLogs();
     } catch (error) {
-      return printError(this.context, createFailure(ResultCodes.logUnreadable, getErrorMessage(error)).val);
+      return printError(
+        this.context,
+        createFailure(ResultCodes.logUnreadable, getErrorMessage(error)).val,
+      );
     }
     const explanation = explain(parseLog(text), this.id);
-    this.context.stdout.write(this.json ? `${JSON.stringify(explanation)}\n` : formatExplanation(explanation));
+    this.context.stdout.write(
+      this.json ? `${JSON.stringify(explanation)}\n` : formatExplanation(explanation),
+    );
     return explanation.client === undefined ? 1 : 0;
   }
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -65,7 +65,9 @@
     binaryVersion: VERSION,
   });
   const commands = await loadCommands(commandLine[0]);
-  [Builtins.HelpCommand, Builtins.VersionCommand, ...commands].forEach((command) => cli.register(command));
+  [Builtins.HelpCommand, Builtins.VersionCommand, ...commands].forEach((command) =>
+    cli.register(command),
+  );
   await cli.runExit(commandLine);
 }
 
--- a/src/cli/process-runner.ts
+++ b/src/cli/process-runner.ts
@@ -48,7 +48,10 @@
 }
 
 /** Takes the keys of freshly loaded settings, or keeps those in use when they are wrong. */
-export function applyReloadedKeys<S>(running: KeyedProcess<S>, loaded: Result<S, HallholdError>): void {
+export function applyReloadedKeys<S>(
+  running: KeyedProcess<S>,
+  loaded: Result<S, HallholdError>,
+): void {
   if (loaded.ok) {
     running.replaceKeys(loaded.val);
   } else {
--- a/src/cli/standin-commands.ts
+++ b/src/cli/standin-commands.ts
@@ -95,10 +95,12 @@
     const backend = new BackendStandin(options, environment, record, (to, datagram) =>
       socket.send(to, datagram),
     );
-    const bound = await UdpSocket.bindEndpoint(parseEndpointOrThrow(this.listen), (datagram, from) =>
-      this.protocol === 'coap'
-        ? backend.receive(datagram, from)
-        : backend.receiveDatagram(datagram, from),
+    const bound = await UdpSocket.bindEndpoint(
+      parseEndpointOrThrow(this.listen),
+      (datagram, from) =>
+        this.protocol === 'coap'
+          ? backend.receive(datagram, from)
+          : backend.receiveDatagram(datagram, from),
     );
     if (bound.err) {
       throw bound.val;
@@ -143,7 +145,12 @@
   async execute(): Promise<number> {
     try {
       const environment = createStandinEnvironment();
-      const fleet = new CallerFleet(environment, parseEndpointOrThrow(this.to), this.service, this.name);
+      const fleet = new CallerFleet(
+        environment,
+        parseEndpointOrThrow(this.to),
+        this.service,
+        this.name,
+      );
       const { feeds, reporters, transfers, datagrams, tileBytes } = this;
       await fleet.start({ feeds, reporters, transfers, datagrams, tileBytes });
       await new Promise((resolve) => setTimeout(resolve, this.seconds * 1_000));
@@ -176,7 +183,9 @@
   async execute(): Promise<number> {
     return runUntilSignal(this.context, async () => {
       const parts = this.balancers.map((text) => text.split('='));
-      const balancers = new Map(parts.map(([address]) => [address!, parseEndpointOrThrow(address!)]));
+      const balancers = new Map(
+        parts.map(([address]) => [address!, parseEndpointOrThrow(address!)]),
+      );
       const healthUrls = new Map(
         parts.flatMap(([address, url]) => (url ? [[address!, url] as const] : [])),
       );
--- a/src/cli/table-commands.ts
+++ b/src/cli/table-commands.ts
@@ -6,7 +6,12 @@
 import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import { OperatorClient } from '../operator/operator-client';
-import { formatCsvTable, parseCsvTable, createRowViews, type ServiceRows } from '../operator/table-rows';
+import {
+  formatCsvTable,
+  parseCsvTable,
+  createRowViews,
+  type ServiceRows,
+} from '../operator/table-rows';
 import { ExitCode, printError, printJson, printTable } from './output';
 
 const API_DESCRIPTION = "URL of a balancer's admin address";
--- a/src/core/endpoint.ts
+++ b/src/core/endpoint.ts
@@ -31,7 +31,10 @@
   const port = numbers[4] ?? PORT_RANGE;
   const octetsValid = numbers.slice(0, 4).every((octet) => octet < OCTET_RANGE);
   if (!parts || !octetsValid || port >= PORT_RANGE) {
-    return createFailure(ResultCodes.addressInvalid, `"${text}" is not an IPv4 address with a port`);
+    return createFailure(
+      ResultCodes.addressInvalid,
+      `"${text}" is not an IPv4 address with a port`,
+    );
   }
   return new Ok(packEndpoint(parts.slice(1, 5).join('.'), port));
 }
--- a/src/explain/explanation.ts
+++ b/src/explain/explanation.ts
@@ -33,7 +33,10 @@
 }
 
 /** Changes of belief at the processes and agents that the flow's records name. */
-function findRelatedRecords(records: readonly LogRecord[], flowRecords: readonly LogRecord[]): LogRecord[] {
+function findRelatedRecords(
+  records: readonly LogRecord[],
+  flowRecords: readonly LogRecord[],
+): LogRecord[] {
   const first = Math.min(...flowRecords.map(({ time }) => time)) - RELATED_RECORDS_MARGIN_MS;
   const last = Math.max(...flowRecords.map(({ time }) => time)) + RELATED_RECORDS_MARGIN_MS;
   const sources = new Set(flowRecords.map(({ source }) => source));
--- a/src/logging/event-log.ts
+++ b/src/logging/event-log.ts
@@ -53,7 +53,11 @@
     const { suppressed } = window;
     window.suppressed = 0;
     const suppressedField = suppressed > 0 ? { suppressed } : {};
-    this.logger.log(event.level, event.name, { event: event.number, ...fields, ...suppressedField });
+    this.logger.log(event.level, event.name, {
+      event: event.number,
+      ...fields,
+      ...suppressedField,
+    });
   }
 
   private getCurrentWindow(event: EventKind): RateWindow {
--- a/src/operator/operator-client.ts
+++ b/src/operator/operator-client.ts
@@ -84,7 +84,10 @@
         ? new Ok(answer as T)
         : new Err(createApiError(response.statusCode, answer));
     } catch (error) {
-      return createFailure(ResultCodes.operatorApiUnreachable, `${this.url}: ${getErrorMessage(error)}`);
+      return createFailure(
+        ResultCodes.operatorApiUnreachable,
+        `${this.url}: ${getErrorMessage(error)}`,
+      );
     }
   }
 }
--- a/src/operator/table-rows.ts
+++ b/src/operator/table-rows.ts
@@ -103,7 +103,11 @@
     services.set(service, [...(services.get(service) ?? []), row]);
   });
   if (problems.length > 0) {
-    return createFailure(ResultCodes.tableInvalid, `the table has ${problems.length} errors`, problems);
+    return createFailure(
+      ResultCodes.tableInvalid,
+      `the table has ${problems.length} errors`,
+      problems,
+    );
   }
   return new Ok([...services].map(([service, rows]) => ({ service, rows })));
 }
@@ -118,7 +122,9 @@
       const detail = `line 1: the columns must be ${COLUMNS.join(',')}`;
       return createFailure(ResultCodes.tableInvalid, 'the header is wrong', [detail]);
     }
-    const values = rows.map((row) => Object.fromEntries(COLUMNS.map((key, column) => [key, row[column]])));
+    const values = rows.map((row) =>
+      Object.fromEntries(COLUMNS.map((key, column) => [key, row[column]])),
+    );
     return checkRows(values, (index) => `line ${index + FIRST_DATA_LINE}`);
   } catch (error) {
     return new Err(new HallholdError(ResultCodes.tableInvalid, getErrorMessage(error)));
@@ -131,5 +137,7 @@
 }
 
 function describeIssues(error: z.ZodError, location: string): string[] {
-  return error.issues.map((issue) => `${location}, column ${issue.path.join('.')}: ${issue.message}`);
+  return error.issues.map(
+    (issue) => `${location}, column ${issue.path.join('.')}: ${issue.message}`,
+  );
 }
--- a/src/operator/tables-controller.ts
+++ b/src/operator/tables-controller.ts
@@ -65,9 +65,14 @@
   writeStatus(@Param('writeId') writeId: string): unknown {
     const status = this.balancer.acceptance.getStatus(writeId);
     if (!status) {
-      throw createHttpException(ResultCodes.tableUnknownService, `no write ${writeId} at this balancer`);
+      throw createHttpException(
+        ResultCodes.tableUnknownService,
+        `no write ${writeId} at this balancer`,
+      );
     }
-    return status.state === 'refused' ? { ...status, error: createErrorView(status.error) } : status;
+    return status.state === 'refused'
+      ? { ...status, error: createErrorView(status.error) }
+      : status;
   }
 
   /** Replaces a service's rows; answers when accepted, refused, or not yet known. */
--- a/src/packets/packet-message-schema.ts
+++ b/src/packets/packet-message-schema.ts
@@ -179,7 +179,10 @@
 
 /** Fields of every message type that is sent as a BSON document. */
 export const PACKET_MESSAGE_FIELDS: MessageSchema = new Map<number, readonly FieldCodec[]>([
-  [PacketMessageType.deliver, [searchId, field('services', 's', createListUnpacker(unpackText)), payload]],
+  [
+    PacketMessageType.deliver,
+    [searchId, field('services', 's', createListUnpacker(unpackText)), payload],
+  ],
   [
     PacketMessageType.notHeld,
     [searchId, field('reason', 'r', createEnumUnpacker(...Object.values(RefusalReason))), payload],
--- a/src/packets/packet-settings.ts
+++ b/src/packets/packet-settings.ts
@@ -219,14 +219,21 @@
   document: unknown,
 ): Result<PacketSettings, HallholdError> {
   if (typeof document !== 'object' || document === null) {
-    return createFailure(ResultCodes.settingsInvalid, `${source} does not contain a settings object`);
+    return createFailure(
+      ResultCodes.settingsInvalid,
+      `${source} does not contain a settings object`,
+    );
   }
   const reader = new SettingsReader(document as Record<string, unknown>);
   const settings = readSettings(reader);
   const { problems } = reader;
   return problems.length === 0
     ? new Ok(settings)
-    : createFailure(ResultCodes.settingsInvalid, `${source} has ${problems.length} wrong keys`, problems);
+    : createFailure(
+        ResultCodes.settingsInvalid,
+        `${source} has ${problems.length} wrong keys`,
+        problems,
+      );
 }
 
 function readSettings(reader: SettingsReader): PacketSettings {
--- a/src/packets/peer-snapshot.ts
+++ b/src/packets/peer-snapshot.ts
@@ -10,7 +10,15 @@
 import { Ok, type Result } from 'ts-results';
 import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
-import { FieldError, unpackInteger, createListUnpacker, createEnumUnpacker, unpackNonNegativeNumber, unpackText, unpackTuple } from '../wire/field-codecs';
+import {
+  FieldError,
+  unpackInteger,
+  createListUnpacker,
+  createEnumUnpacker,
+  unpackNonNegativeNumber,
+  unpackText,
+  unpackTuple,
+} from '../wire/field-codecs';
 import {
   packServiceProfiles,
   packListedAgents,
--- a/src/packets/terms/packed-terms.ts
+++ b/src/packets/terms/packed-terms.ts
@@ -2,7 +2,13 @@
  * Encodes route terms for other balancers: each distinct set once, and for each route the 1-based
  * index of its set, or 0 for none. Most routes of a large table share one set.
  */
-import { FieldError, unpackInteger, createListUnpacker, unpackNonNegativeNumber, unpackTuple } from '../../wire/field-codecs';
+import {
+  FieldError,
+  unpackInteger,
+  createListUnpacker,
+  unpackNonNegativeNumber,
+  unpackTuple,
+} from '../../wire/field-codecs';
 import type { Route } from '../routing-table';
 import { checkTerms, hasSameTerms, type RouteTerms } from './route-terms';
 
--- a/src/runtime/agent-handover.ts
+++ b/src/runtime/agent-handover.ts
@@ -153,7 +153,10 @@
       reject(new HallholdError(ResultCodes.handoverFailed, reason));
     };
     const socket = connect(getEndpointPort(address), getEndpointAddress(address));
-    const timer = setTimeout(() => fail('the predecessor did not finish in time'), HANDOVER_TIMEOUT_MS);
+    const timer = setTimeout(
+      () => fail('the predecessor did not finish in time'),
+      HANDOVER_TIMEOUT_MS,
+    );
     const queued: ForwardedDatagram[] = [];
     let isActive = false;
     socket.on('error', (error) => fail(getErrorMessage(error)));
--- a/src/runtime/backend-sockets.ts
+++ b/src/runtime/backend-sockets.ts
@@ -52,7 +52,10 @@
     const flowPorts = [...this.flowSockets].flatMap(([caller, { socket }]) =>
       socket ? [{ caller, port: getEndpointPort(socket.endpoint) }] : [],
     );
-    return { sharedPort: this.sharedSocket ? getEndpointPort(this.sharedSocket.endpoint) : 0, flowPorts };
+    return {
+      sharedPort: this.sharedSocket ? getEndpointPort(this.sharedSocket.endpoint) : 0,
+      flowPorts,
+    };
   }
 
   sendMessage(message: Buffer): void {
--- a/src/runtime/balancer-process.ts
+++ b/src/runtime/balancer-process.ts
@@ -53,7 +53,8 @@
       store,
       transport: { send: (to, frame) => frames.val.send(to, frame) },
       callers: {
-        send: (service, caller, payload) => process.serviceSockets.get(service)?.send(caller, payload),
+        send: (service, caller, payload) =>
+          process.serviceSockets.get(service)?.send(caller, payload),
       },
     });
     const process = new BalancerProcess(
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -89,7 +89,9 @@
     const environment = new RealEnvironment(log);
     const started: { process?: PacketBalancerProcess } = {};
     const packetAddress = requireSetting(settings.packetAddress, 'packetAddress');
-    const clients = await bindSocket(packetAddress, (bytes) => started.process?.handleClientDatagram(bytes));
+    const clients = await bindSocket(packetAddress, (bytes) =>
+      started.process?.handleClientDatagram(bytes),
+    );
     const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
@@ -171,7 +173,9 @@
     const target = requireSetting(settings.targetAddress, 'targetAddress');
     const outbound = requireSetting(settings.targetOutbound, 'targetOutbound');
     const service = requireSetting(settings.service, 'service');
-    const packets = await bindSocket(outbound, (bytes) => started.process?.handleTargetDatagram(bytes));
+    const packets = await bindSocket(outbound, (bytes) =>
+      started.process?.handleTargetDatagram(bytes),
+    );
     const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
--- a/src/runtime/target-probe.ts
+++ b/src/runtime/target-probe.ts
@@ -26,6 +26,8 @@
     connection.on('connect', () => end(false));
     // A process that was held up sees its timer before the answer that has come meanwhile.
     connection.on('timeout', () => setImmediate(() => end(false)));
-    connection.on('error', (error: NodeJS.ErrnoException) => end(error.code === CONNECTION_REFUSED));
+    connection.on('error', (error: NodeJS.ErrnoException) =>
+      end(error.code === CONNECTION_REFUSED),
+    );
   }
 }
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -49,7 +49,9 @@
   ...commonSettings,
   peers: z.array(endpointSchema).default([]),
   store: z.url({ protocol: /^https?$/ }),
-  services: z.array(z.strictObject({ name: nameSchema, protocol: protocolSchema, listen: endpointSchema })).min(1),
+  services: z
+    .array(z.strictObject({ name: nameSchema, protocol: protocolSchema, listen: endpointSchema }))
+    .min(1),
   learntFlows: z.number().int().min(1_000).default(100_000),
   quietSeconds: z.number().min(0).max(600).default(2),
 });
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -378,7 +378,9 @@
   }
 
   private pickBalancer(): SimulatedBalancer | undefined {
-    const usable = this.simulation.listRunningBalancers().filter((one) => !one.isStopping && one.node.isReady);
+    const usable = this.simulation
+      .listRunningBalancers()
+      .filter((one) => !one.isStopping && one.node.isReady);
     return usable.length > 1 ? this.simulation.random.pick(usable) : undefined;
   }
 
@@ -396,7 +398,9 @@
 const MACHINE_LIST_REACTION_TIME_MS = 5_500;
 const STORE_CHECK_INTERVAL_MS = 100;
 
-const FAULT_ACTIONS: Readonly<Record<FaultName, (faults: FaultInjector, duration: number) => void>> = {
+const FAULT_ACTIONS: Readonly<
+  Record<FaultName, (faults: FaultInjector, duration: number) => void>
+> = {
   'balancer-kill': (faults, duration) => faults.killBalancer(duration),
   'balancer-freeze': (faults, duration) => faults.freezeBalancer(duration),
   'balancer-planned-restart': (faults, duration) => faults.restartBalancerGracefully(duration),
--- a/src/simulation/packets/model-client.ts
+++ b/src/simulation/packets/model-client.ts
@@ -142,7 +142,12 @@
     });
   }
 
-  private sendPacket(flags: number, sequence: number, acknowledgement: number, payload: string): void {
+  private sendPacket(
+    flags: number,
+    sequence: number,
+    acknowledgement: number,
+    payload: string,
+  ): void {
     const { client, destination } = this.plan;
     const fields = { client, destination, flags, sequence, acknowledgement, payload };
     this.send(encodeModelPacket(fields));
--- a/src/simulation/packets/model-store.ts
+++ b/src/simulation/packets/model-store.ts
@@ -168,7 +168,10 @@
     };
   }
 
-  private createPort<T>(collection: ModelCollection<T>, process: SimulatedProcess): CollectionPort<T> {
+  private createPort<T>(
+    collection: ModelCollection<T>,
+    process: SimulatedProcess,
+  ): CollectionPort<T> {
     return {
       list: (answer: ResultCallback<Listing<T>>) =>
         this.call(process, answer, () => {
@@ -224,11 +227,19 @@
   }
 
   /** Whether the history after a moment is not to be had. */
-  private isHistoryUnavailable<T>({ oldestRevision: oldest }: ModelCollection<T>, { era, revision }: StorePosition): boolean {
+  private isHistoryUnavailable<T>(
+    { oldestRevision: oldest }: ModelCollection<T>,
+    { era, revision }: StorePosition,
+  ): boolean {
     return era !== this.era || revision < oldest || revision > this.revision;
   }
 
-  private applyChange<T>(collection: ModelCollection<T>, name: string, item: T, removed: boolean): void {
+  private applyChange<T>(
+    collection: ModelCollection<T>,
+    name: string,
+    item: T,
+    removed: boolean,
+  ): void {
     const change: Change<T> = { name, revision: ++this.revision, item, removed };
     if (removed) {
       collection.items.delete(name);
--- a/src/simulation/packets/packet-simulation.ts
+++ b/src/simulation/packets/packet-simulation.ts
@@ -23,7 +23,11 @@
 import { modelPacketFormat } from './model-packet-format';
 import { ModelStore } from './model-store';
 import { ModelTarget } from './model-target';
-import { PacketInvariantChecker, type FlowHolder, type InvariantViolations } from './packet-invariant-checker';
+import {
+  PacketInvariantChecker,
+  type FlowHolder,
+  type InvariantViolations,
+} from './packet-invariant-checker';
 
 const FRAME_PORT = 7_000;
 const PACKET_PORT = 7_001;
@@ -304,7 +308,8 @@
       output,
       {
         onFlowOpened: (by, packet) => this.handleFlowOpened(by, agent, packet.client),
-        onRequestStarted: (by, request) => this.checker.checkRequest(by, request, this.findClient(request)),
+        onRequestStarted: (by, request) =>
+          this.checker.checkRequest(by, request, this.findClient(request)),
       },
     );
     target.coldUntil = this.clock.now + this.coldTime;
@@ -382,7 +387,9 @@
     if (agent.heartbeats) {
       this.sendHeartbeat(agent, target, sequence);
     }
-    this.clock.schedule(HEARTBEAT_INTERVAL_MS, () => this.runHeartbeats(agent, target, sequence + 1));
+    this.clock.schedule(HEARTBEAT_INTERVAL_MS, () =>
+      this.runHeartbeats(agent, target, sequence + 1),
+    );
   }
 
   private sendHeartbeat(agent: PacketSimulationAgent, target: ModelTarget, sequence: number): void {
@@ -410,7 +417,11 @@
     return holder && { target: holder.target, processes: [holder.name, ...processes] };
   }
 
-  private handleFlowOpened(target: ModelTarget, agent: PacketSimulationAgent, from: Endpoint): void {
+  private handleFlowOpened(
+    target: ModelTarget,
+    agent: PacketSimulationAgent,
+    from: Endpoint,
+  ): void {
     const client = this.clients.find(({ plan }) => plan.client === from);
     if (client) {
       const processes = [agent.name, ...this.balancers.map(({ name }) => name)];
--- a/src/simulation/packets/random-faults.ts
+++ b/src/simulation/packets/random-faults.ts
@@ -1,7 +1,11 @@
 /** Random faults in a {@link PacketSimulation}: the scenario of the soak on the packet interface. */
 import { packEndpoint } from '../../core/endpoint';
 import type { Endpoint } from '../../environment';
-import { PacketSimulation, type PacketSimulationAgent, type PacketSimulationBalancer } from './packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+  type PacketSimulationBalancer,
+} from './packet-simulation';
 
 /** Destination of the map service's route. */
 export const MAP_DESTINATION = packEndpoint('198.18.0.1', 8_443);
--- a/src/simulation/scenarios.ts
+++ b/src/simulation/scenarios.ts
@@ -46,7 +46,12 @@
   };
 }
 
-const QUIET: Scenario = { name: 'quiet', description: 'no fault', length: SCENARIO_LENGTH_MS, drawSchedule: () => [] };
+const QUIET: Scenario = {
+  name: 'quiet',
+  description: 'no fault',
+  length: SCENARIO_LENGTH_MS,
+  drawSchedule: () => [],
+};
 
 const PLANNED: Scenario = {
   name: 'planned',
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -11,7 +11,12 @@
   TableWrite,
   WatchHandle,
 } from '../table-store/store-port';
-import { tableResource, createTableResource, convertToStoredTable, convertToTable } from '../table-store/store-resources';
+import {
+  tableResource,
+  createTableResource,
+  convertToStoredTable,
+  convertToTable,
+} from '../table-store/store-resources';
 import { ObjectStore, type StoredObject, type StoreEvent } from '../standins/object-store';
 import type { SeededRandom } from './seeded-random';
 import type { SimulatedProcess } from './simulated-process';
@@ -114,7 +119,8 @@
       this.timeOut(process, answer);
       return;
     }
-    const delay = this.delay() + (isAnswerLost ? this.random.next() * MAXIMUM_LATE_WRITE_DELAY_MS : 0);
+    const delay =
+      this.delay() + (isAnswerLost ? this.random.next() * MAXIMUM_LATE_WRITE_DELAY_MS : 0);
     if (isAnswerLost || delay > CALL_TIMEOUT_MS) {
       this.timeOut(process, answer);
       this.clock.schedule(delay, () => this.apply(write, expected));
--- a/src/simulation/simulation-monitor.ts
+++ b/src/simulation/simulation-monitor.ts
@@ -145,7 +145,13 @@
 
   recordTableAccepted(service: string, revision: number, rows: readonly TableRow[]): void {
     const acceptedAt = this.simulation.clock.now;
-    this.acceptedTables.push({ service, revision, acceptedAt, isChecked: false, propagationTime: undefined });
+    this.acceptedTables.push({
+      service,
+      revision,
+      acceptedAt,
+      isChecked: false,
+      propagationTime: undefined,
+    });
     for (const target of this.simulation.listTargets(service)) {
       const row = rows.find((one) => one.target === target.name);
       if (!row || row.share === 0) {
@@ -189,12 +195,18 @@
   runFinalChecks(): void {
     const { statistics, record } = this.simulation;
     this.checkers.recordChecks('established-flow-survives-planned-change', statistics.flowsOpened);
-    this.checkers.recordChecks('right-service-only', statistics.answersWhole + statistics.notifications);
+    this.checkers.recordChecks(
+      'right-service-only',
+      statistics.answersWhole + statistics.notifications,
+    );
     this.checkers.recordChecks('whole-answer-to-own-request', statistics.answersWhole);
     this.checkers.recordChecks('not-run-is-true', record.refusals);
     this.checkers.recordChecks('at-most-once', record.reportsRun);
     if (statistics.misdelivered > 0) {
-      this.checkers.recordViolation('right-service-only', `${statistics.misdelivered} foreign answers`);
+      this.checkers.recordViolation(
+        'right-service-only',
+        `${statistics.misdelivered} foreign answers`,
+      );
     }
     record.falselyRefused().forEach((id) => this.checkers.recordViolation('not-run-is-true', id));
     record.doubled().forEach((id) => this.checkers.recordViolation('at-most-once', id));
@@ -261,7 +273,11 @@
   private sampleImbalance(): void {
     for (const { name } of this.simulation.options.deployment.services) {
       const loads = this.listLoads(name);
-      addSample(this.imbalances, name, computeLargestOverMean(loads.map(({ flows, share }) => [flows, share])));
+      addSample(
+        this.imbalances,
+        name,
+        computeLargestOverMean(loads.map(({ flows, share }) => [flows, share])),
+      );
       addSample(
         this.busyImbalances,
         name,
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -249,7 +249,8 @@
       machine,
       this.clock,
       this.random,
-      (process, event, fields) => this.writeTrace(`${process} ${event.name} ${JSON.stringify(fields)}`),
+      (process, event, fields) =>
+        this.writeTrace(`${process} ${event.name} ${JSON.stringify(fields)}`),
     );
   }
 
--- a/src/table-store/http-store.ts
+++ b/src/table-store/http-store.ts
@@ -117,9 +117,16 @@
     }
     const revision = current.val?.table.revision ?? 0;
     if (revision !== expectedRevision) {
-      return createFailure(ResultCodes.storeConflict, `revision is ${revision}, not ${expectedRevision}`);
+      return createFailure(
+        ResultCodes.storeConflict,
+        `revision is ${revision}, not ${expectedRevision}`,
+      );
     }
-    const resource = createTableResource(write, expectedRevision, current.val?.recentWriteIds ?? []);
+    const resource = createTableResource(
+      write,
+      expectedRevision,
+      current.val?.recentWriteIds ?? [],
+    );
     const response =
       expectedRevision === 0
         ? await this.call('POST', TABLES_PATH, resource)
--- a/src/wire/message-schema.ts
+++ b/src/wire/message-schema.ts
@@ -16,7 +16,12 @@
   unpackTuple,
   type FieldCodec,
 } from './field-codecs';
-import { MessageType, type MemberRecord, type TargetNotice, type ServiceTargetNotice } from './messages';
+import {
+  MessageType,
+  type MemberRecord,
+  type TargetNotice,
+  type ServiceTargetNotice,
+} from './messages';
 
 function unpackBucketBitmap(value: unknown): Buffer {
   const bytes = unpackBinary(value);
@@ -120,12 +125,27 @@
 const sequence = field('sequence', 'q', unpackInteger);
 const haveThrough = field('haveThrough', 'h', unpackInteger);
 const sender = field('sender', 'm', unpackMember, packMember);
-const members = field('members', 'l', createListUnpacker(unpackMember), createListPacker(packMember));
-const targets = field('targets', 'g', createListUnpacker(unpackServiceNotice), createListPacker(packServiceNotice));
+const members = field(
+  'members',
+  'l',
+  createListUnpacker(unpackMember),
+  createListPacker(packMember),
+);
+const targets = field(
+  'targets',
+  'g',
+  createListUnpacker(unpackServiceNotice),
+  createListPacker(packServiceNotice),
+);
 const tables = field('tables', 'b', createListUnpacker(unpackTable), packTables);
 const state = field('state', 'a', unpackAgentState);
 const stateSequence = field('stateSequence', 'j', unpackInteger);
-const notices = field('notices', 'o', createListUnpacker(unpackNotice), createListPacker(packNotice));
+const notices = field(
+  'notices',
+  'o',
+  createListUnpacker(unpackNotice),
+  createListPacker(packNotice),
+);
 const claimId = field('claimId', 'd', unpackInteger);
 const passId = field('passId', 'd', unpackInteger);
 const beyond = field('beyond', 'b', unpackInteger);
@@ -149,7 +169,10 @@
       payload,
     ],
   ],
-  [MessageType.reply, [service, target, field('hosted', 'h', createEnumUnpacker(0, 1)), caller, payload]],
+  [
+    MessageType.reply,
+    [service, target, field('hosted', 'h', createEnumUnpacker(0, 1)), caller, payload],
+  ],
   [
     MessageType.heartbeat,
     [
@@ -170,7 +193,10 @@
       field('closed', 'x', unpackBinary),
     ],
   ],
-  [MessageType.claim, [service, target, claimId, tableRevision, field('buckets', 'b', unpackBucketBitmap)]],
+  [
+    MessageType.claim,
+    [service, target, claimId, tableRevision, field('buckets', 'b', unpackBucketBitmap)],
+  ],
   [
     MessageType.claimAnswer,
     [
@@ -185,7 +211,10 @@
     ],
   ],
   [MessageType.hello, [service, target, incarnation, state, stateSequence, tableRevision, notices]],
-  [MessageType.helloAnswer, [service, tables, field('balancers', 'l', createListUnpacker(unpackInteger)), notices]],
+  [
+    MessageType.helloAnswer,
+    [service, tables, field('balancers', 'l', createListUnpacker(unpackInteger)), notices],
+  ],
   [MessageType.tableRequest, [haveThrough]],
   [
     MessageType.tableDelta,
@@ -197,7 +226,10 @@
       field('confirmId', 'd', unpackInteger),
     ],
   ],
-  [MessageType.tableConfirm, [field('confirmId', 'd', unpackInteger), field('name', 'n', unpackText)]],
+  [
+    MessageType.tableConfirm,
+    [field('confirmId', 'd', unpackInteger), field('name', 'n', unpackText)],
+  ],
   [MessageType.ping, gossipFields],
   [MessageType.pingAnswer, gossipFields],
   [MessageType.pingRequest, [...gossipFields, field('subject', 'j', unpackInteger)]],
@@ -240,7 +272,12 @@
   ],
   [
     MessageType.permitAnswer,
-    [service, target, field('queryId', 'd', unpackInteger), field('burnt', 'a', createEnumUnpacker(0, 1))],
+    [
+      service,
+      target,
+      field('queryId', 'd', unpackInteger),
+      field('burnt', 'a', createEnumUnpacker(0, 1)),
+    ],
   ],
   [MessageType.drainNotice, [service, target]],
   [MessageType.flowEviction, [service, target, field('callers', 'x', unpackBinary)]],
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -4,7 +4,10 @@
 import { RefusalReason } from '../src/packets/packet-messages';
 import { ServiceProfileView } from '../src/packets/service-profile-view';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import {
   MODEL_ROUTES,
   openModelFlows,
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -3,7 +3,13 @@
 import { explain } from '../src/explain/explanation';
 import { parseLog } from '../src/explain/log-reader';
 
-function createLogLine(second: number, source: string, event: number, message: string, fields = {}): string {
+function createLogLine(
+  second: number,
+  source: string,
+  event: number,
+  message: string,
+  fields = {},
+): string {
   const timestamp = new Date(1_780_000_000_000 + second * 1_000).toISOString();
   return JSON.stringify({ event, message, level: 'info', source, timestamp, ...fields });
 }
@@ -16,7 +22,10 @@
     `  0.1 front ${createLogLine(0, 'front', 2704, 'flow-placed', { ...FLOW, agent: '10.0.0.1:7' })}`,
     `  0.2 side ${createLogLine(0.1, 'side', 2706, 'request-delivered', { ...FLOW, request: 'abc', busy: 2 })}`,
     createLogLine(1, 'side', 2001, 'process-started', { role: 'agent' }),
-    createLogLine(0.3, 'other', 2706, 'request-delivered', { client: '100.64.0.8:1', request: 'xyz' }),
+    createLogLine(0.3, 'other', 2706, 'request-delivered', {
+      client: '100.64.0.8:1',
+      request: 'xyz',
+    }),
     `${createLogLine(2, 'front', 2705, 'flow-reset', { ...FLOW, reason: 'no agent holds the flow', refusals: 4 })}`,
     '{"cut',
   ].join('\n');
@@ -33,7 +42,11 @@
 });
 
 test('a flow that reached its target in time points at the target', (t) => {
-  const log = createLogLine(0, 'side', 2706, 'request-delivered', { ...FLOW, request: 'abc', busy: 19 });
+  const log = createLogLine(0, 'side', 2706, 'request-delivered', {
+    ...FLOW,
+    request: 'abc',
+    busy: 19,
+  });
   t.regex(explain(parseLog(log), FLOW.client).cause, /19 requests at its target/);
 });
 
--- a/test/hard-cases.test.ts
+++ b/test/hard-cases.test.ts
@@ -22,7 +22,9 @@
 
 /** The target that hosts a caller's flow. */
 function findHost(world: Simulation, caller: RawCaller): SimulatedTarget {
-  return world.targets.find((target) => target.agent.listHostedCallers().includes(caller.endpoint))!;
+  return world.targets.find((target) =>
+    target.agent.listHostedCallers().includes(caller.endpoint),
+  )!;
 }
 
 async function listRunsOfDelayedCopy(without: readonly SafeguardName[]): Promise<string[]> {
--- a/test/integration-processes.test.ts
+++ b/test/integration-processes.test.ts
@@ -38,7 +38,9 @@
     t.is(summary.misdelivered, 0);
     t.is(summary.unanswered, 0);
 
-    const runs = await Promise.all([0, 1, 2].map((index) => fetchJson(cluster.getRecordUrl(index))));
+    const runs = await Promise.all(
+      [0, 1, 2].map((index) => fetchJson(cluster.getRecordUrl(index))),
+    );
     const attempts = runs.flatMap((run) => run.attempts as string[]);
     const reports = attempts.map((attempt) => attempt.split('#')[0]);
     t.true(reports.length > 10);
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -31,8 +31,14 @@
 test('another failure, a listed test that is green, and a run that breaks off are not', (t) => {
   t.is(runCheck(`${FAILED_LOG}  ✘ [fail]: table › another late one\n\n  2 tests failed\n`), 1);
   t.is(runCheck('  ✔ table › a table is late\n\n  1 test passed\n'), 1);
-  t.is(runCheck(`${FAILED_LOG}\n  Uncaught exception in x.test.js\n\n  1 test failed\n`.toLowerCase()), 1);
-  t.is(runCheck(`${FAILED_LOG}  ✘ x.test.js exited with a non-zero exit code: 1\n\n  1 test failed\n`), 1);
+  t.is(
+    runCheck(`${FAILED_LOG}\n  Uncaught exception in x.test.js\n\n  1 test failed\n`.toLowerCase()),
+    1,
+  );
+  t.is(
+    runCheck(`${FAILED_LOG}  ✘ x.test.js exited with a non-zero exit code: 1\n\n  1 test failed\n`),
+    1,
+  );
   t.is(runCheck(`${FAILED_LOG}  ✘ Timed out while running tests\n\n  1 test failed\n`), 1);
   t.is(runCheck(FAILED_LOG), 1);
 });
--- a/test/locality.test.ts
+++ b/test/locality.test.ts
@@ -27,7 +27,10 @@
 } from '../src/packets/packet-messages';
 import { PacketFrameCodec } from '../src/packets/packet-frames';
 import { openModelFlows, startModelDeployment } from '../src/simulation/packets/random-faults';
-import { PacketSimulation, type PacketSimulationBalancer } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationBalancer,
+} from '../src/simulation/packets/packet-simulation';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { createReport } from './support/reports';
 import { FIRST_AGENT, NEXT_MACHINE, RouterHarness } from './support/router-harness';
--- a/test/packet-processes.test.ts
+++ b/test/packet-processes.test.ts
@@ -48,7 +48,9 @@
     targets.forEach((target) => target.stop());
     await cluster.stop();
   });
-  await Promise.all(targets.map((target) => waitFor(async () => (await target.sendHeartbeat()) === 200)));
+  await Promise.all(
+    targets.map((target) => waitFor(async () => (await target.sendHeartbeat()) === 200)),
+  );
   await Promise.all(balancers.map((machine) => cluster.waitUntilReady(machine)));
   return { cluster, targets, client, balancers, agents };
 }
--- a/test/packet-world.test.ts
+++ b/test/packet-world.test.ts
@@ -10,7 +10,10 @@
 import { createReport } from './support/reports';
 import { modelPacketFormat } from '../src/simulation/packets/model-packet-format';
 import type { ModelTarget } from '../src/simulation/packets/model-target';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import {
   MAP_DESTINATION,
   MODEL_ROUTES,
--- a/test/relay-ends.test.ts
+++ b/test/relay-ends.test.ts
@@ -2,7 +2,10 @@
 import test from 'ava';
 import { Events } from '../src/logging/events';
 import { MODEL_ROUTES, openModelFlows } from '../src/simulation/packets/random-faults';
-import { PacketSimulation, type PacketSimulationBalancer } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationBalancer,
+} from '../src/simulation/packets/packet-simulation';
 import type { EventSink } from '../src/simulation/simulated-process';
 import { NO_VIOLATIONS } from './support/violations';
 
@@ -43,7 +46,10 @@
 }
 
 /** Makes a balancer handle its frames one after the other, each with a delay. */
-function delayFrames(world: PacketSimulation, { address, node, process }: PacketSimulationBalancer): void {
+function delayFrames(
+  world: PacketSimulation,
+  { address, node, process }: PacketSimulationBalancer,
+): void {
   let freeAt = 0;
   world.network.bind(address, process, (frame, from) => {
     const bytes = Buffer.from(frame);
--- a/test/restart.test.ts
+++ b/test/restart.test.ts
@@ -19,7 +19,10 @@
   ModelFlag,
   modelPacketFormat,
 } from '../src/simulation/packets/model-packet-format';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { SeededRandom } from '../src/simulation/seeded-random';
 import { SimulatedProcess } from '../src/simulation/simulated-process';
@@ -229,7 +232,10 @@
 });
 
 /** Creates a world with an agent that has restarted without its target and is still registered. */
-function startWithoutTarget(earlyStart: boolean): { world: PacketSimulation; orphan: PacketSimulationAgent } {
+function startWithoutTarget(earlyStart: boolean): {
+  world: PacketSimulation;
+  orphan: PacketSimulationAgent;
+} {
   const world = new PacketSimulation(63);
   world.earlyStart = earlyStart;
   startModelDeployment(world, 2);
--- a/test/silent-target.test.ts
+++ b/test/silent-target.test.ts
@@ -7,7 +7,10 @@
  * then it just gets no new flows. target-start-unseen.test.ts guards against another cause.
  */
 import test from 'ava';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { TargetLiveness } from '../src/packets/target-liveness';
 
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -24,7 +24,13 @@
   readonly without?: readonly SafeguardName[];
 }
 
-function simulate({ scenario, deployment: office, seed, design, without }: SimulationCase): SimulationReport {
+function simulate({
+  scenario,
+  deployment: office,
+  seed,
+  design,
+  without,
+}: SimulationCase): SimulationReport {
   return runSimulation({
     scenario: findScenario(scenario)!,
     deployment: DEPLOYMENTS[office],
@@ -42,15 +48,30 @@
     seed: 21,
     once: 'a refused POST ran from a frozen balancer',
   },
-  { scenario: 'everything', deployment: 'map', seed: 5, once: 'two hosts of one flow traded permits' },
-  { scenario: 'everything', deployment: 'porting', seed: 41, once: 'balancers joined as two islands' },
+  {
+    scenario: 'everything',
+    deployment: 'map',
+    seed: 5,
+    once: 'two hosts of one flow traded permits',
+  },
+  {
+    scenario: 'everything',
+    deployment: 'porting',
+    seed: 41,
+    once: 'balancers joined as two islands',
+  },
   {
     scenario: 'everything',
     deployment: 'porting',
     seed: 37,
     once: 'a thawed agent hosted a stale placement',
   },
-  { scenario: 'everything', deployment: 'porting', seed: 30, once: 'a feed was given up after 5 s' },
+  {
+    scenario: 'everything',
+    deployment: 'porting',
+    seed: 30,
+    once: 'a feed was given up after 5 s',
+  },
   {
     scenario: 'everything',
     deployment: 'porting',
--- a/test/support/object-api-standin.ts
+++ b/test/support/object-api-standin.ts
@@ -150,7 +150,12 @@
     }
   }
 
-  private read(kind: string, name: string | undefined, query: URLSearchParams, send: SendAnswer): void {
+  private read(
+    kind: string,
+    name: string | undefined,
+    query: URLSearchParams,
+    send: SendAnswer,
+  ): void {
     const watch = query.get('watch');
     if (watch !== null) {
       this.watch(kind, Number(watch), Number(query.get('wait-ms')), send);
--- a/test/support/process-cluster.ts
+++ b/test/support/process-cluster.ts
@@ -97,7 +97,9 @@
     }
     await this.startFabric(balancers);
     await waitFor('every bucket has an owner', async () => {
-      const all = Array.from({ length: targets }, (_, index) => fetchJson(this.getAgentStatusUrl(index)));
+      const all = Array.from({ length: targets }, (_, index) =>
+        fetchJson(this.getAgentStatusUrl(index)),
+      );
       const owned = (await Promise.all(all)).map(
         (status) => (status.statistics as { bucketsOwned: number }).bucketsOwned,
       );
@@ -139,7 +141,9 @@
   /** Waits until the agents host at least so many flows together. */
   async waitForFlows(count: number): Promise<void> {
     await waitFor(`${count} flows are hosted`, async () => {
-      const all = this.getRunningIndexes('agent').map((index) => fetchJson(this.getAgentStatusUrl(index)));
+      const all = this.getRunningIndexes('agent').map((index) =>
+        fetchJson(this.getAgentStatusUrl(index)),
+      );
       const flows = (await Promise.all(all)).map(
         (status) => (status.statistics as { flows: number }).flows,
       );
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -10,7 +10,10 @@
 const ECHO_OPTION = 252;
 
 /** A settled map office without callers. */
-export function createQuietSimulation(without: readonly SafeguardName[] = [], seed = 1): Simulation {
+export function createQuietSimulation(
+  without: readonly SafeguardName[] = [],
+  seed = 1,
+): Simulation {
   const deployment = withBeacon(DEPLOYMENTS.map);
   const world = new Simulation({ deployment, seed, design: 'hallhold', without });
   world.start();
--- a/test/target-incarnations.test.ts
+++ b/test/target-incarnations.test.ts
@@ -4,7 +4,10 @@
 import { packEndpoint } from '../src/core/endpoint';
 import { TargetState } from '../src/packets/packet-messages';
 import { TargetLifecycle, type TargetHeartbeat } from '../src/packets/target-lifecycle';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 import { fetchStatus } from './support/fetch-status';
 import { NO_VIOLATIONS } from './support/violations';
--- a/test/target-start-unseen.test.ts
+++ b/test/target-start-unseen.test.ts
@@ -8,7 +8,10 @@
  * no cold time is configured the agent offers the packets to its target, and the flows are kept.
  */
 import test, { type ExecutionContext } from 'ava';
-import { PacketSimulation, type PacketSimulationAgent } from '../src/simulation/packets/packet-simulation';
+import {
+  PacketSimulation,
+  type PacketSimulationAgent,
+} from '../src/simulation/packets/packet-simulation';
 import { MAP_DESTINATION, startModelDeployment } from '../src/simulation/packets/random-faults';
 
 const FLOWS = 60;
@@ -30,7 +33,15 @@
   const { service, draining } = agent.target;
   const { id: incarnation, startTime: born } = agent.target.identity;
   const coldLeft = world.coldTime - age;
-  agent.node.handleHeartbeat({ incarnation, born, service, draining, slots: 5, coldLeft, sequence });
+  agent.node.handleHeartbeat({
+    incarnation,
+    born,
+    service,
+    draining,
+    slots: 5,
+    coldLeft,
+    sequence,
+  });
 }
 
 /** @param pause milliseconds between two requests of a flow */
