--- a/src/balancer/balancer-context.ts
+++ b/src/balancer/balancer-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a balancer share. */
+/** Settings and environment shared by the components of a balancer. */
 import type { Endpoint, Environment } from '../environment';
 import type { Message } from '../wire/messages';
 
@@ -6,17 +6,17 @@
 export interface BalancerNodeSettings {
   readonly name: string;
   readonly zone: string;
-  /** Where this balancer receives internal frames. */
+  /** Address at which this balancer receives internal frames. */
   readonly endpoint: Endpoint;
-  /** Balancers to join through. */
+  /** Seed balancers through which this one joins. */
   readonly peers: readonly Endpoint[];
-  /** Rises with each start of the balancer. */
+  /** Increases with each start of the balancer. */
   readonly incarnation: number;
-  /** Flows whose host is remembered, over all services. */
+  /** Maximum number of flows whose host is cached, over all services. */
   readonly learntFlows: number;
 }
 
-/** Shared by the parts of one balancer. */
+/** Shared by the components of one balancer. */
 export interface BalancerContext {
   readonly settings: BalancerNodeSettings;
   readonly environment: Environment;
--- a/src/balancer/balancer-membership.ts
+++ b/src/balancer/balancer-membership.ts
@@ -1,7 +1,7 @@
 /**
- * Which balancers are alive: a failure detector of constant cost per node, in the
- * manner of SWIM. Each interval one member is probed, directly and then through
- * others; news travels with the probes.
+ * Membership and failure detection of balancers, after SWIM, at a constant cost per
+ * node. Each interval one member is probed, directly and then through other members;
+ * membership updates are piggybacked on the probes.
  */
 import { PROBE_INTERVAL_MS, PROBE_TIMEOUT_MS, SUSPICION_TIMEOUT_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
@@ -20,28 +20,28 @@
   type ServiceTargetNotice,
 } from '../wire/messages';
 import type { BalancerContext } from './balancer-context';
-import { MemberList } from './member-list';
 import { GossipQueue } from './gossip-queue';
+import { MemberList } from './member-list';
 
 const INDIRECT_PROBE_COUNT = 3;
 const UPDATES_PER_MESSAGE = 6;
 const MEMBERS_PER_LIST_PART = 20;
-/** Multiplies log2 of the group's size: how often a rumour is sent before it is dropped. */
+/** Transmissions of an update before it is dropped, as a multiple of log2 of the group size. */
 const TRANSMISSION_MULTIPLIER = 3;
-/** Every so many probes one goes to a dead member or a seed, to find the other side of a cut. */
+/** Probe intervals between probes of a dead member and a seed, which end a partition. */
 const INTERVALS_PER_RECONNECT = 3;
 const INTERVALS_PER_EXPIRY = 60;
 
-/** Told of what gossip brings. */
+/** Receives what gossip messages carry, and supplies the state that they announce. */
 export interface GossipListener {
-  /** A peer has all tables through this revision, and `beyond` sums up what it has after that. */
+  /** A peer has all tables through `revision`; `aheadDigest` covers those it has after that. */
   handlePeerRevision(revision: number, aheadDigest: number, from: Endpoint): void;
-  /** News of a target; returns true when it was news here. */
-  applyTargetNotice(rumour: ServiceTargetNotice): boolean;
+  /** Applies a state notice of a target; returns true when it changed the recorded state. */
+  applyTargetNotice(notice: ServiceTargetNotice): boolean;
   handleMembersChanged(): void;
   /** Revision through which this balancer has all tables. */
   getCompleteRevision(): number;
-  /** Digest of the tables that it has beyond that. */
+  /** Digest of the tables that it has after that revision. */
   getAheadDigest(): number;
   listTargetNotices(): ServiceTargetNotice[];
 }
@@ -51,7 +51,7 @@
   answered: boolean;
 }
 
-/** The balancer's view of its peers. */
+/** The view that a balancer has of its peers. */
 export class BalancerMembership {
   private readonly memberList = new MemberList();
   private readonly memberUpdates = new GossipQueue<MemberRecord>();
@@ -77,7 +77,7 @@
     return this.ownRecord;
   }
 
-  /** True once a peer has answered, or when there is none to ask. */
+  /** True once a peer has answered, or when there is no seed. */
   get hasJoined(): boolean {
     return this.joined || this.listSeeds().length === 0;
   }
@@ -87,21 +87,21 @@
     return this.memberList.listLive();
   }
 
-  /** Other balancers that take part fully: neither dead nor leaving. */
+  /** Other balancers that are neither dead nor leaving. */
   listActive(): MemberRecord[] {
     return this.memberList.listLive().filter((member) => member.state !== MemberState.leaving);
   }
 
-  /** Every other balancer known, dead ones too. */
+  /** All other known balancers, including dead ones. */
   listKnown(): MemberRecord[] {
     return this.memberList.listAll();
   }
 
-  /** Up to `count` different live members at random. */
+  /** Up to `count` distinct live members, chosen at random. */
   sample(count: number): MemberRecord[] {
     const chosen = new Map<string, MemberRecord>();
-    const tries = count * 3;
-    for (let attempt = 0; attempt < tries && chosen.size < count; attempt++) {
+    const maximumAttempts = count * 3;
+    for (let attempt = 0; attempt < maximumAttempts && chosen.size < count; attempt++) {
       const member = this.memberList.pickRandomLive(this.context.environment.random());
       if (member) {
         chosen.set(member.name, member);
@@ -121,12 +121,12 @@
     this.running = false;
   }
 
-  /** Announces the planned stop. */
+  /** Announces a planned stop to the peers. */
   leave(): void {
     this.changeOwnState(MemberState.leaving);
   }
 
-  /** Takes members as known, without spreading them as news. */
+  /** Adds members without gossiping them. */
   addMembers(members: readonly MemberRecord[]): void {
     const now = this.context.environment.now();
     const others = members.filter((member) => member.name !== this.ownRecord.name);
@@ -134,7 +134,7 @@
     this.joined = this.joined || others.length > 0;
   }
 
-  /** Spreads news of a target. */
+  /** Queues a state notice of a target for gossip. */
   queueTargetNotice(notice: ServiceTargetNotice): void {
     this.targetUpdates.add(`${notice.service}/${notice.target}`, notice);
   }
@@ -171,7 +171,7 @@
     this.context.send(message.subject, { type: MessageType.ping, ...this.createGossip(sequence) });
   }
 
-  /** Answers a joining balancer with all members and target news. */
+  /** Answers a joining balancer with all members and target notices. */
   handleJoin(message: JoinMessage, from: Endpoint): void {
     this.applyMember(message.sender);
     const members = [this.ownRecord, ...this.memberList.listLive()];
@@ -195,7 +195,7 @@
     message.targets.forEach((notice) => this.listener.applyTargetNotice(notice));
   }
 
-  /** What a prober must hear to refute it: that it counts as suspect or dead here. */
+  /** The record of a sender that counts as suspect or dead here, so that it can refute it. */
   private findContradictingRecord(sender: MemberRecord): MemberRecord[] {
     const known = this.memberList.get(sender.name);
     return known && known.state !== sender.state ? [known] : [];
@@ -284,8 +284,8 @@
   }
 
   /**
-   * Tries a dead member and a seed that is not among the live: after a cut heals, or
-   * when members joined through each other in separate pairs, someone has to knock.
+   * Probes a dead member and a seed that is not a live member. Otherwise groups would stay
+   * apart after a network partition, or when members joined through each other in pairs.
    */
   private reconnect(): void {
     const { environment } = this.context;
@@ -298,7 +298,7 @@
     const liveEndpoints = new Set(this.memberList.listLive().map((member) => member.endpoint));
     const unknownSeeds = this.listSeeds().filter((seed) => !liveEndpoints.has(seed));
     if (unknownSeeds.length > 0) {
-      // A probe, not a join: a join is answered with every member, and many may knock at once.
+      // A probe, not a join: a join is answered with all members, and many may send one at once.
       const seed = unknownSeeds[Math.floor(environment.random() * unknownSeeds.length)]!;
       this.context.send(seed, {
         type: MessageType.ping,
--- a/src/balancer/balancer-node.ts
+++ b/src/balancer/balancer-node.ts
@@ -1,7 +1,7 @@
 /**
- * One balancer: carries callers' datagrams to agents and replies back, spreads
- * tables and membership, and takes operators' edits. Holds nothing that cannot be
- * rebuilt. The same class runs in the real process and in the simulator.
+ * One balancer: forwards callers' datagrams to agents and their replies back, distributes
+ * tables and membership, and accepts operators' edits. All its state can be rebuilt from
+ * peers and the store. The same class runs in the real process and in the simulator.
  */
 import { getEndpointAddress } from '../core/endpoint';
 import type { ServiceTable } from '../core/table';
@@ -17,19 +17,19 @@
   type MemberRecord,
   type Message,
   type ReplyMessage,
-  type TargetNotice,
   type ServiceTargetNotice,
+  type TargetNotice,
 } from '../wire/messages';
 import type { BalancerContext, BalancerNodeSettings } from './balancer-context';
 import { BalancerMembership } from './balancer-membership';
-import { DirectoryRouting, type FlowRouting } from './flow-routing';
 import { FlowCacheBudget } from './flow-host-cache';
+import { DirectoryRouting, type FlowRouting } from './flow-routing';
 import { StoreReader } from './store-reader';
 import { TableAcceptance } from './table-acceptance';
 import { TableDistribution } from './table-distribution';
 import { TargetStates } from './target-states';
 
-/** Balancers named to an agent in the answer to its hello. */
+/** Other balancers listed in the answer to the hello of an agent. */
 const BALANCERS_PER_HELLO_ANSWER = 3;
 
 /** Sends a datagram to a caller from a service's address. */
@@ -37,14 +37,14 @@
   send(service: string, caller: Endpoint, payload: Buffer): void;
 }
 
-/** Makes the routing of one service; the simulator's baselines pass their own. */
+/** Creates the routing of one service; the simulator's baselines pass their own. */
 export type RoutingFactory = (
   service: string,
-  states: TargetStates,
+  targetStates: TargetStates,
   budget: FlowCacheBudget,
 ) => FlowRouting;
 
-/** What a balancer is given by its surroundings. */
+/** Dependencies of a balancer. */
 export interface BalancerDependencies {
   readonly environment: Environment;
   readonly transport: FrameTransport;
@@ -54,7 +54,7 @@
   readonly routing?: RoutingFactory;
 }
 
-/** Figures of a balancer for metrics and status. */
+/** Counters and gauges of a balancer for metrics and status. */
 export interface BalancerStatistics {
   readonly datagramsForwarded: number;
   readonly datagramsDropped: number;
@@ -67,7 +67,7 @@
   readonly storeReader: boolean;
 }
 
-/** The balancer node. */
+/** A balancer of the datagram interface. */
 export class BalancerNode {
   readonly membership: BalancerMembership;
   readonly distribution: TableDistribution;
@@ -97,9 +97,9 @@
       handleChangedTables: (tables) => this.invalidateRoutings(tables),
     });
     this.membership = new BalancerMembership(this.context, {
-      handlePeerRevision: (revision, beyond, from) =>
-        this.distribution.handlePeerRevision(revision, beyond, from),
-      applyTargetNotice: (rumour) => this.applyNotice(rumour.service, rumour),
+      handlePeerRevision: (revision, aheadDigest, from) =>
+        this.distribution.handlePeerRevision(revision, aheadDigest, from),
+      applyTargetNotice: (notice) => this.applyNotice(notice.service, notice),
       handleMembersChanged: () => undefined,
       getCompleteRevision: () => this.distribution.cache.revision,
       getAheadDigest: () => this.distribution.cache.aheadDigest,
@@ -112,7 +112,7 @@
       handleMachineList: (machines) => this.notifyLeavingMachines(machines),
     });
     this.acceptance = new TableAcceptance(this.context, store, {
-      distributeTable: (table, copies, done) => this.distributeTable(table, copies, done),
+      distributeTable: (table, copies, onDone) => this.distributeTable(table, copies, onDone),
     });
   }
 
@@ -121,7 +121,7 @@
     this.storeReader.start();
   }
 
-  /** Begins a planned stop: peers hear of it; forwarding goes on. */
+  /** Begins a planned stop: announces it to peers and goes on forwarding. */
   beginStop(): void {
     this.membership.leave();
     this.storeReader.stop();
@@ -132,12 +132,12 @@
     this.membership.stop();
   }
 
-  /** True when this balancer may carry callers' datagrams. */
+  /** True when this balancer can forward callers' datagrams. */
   get isReady(): boolean {
     return this.membership.hasJoined && this.distribution.isCaughtUp;
   }
 
-  /** Milliseconds since the last caller's datagram. */
+  /** Milliseconds since the last caller's datagram; infinite before the first. */
   get idleTimeMs(): number {
     return this.dependencies.environment.now() - this.lastDatagramAt;
   }
@@ -160,17 +160,17 @@
     };
   }
 
-  /** Every known member with this balancer first. */
+  /** All known members, this balancer first. */
   listMembers(): MemberRecord[] {
     return [this.membership.self, ...this.membership.listKnown()];
   }
 
-  /** Targets that do not simply serve, as far as known here. */
+  /** Targets that are draining or stopped, as far as known here. */
   listUnavailableTargets(): ServiceTargetNotice[] {
     return this.targetStates.listAll().filter((notice) => notice.state !== AgentState.serving);
   }
 
-  /** Takes a caller's datagram that arrived at a service's address. */
+  /** Handles a caller's datagram that arrived at the address of a service. */
   receiveDatagram(service: string, caller: Endpoint, payload: Buffer): void {
     this.lastDatagramAt = this.dependencies.environment.now();
     const host = this.isReady ? this.getOrCreateRouting(service)?.route(caller) : undefined;
@@ -193,7 +193,7 @@
     });
   }
 
-  /** Takes a datagram that arrived at the balancer's frame address. */
+  /** Handles a datagram that arrived at the balancer's frame address. */
   receiveFrame(frame: Buffer, from: Endpoint): void {
     const message = this.link.receive(frame);
     if (message) {
@@ -313,18 +313,18 @@
   private distributeTable(
     table: ServiceTable,
     copies: number,
-    done: (confirmed: number) => void,
+    onDone: (confirmed: number) => void,
   ): void {
     const { revision } = table;
     const delta = { fromRevision: revision, throughRevision: revision, tables: [table] };
     this.distribution.applyAndPush(delta, undefined);
-    this.distribution.replicateTable(table, copies, done);
+    this.distribution.replicateTable(table, copies, onDone);
   }
 
-  /** Tells the agents on leaving machines, as the machine list has them. */
+  /** Sends a drain notice to the agents on machines that the machine list marks as leaving. */
   private notifyLeavingMachines(machines: readonly MachineRecord[]): void {
     const leavingAddresses = new Set(
-      machines.filter((one) => one.leaving).map((one) => one.address),
+      machines.filter((machine) => machine.leaving).map((machine) => machine.address),
     );
     if (leavingAddresses.size === 0) {
       return;
--- a/src/balancer/flow-host-cache.ts
+++ b/src/balancer/flow-host-cache.ts
@@ -1,40 +1,40 @@
 /**
- * A bounded memory of which target hosts a flow, taught by replies.
+ * A bounded cache of the target that hosts each flow, filled from replies.
  *
- * Two generations: new knowledge goes to the young one; when the young ones of all
- * services together are full they become the old ones, and what was not used since is
- * forgotten. Costs one map entry a flow and no bookkeeping per packet.
+ * Two generations approximate LRU: new entries go to the current one. When the current
+ * generations of all services together are full, they become the previous ones, whose unused
+ * entries are evicted at the next change. Costs one map entry per flow, no work per packet.
  */
 import type { Endpoint } from '../environment';
 
-/** A target as replies show it; one object is shared by all its flows. */
+/** A target and the address its replies come from; all its flows share one object. */
 export interface FlowHost {
   readonly target: string;
   readonly endpoint: Endpoint;
 }
 
-/** The bound that all services of a balancer share. */
+/** The bound on cached flows that all services of a balancer share. */
 export class FlowCacheBudget {
-  /** Rises when all generations change. */
+  /** Increases when all caches begin a new generation. */
   generation = 0;
-  private recentEntries = 0;
+  private currentEntries = 0;
 
-  /** @param capacity flows kept over all services; at most this many, at least half of them */
+  /** @param capacity flows cached over all services; once full, at least half of it stays in use */
   constructor(private readonly capacity: number) {}
 
-  /** Notes one more flow; begins a new generation when half of the capacity is young. */
+  /** Counts a new entry; begins a new generation after each half of the capacity. */
   countEntry(): void {
-    this.recentEntries++;
-    if (this.recentEntries >= this.capacity / 2) {
-      this.recentEntries = 0;
+    this.currentEntries++;
+    if (this.currentEntries >= this.capacity / 2) {
+      this.currentEntries = 0;
       this.generation++;
     }
   }
 }
 
-/** Flow to host, for one service. */
+/** Hosts of the flows of one service, by caller. */
 export class FlowHostCache {
-  private recent = new Map<Endpoint, FlowHost>();
+  private current = new Map<Endpoint, FlowHost>();
   private previous = new Map<Endpoint, FlowHost>();
   private generation: number;
 
@@ -44,14 +44,14 @@
 
   get size(): number {
     this.rotateGenerations();
-    return this.recent.size + this.previous.size;
+    return this.current.size + this.previous.size;
   }
 
   get(caller: Endpoint): FlowHost | undefined {
     this.rotateGenerations();
-    const recentHost = this.recent.get(caller);
-    if (recentHost) {
-      return recentHost;
+    const currentHost = this.current.get(caller);
+    if (currentHost) {
+      return currentHost;
     }
     const previousHost = this.previous.get(caller);
     if (previousHost) {
@@ -63,19 +63,19 @@
 
   set(caller: Endpoint, host: FlowHost): void {
     this.rotateGenerations();
-    const sizeBefore = this.recent.size;
-    this.recent.set(caller, host);
-    if (this.recent.size > sizeBefore) {
+    const sizeBefore = this.current.size;
+    this.current.set(caller, host);
+    if (this.current.size > sizeBefore) {
       this.budget.countEntry();
     }
   }
 
-  /** Ages by as many generations as have begun since the last use. */
+  /** Applies all generation changes since the last use. */
   private rotateGenerations(): void {
     const elapsedGenerations = this.budget.generation - this.generation;
     if (elapsedGenerations > 0) {
-      this.previous = elapsedGenerations === 1 ? this.recent : new Map();
-      this.recent = new Map();
+      this.previous = elapsedGenerations === 1 ? this.current : new Map();
+      this.current = new Map();
       this.generation = this.budget.generation;
     }
   }
--- a/src/balancer/flow-routing.ts
+++ b/src/balancer/flow-routing.ts
@@ -1,4 +1,4 @@
-/** To which agent a balancer sends a caller's datagram. */
+/** Selects the agent to which a balancer forwards a caller's datagram. */
 import type { Endpoint } from '../environment';
 import { computeBucket, computeServiceSeed } from '../core/hashing';
 import { computeOwners } from '../core/ownership';
@@ -6,28 +6,28 @@
 import { FlowHostCache, type FlowCacheBudget, type FlowHost } from './flow-host-cache';
 import type { TargetStates } from './target-states';
 
-/** The seam at which ways of routing differ; the simulator's baselines implement it too. */
+/** Routing of one service; the simulator's baselines implement it too. */
 export interface FlowRouting {
-  /** The agent for a datagram; undefined when the service has none. */
+  /** The agent to send a datagram to; undefined when the service has none. */
   route(caller: Endpoint): FlowHost | undefined;
-  /** A reply showed that a target hosts the flow. */
+  /** Records that a target hosts the flow, as a reply from it shows. */
   recordHost(caller: Endpoint, target: string, endpoint: Endpoint): void;
-  /** The table or a target's state changed. */
+  /** Applies a change of the table or of a target's state. */
   invalidate(table: ServiceTable | undefined): void;
-  /** Flows whose host is remembered. */
+  /** Number of flows whose host is cached. */
   readonly knownFlows: number;
 }
 
-/** Learnt host, else the owner of the flow's bucket in this balancer's view. */
+/** Routes to the cached host, else to the owner of the flow's bucket in this balancer's view. */
 export class DirectoryRouting implements FlowRouting {
   private readonly cache: FlowHostCache;
   private readonly seed: number;
-  /** Hosts by target name, so that flows share one object a target. */
+  /** Hosts by target name, so that all flows of a target share one object. */
   private hostsByTarget = new Map<string, FlowHost>();
   private bucketOwners: readonly (FlowHost | undefined)[] | undefined;
   private table: ServiceTable | undefined;
 
-  /** @param budget bounds the flows whose host is remembered, over all services */
+  /** @param budget bounds the cached flows of all services together */
   constructor(
     private readonly service: string,
     private readonly targetStates: TargetStates,
--- a/src/balancer/gossip-queue.ts
+++ b/src/balancer/gossip-queue.ts
@@ -1,11 +1,11 @@
-/** News that is passed on with the failure detector's messages, each a bounded number of times. */
+/** Updates piggybacked on the failure detector's messages, each a bounded number of times. */
 
 interface QueuedUpdate<T> {
   readonly update: T;
   sent: number;
 }
 
-/** Rumours by subject; newer news of a subject replaces older. */
+/** Updates by subject; a newer update of a subject replaces the older one. */
 export class GossipQueue<T> {
   private readonly queue = new Map<string, QueuedUpdate<T>>();
 
@@ -14,25 +14,25 @@
   }
 
   add(subject: string, update: T): void {
-    this.queue.set(subject, { update: update, sent: 0 });
+    this.queue.set(subject, { update, sent: 0 });
   }
 
   /**
-   * The least-sent rumours, counted as sent once more.
-   * @param maximum how many at most
-   * @param maximumTransmissions a rumour sent so often is dropped
+   * The updates sent least often, each counted as sent once more.
+   * @param maximum number of updates returned at most
+   * @param maximumTransmissions an update is removed after so many transmissions
    */
   takeBatch(maximum: number, maximumTransmissions: number): T[] {
     if (this.queue.size === 0) {
       return [];
     }
     const ordered = [...this.queue].sort(([, a], [, b]) => a.sent - b.sent).slice(0, maximum);
-    for (const [subject, rumour] of ordered) {
-      rumour.sent++;
-      if (rumour.sent >= maximumTransmissions) {
+    for (const [subject, entry] of ordered) {
+      entry.sent++;
+      if (entry.sent >= maximumTransmissions) {
         this.queue.delete(subject);
       }
     }
-    return ordered.map(([, rumour]) => rumour.update);
+    return ordered.map(([, entry]) => entry.update);
   }
 }
--- a/src/balancer/member-list.ts
+++ b/src/balancer/member-list.ts
@@ -1,4 +1,4 @@
-/** Records of all balancers this one knows of, and the rule by which news replaces them. */
+/** Records of all known balancers, and the rule by which a newer record replaces an older one. */
 import { DEAD_MEMBER_RETENTION_MS } from '../core/timing';
 import { MemberState, type MemberRecord, type MemberStateValue } from '../wire/messages';
 
@@ -14,18 +14,18 @@
   changedAt: number;
 }
 
-/** Known balancers by name, this one excluded. */
+/** Known balancers by name, without this one. */
 export class MemberList {
   private readonly members = new Map<string, KnownMember>();
-  /** Names of members that are probed; kept as an array for random choice. */
+  /** Names of members that are probed, as an array for random selection. */
   private liveNames: string[] = [];
-  private liveNamesAreStale = false;
+  private areLiveNamesStale = false;
 
   get(name: string): MemberRecord | undefined {
     return this.members.get(name)?.record;
   }
 
-  /** Takes a record if it is newer; returns true when it changed something. */
+  /** Applies a record if it is newer than the known one; returns true if it was applied. */
   apply(record: MemberRecord, now: number): boolean {
     const known = this.members.get(record.name);
     if (known && !supersedes(record, known.record)) {
@@ -34,7 +34,7 @@
     const wasLive = known !== undefined && isLive(known.record);
     this.members.set(record.name, { record, changedAt: now });
     if (wasLive !== isLive(record)) {
-      this.liveNamesAreStale = true;
+      this.areLiveNamesStale = true;
     }
     return true;
   }
@@ -48,14 +48,14 @@
     return this.getLiveNames().length;
   }
 
-  /** A live member at random. */
+  /** A random live member, or undefined if there is none; `random` is in [0, 1). */
   pickRandomLive(random: number): MemberRecord | undefined {
     const names = this.getLiveNames();
     const name = names[Math.floor(random * names.length)];
     return name === undefined ? undefined : this.members.get(name)!.record;
   }
 
-  /** A dead member at random: it may be back after a partition. */
+  /** A random dead member, which may be reachable again after a partition. */
   pickRandomDead(random: number): MemberRecord | undefined {
     const dead = this.listAll().filter((record) => record.state === MemberState.dead);
     return dead[Math.floor(random * dead.length)];
@@ -65,7 +65,7 @@
     return [...this.members.values()].map(({ record }) => record);
   }
 
-  /** Forgets members that have long been dead. */
+  /** Removes members that have been dead for longer than the retention time. */
   removeExpired(now: number): void {
     for (const [name, { record, changedAt }] of this.members) {
       if (!isLive(record) && now - changedAt > DEAD_MEMBER_RETENTION_MS) {
@@ -74,10 +74,10 @@
     }
   }
 
-  /** Rebuilt only when asked for after a change: a list of many members changes many at once. */
+  /** Rebuilt on the first use after a change, as one list of members brings many changes. */
   private getLiveNames(): readonly string[] {
-    if (this.liveNamesAreStale) {
-      this.liveNamesAreStale = false;
+    if (this.areLiveNamesStale) {
+      this.areLiveNamesStale = false;
       this.liveNames = this.listAll()
         .filter(isLive)
         .map((record) => record.name);
--- a/src/balancer/store-reader.ts
+++ b/src/balancer/store-reader.ts
@@ -1,9 +1,9 @@
 /**
- * Decides whether this balancer watches the store, and does so.
+ * Decides whether this balancer watches the store, and watches it if so.
  *
- * The store tolerates only a few readers: the STORE_READERS best by rendezvous
- * over the live members watch. Being wrong about who lives costs an extra reader
- * for a while and nothing else.
+ * The store supports only a few readers: the MAXIMUM_STORE_READERS active members that rank
+ * highest by rendezvous hashing. Where the views of the membership differ, there are
+ * more readers for a while, without other effect.
  */
 import { rankByRendezvous } from '../core/hashing';
 import type { TableDelta } from '../core/table-cache';
@@ -17,9 +17,9 @@
 const RETRY_INTERVAL_MS = 1_000;
 const RENDEZVOUS_KEY = 'store-reader';
 
-/** What the reader needs from its surroundings. */
+/** Dependencies of the store reader. */
 export interface StoreReaderDependencies {
-  /** Names of the other balancers that take part. */
+  /** Names of the other active balancers. */
   listActiveNames(): string[];
   /** Revision through which this balancer has all tables. */
   getCompleteRevision(): number;
@@ -71,9 +71,12 @@
   }
 
   private isAmongReaders(): boolean {
-    const own = this.context.settings.name;
-    const ranked = rankByRendezvous(RENDEZVOUS_KEY, [...this.dependencies.listActiveNames(), own]);
-    return ranked.indexOf(own) < MAXIMUM_STORE_READERS;
+    const ownName = this.context.settings.name;
+    const ranked = rankByRendezvous(RENDEZVOUS_KEY, [
+      ...this.dependencies.listActiveNames(),
+      ownName,
+    ]);
+    return ranked.indexOf(ownName) < MAXIMUM_STORE_READERS;
   }
 
   private startReading(): void {
@@ -97,7 +100,7 @@
         return;
       }
       if (result.err) {
-        this.retryLater(result.val);
+        this.scheduleRetry(result.val);
         return;
       }
       this.dependencies.applyDelta(result.val);
@@ -117,11 +120,11 @@
   private handleWatchEnd(error: HallholdError): void {
     this.watch = undefined;
     if (this.reading) {
-      this.retryLater(error);
+      this.scheduleRetry(error);
     }
   }
 
-  private retryLater(error: HallholdError): void {
+  private scheduleRetry(error: HallholdError): void {
     this.context.environment.report(Events.storeUnavailable, { reason: error.message });
     this.context.environment.startTimer(RETRY_INTERVAL_MS, () => {
       if (this.reading && !this.watch) {
--- a/src/balancer/table-acceptance.ts
+++ b/src/balancer/table-acceptance.ts
@@ -1,9 +1,9 @@
 /**
- * Accepts operators' edits: compare-and-set in the store, then copies at peers.
+ * Accepts operators' edits: compare-and-set in the store, then replication to peers.
  *
- * When the answer to a write is lost, the same write is sent again (the store's
- * compare-and-set makes that harmless) and the table is read back until its list
- * of write ids tells what happened. Until then the outcome is said to be unknown.
+ * When the answer to a write is lost, the same write is repeated, which compare-and-set
+ * makes safe, and the table is read back until its list of write ids shows the outcome.
+ * Until then the outcome is reported as unknown.
  */
 import { Err, Ok, type Result } from 'ts-results';
 import {
@@ -19,13 +19,13 @@
 import type { StorePort, StoredTable } from '../table-store/store-port';
 import type { BalancerContext } from './balancer-context';
 
-/** Copies at peers, besides the store and this node, before an edit counts as accepted. */
+/** Replicas at peers, besides the store and this node, awaited before an edit is accepted. */
 const REQUIRED_COPIES = 2;
 const RETRY_INTERVAL_MS = 500;
 const WRITE_RETRY_PERIOD_MS = 10_000;
 const UNKNOWN_OUTCOME_DELAY_MS = 5_000;
 const RETRY_PERIOD_MS = 600_000;
-/** Outcomes kept for `status`. */
+/** Statuses retained for {@link TableAcceptance.getStatus}. */
 const MAXIMUM_STATUSES = 1_000;
 
 /** An operator's edit of one service's rows. */
@@ -34,19 +34,19 @@
   readonly rows: readonly TableRow[];
   /** Revision the operator saw; 0 when the service had no table. */
   readonly baseRevision: number;
-  /** Rows the operator saw, to name conflicts row by row. */
+  /** Rows the operator saw, from which conflicts are reported row by row. */
   readonly baseRows: readonly TableRow[];
   readonly writeId: string;
 }
 
-/** An edit in force. */
+/** An edit that is active. */
 export interface AcceptedEdit {
   readonly revision: number;
   /** Peers that confirmed a copy. */
   readonly copies: number;
 }
 
-/** How far an edit is. */
+/** Status of an edit. */
 export type EditStatus =
   | { readonly state: 'pending' }
   | { readonly state: 'accepted'; readonly accepted: AcceptedEdit }
@@ -55,9 +55,9 @@
 /** Receives the outcome of an edit. */
 export type EditCallback = (result: Result<AcceptedEdit, HallholdError>) => void;
 
-/** What acceptance needs from its surroundings. */
+/** Dependencies of the acceptance. */
 export interface TableAcceptanceDependencies {
-  /** Puts an accepted table in force here and has it copied. */
+  /** Activates an accepted table here and replicates it to `copies` peers. */
   distributeTable(table: ServiceTable, copies: number, onDone: (confirmed: number) => void): void;
 }
 
@@ -68,7 +68,7 @@
   isAnswered: boolean;
 }
 
-/** Takes operators' edits to the store. */
+/** Writes operators' edits to the store and tracks their outcome. */
 export class TableAcceptance {
   private readonly statuses = new Map<string, EditStatus>();
 
@@ -78,18 +78,18 @@
     private readonly dependencies: TableAcceptanceDependencies,
   ) {}
 
-  /** The status of an edit by its write id; undefined when this balancer has not seen it. */
+  /** The status of an edit by its write id; undefined when this balancer does not know it. */
   getStatus(writeId: string): EditStatus | undefined {
     return this.statuses.get(writeId);
   }
 
   /**
-   * Submits an edit; answers once. Error 1102 on a conflict, 1104 when the outcome is
-   * not known yet (it is pursued, see {@link getStatus}), 1201 when the store was never reached.
+   * Submits an edit; calls back once. Error 1102 on a conflict, 1104 when the outcome is not
+   * known yet (retries go on, see {@link getStatus}), 1201 when the store was never reached.
    */
   submit(edit: TableEdit, callback: EditCallback): void {
     const startedAt = this.context.environment.now();
-    const pending: PendingEdit = { edit, startedAt, callback: callback, isAnswered: false };
+    const pending: PendingEdit = { edit, startedAt, callback, isAnswered: false };
     this.recordStatus(edit.writeId, { state: 'pending' });
     this.context.environment.startTimer(UNKNOWN_OUTCOME_DELAY_MS, () =>
       this.reportUnknownOutcome(pending),
@@ -174,18 +174,18 @@
 
   private finishEdit(
     pending: PendingEdit,
-    newStatus: EditStatus,
+    status: EditStatus,
     result: Result<AcceptedEdit, HallholdError>,
   ): void {
-    this.recordStatus(pending.edit.writeId, newStatus);
+    this.recordStatus(pending.edit.writeId, status);
     if (!pending.isAnswered) {
       pending.isAnswered = true;
       pending.callback(result);
     }
   }
 
-  private recordStatus(writeId: string, newStatus: EditStatus): void {
-    this.statuses.set(writeId, newStatus);
+  private recordStatus(writeId: string, status: EditStatus): void {
+    this.statuses.set(writeId, status);
     if (this.statuses.size > MAXIMUM_STATUSES) {
       const oldest = this.statuses.keys().next().value as string;
       this.statuses.delete(oldest);
@@ -202,7 +202,7 @@
   return `${formatEndpoint(address)}, ${limits}`;
 }
 
-/** Names the rows that collide, or else those that others changed meanwhile. */
+/** Lists the conflicting rows, or if there are none the rows that others have changed. */
 function createConflictError(edit: TableEdit, stored: StoredTable | undefined): HallholdError {
   const storedRows = stored?.table.rows ?? [];
   const revision = stored?.table.revision ?? 0;
--- a/src/balancer/table-distribution.ts
+++ b/src/balancer/table-distribution.ts
@@ -1,7 +1,7 @@
 /**
- * How tables reach every balancer: a new one is pushed at once to a few members,
- * who push it on; whoever is missed sees a higher revision in the next probe and
- * asks for what it lacks.
+ * Distributes tables to all balancers: a new table is pushed at once to a few members,
+ * which push it to others in turn. A balancer that was missed sees a higher revision in
+ * the next probe and requests the tables it lacks.
  */
 import { TableCache, type TableDelta } from '../core/table-cache';
 import type { ServiceTable } from '../core/table';
@@ -18,34 +18,34 @@
 import type { BalancerContext } from './balancer-context';
 
 const MINIMUM_REQUEST_INTERVAL_MS = 300;
-/** Rows per datagram, so that a delta stays well under 64 KiB. */
+/** Rows per datagram, which keeps a delta well below 64 KiB. */
 const MAXIMUM_ROWS_PER_PART = 250;
 const CONFIRM_RETRY_INTERVAL_MS = 400;
 const MAXIMUM_CONFIRM_ATTEMPTS = 5;
 
-/** What the distribution needs from its surroundings. */
+/** Dependencies of the distribution. */
 export interface TableDistributionDependencies {
   sampleMembers(count: number): MemberRecord[];
   listActiveMembers(): MemberRecord[];
-  /** Tables that are new in force here. */
+  /** Receives the tables that have become active here. */
   handleChangedTables(tables: readonly ServiceTable[]): void;
 }
 
 interface PendingReplication {
   readonly delta: TableDelta;
-  readonly wanted: number;
+  readonly requiredCopies: number;
   readonly confirmed: Set<string>;
-  readonly done: (copies: number) => void;
+  readonly onDone: (confirmed: number) => void;
   attempts: number;
 }
 
-/** Spreads tables among balancers. */
+/** Distributes tables among balancers. */
 export class TableDistribution {
   readonly cache = new TableCache();
-  private readonly pending = new Map<number, PendingReplication>();
+  private readonly pendingReplications = new Map<number, PendingReplication>();
   private lastRequestAt = -Infinity;
   private nextConfirmId = 1;
-  /** True once a peer or the store has said that nothing newer is missing. */
+  /** True once a peer or the store has shown that no newer table is missing. */
   private caughtUp = false;
 
   constructor(
@@ -53,31 +53,31 @@
     private readonly dependencies: TableDistributionDependencies,
   ) {}
 
-  /** Whether this balancer has a table as new as any peer it has asked. */
+  /** True when this balancer has tables and has been complete compared with a peer or the store. */
   get isCaughtUp(): boolean {
     return this.caughtUp && this.cache.revision > 0;
   }
 
-  /** Takes news from the store, a peer's push or an own accepted write, and passes it on. */
+  /** Applies a delta from the store, a push or an accepted edit, and pushes it to peers if new. */
   applyAndPush(delta: TableDelta, from: Endpoint | undefined): void {
     if (this.apply(delta, from)) {
       this.pushToSample(delta);
     }
   }
 
-  /** Takes a delta without pushing it on: the peers have it. */
+  /** Applies a delta that the peers already have, without pushing it. */
   applyWithoutPush(delta: TableDelta): void {
-    const { changed, hasGap: hasGap } = this.cache.apply(delta);
+    const { changed, hasGap } = this.cache.apply(delta);
     this.caughtUp = this.caughtUp || !hasGap;
     this.dependencies.handleChangedTables(changed);
   }
 
   /**
-   * A peer has all through `revision`, and `beyond` sums up what it has after that:
-   * asks it if it has anything that this node may lack.
+   * A peer has all tables through `revision`; `aheadDigest` covers those it has after that.
+   * Requests tables from it if it may have some that this balancer lacks.
    */
-  handlePeerRevision(revision: number, beyond: number, from: Endpoint): void {
-    const hasOtherTables = beyond !== 0 && beyond !== this.cache.aheadDigest;
+  handlePeerRevision(revision: number, aheadDigest: number, from: Endpoint): void {
+    const hasOtherTables = aheadDigest !== 0 && aheadDigest !== this.cache.aheadDigest;
     if (revision > this.cache.revision || hasOtherTables) {
       this.requestTables(from);
     }
@@ -109,30 +109,30 @@
   }
 
   handleConfirm(message: TableConfirmMessage): void {
-    const pending = this.pending.get(message.confirmId);
+    const pending = this.pendingReplications.get(message.confirmId);
     if (!pending) {
       return;
     }
     pending.confirmed.add(message.name);
-    if (pending.confirmed.size >= pending.wanted) {
+    if (pending.confirmed.size >= pending.requiredCopies) {
       this.finishReplication(message.confirmId, pending);
     }
   }
 
-  /** Has a table copied to peers, in other zones first; `done` gets how many confirmed. */
-  replicateTable(table: ServiceTable, wanted: number, done: (copies: number) => void): void {
+  /** Replicates a table to peers, other zones first; `onDone` gets the number confirmed. */
+  replicateTable(table: ServiceTable, copies: number, onDone: (confirmed: number) => void): void {
     const { revision } = table;
     const delta = { fromRevision: revision, throughRevision: revision, tables: [table] };
-    const reachable = Math.min(wanted, this.dependencies.listActiveMembers().length);
-    const pending = { delta, wanted: reachable, confirmed: new Set<string>(), done, attempts: 0 };
+    const requiredCopies = Math.min(copies, this.dependencies.listActiveMembers().length);
+    const pending = { delta, requiredCopies, confirmed: new Set<string>(), onDone, attempts: 0 };
     const id = this.nextConfirmId++;
-    this.pending.set(id, pending);
+    this.pendingReplications.set(id, pending);
     this.pushUntilConfirmed(id, pending);
   }
 
-  /** Applies a delta; returns true when any table in it was new here. */
+  /** Applies a delta; returns true when it changed a table. */
   private apply(delta: TableDelta, from: Endpoint | undefined): boolean {
-    const { changed, hasGap: hasGap } = this.cache.apply(delta);
+    const { changed, hasGap } = this.cache.apply(delta);
     if (!hasGap) {
       this.caughtUp = true;
     } else if (from !== undefined) {
@@ -149,10 +149,10 @@
   }
 
   private pushUntilConfirmed(id: number, pending: PendingReplication): void {
-    if (!this.pending.has(id)) {
+    if (!this.pendingReplications.has(id)) {
       return;
     }
-    if (pending.wanted === 0 || pending.attempts >= MAXIMUM_CONFIRM_ATTEMPTS) {
+    if (pending.requiredCopies === 0 || pending.attempts >= MAXIMUM_CONFIRM_ATTEMPTS) {
       this.finishReplication(id, pending);
       return;
     }
@@ -174,15 +174,15 @@
     const rankZone = (member: MemberRecord): number =>
       member.zone === this.context.settings.zone ? 1 : 0;
     candidates.sort((a, b) => rankZone(a.member) - rankZone(b.member) || a.order - b.order);
-    return candidates.slice(0, pending.wanted + 1).map(({ member }) => member);
+    return candidates.slice(0, pending.requiredCopies + 1).map(({ member }) => member);
   }
 
   private finishReplication(id: number, pending: PendingReplication): void {
-    this.pending.delete(id);
-    pending.done(pending.confirmed.size);
+    this.pendingReplications.delete(id);
+    pending.onDone(pending.confirmed.size);
   }
 
-  /** A delta too large for one datagram is not pushed: peers ask for it in parts. */
+  /** Pushes a delta to random peers, unless it exceeds one datagram: peers request it in parts. */
   private pushToSample(delta: TableDelta): void {
     if (splitDelta(delta).length > 1) {
       return;
@@ -207,8 +207,8 @@
 }
 
 /**
- * Splits a delta into datagram-sized parts that each begin where the one before
- * ends, so that a receiver which misses a part sees the gap in the next.
+ * Splits a delta into datagram-sized parts. Each begins at the revision where the previous
+ * one ends, so that a receiver detects a lost part by the gap before the next.
  */
 export function splitDelta(delta: TableDelta): TableDelta[] {
   const ordered = [...delta.tables].sort((a, b) => a.revision - b.revision);
--- a/src/balancer/target-states.ts
+++ b/src/balancer/target-states.ts
@@ -1,7 +1,7 @@
-/** What this balancer has heard of targets that are not simply serving. */
-import { AgentState, type TargetNotice, type ServiceTargetNotice } from '../wire/messages';
+/** States of targets, as gossip and agents reported them to this balancer. */
+import { AgentState, type ServiceTargetNotice, type TargetNotice } from '../wire/messages';
 
-/** Whether `fresh` is later news than `known`: by run, by the agent's own count, by severity. */
+/** Whether `update` is newer than `known`: by incarnation, then state sequence, then severity. */
 function isNewer(update: TargetNotice, known: TargetNotice): boolean {
   if (update.incarnation !== known.incarnation) {
     return update.incarnation > known.incarnation;
@@ -12,11 +12,11 @@
   return update.state > known.state;
 }
 
-/** Newest notice per target. */
+/** Latest state notice per target; a target without one is taken to be serving. */
 export class TargetStates {
   private readonly services = new Map<string, Map<string, TargetNotice>>();
 
-  /** Takes a notice; returns true when it changed what is known. */
+  /** Applies a notice; returns true when it changed the recorded state. */
   apply(service: string, notice: TargetNotice): boolean {
     const targets = this.services.get(service) ?? new Map<string, TargetNotice>();
     const known = targets.get(notice.target);
@@ -42,7 +42,7 @@
     return this.get(service, target)?.state === AgentState.stopped;
   }
 
-  /** Everything known, for a joining balancer. */
+  /** All recorded notices, for a joining balancer. */
   listAll(): ServiceTargetNotice[] {
     return [...this.services].flatMap(([service, targets]) =>
       [...targets.values()].map((notice) => ({ service, ...notice })),
