--- a/src/wire/frame-authenticator.ts
+++ b/src/wire/frame-authenticator.ts
@@ -1,9 +1,9 @@
 /**
- * HMAC-SHA256 (RFC 2104) of frames, cut to 16 bytes.
+ * HMAC-SHA256 (RFC 2104) of frames, truncated to 16 bytes.
  *
- * Made of two one-shot hashes of Node's crypto instead of `createHmac`, whose object
- * costs more than the hashing itself for frames of this size (docs/DESIGN.md has the
- * figures). A test holds it against `createHmac`.
+ * Uses two one-shot hashes of Node's crypto instead of `createHmac`, whose object costs
+ * more than the hashing itself for frames of this size (measurements in docs/DESIGN.md).
+ * A test compares it with `createHmac`.
  */
 import { hash, timingSafeEqual } from 'node:crypto';
 
@@ -14,18 +14,18 @@
 const OUTER_PAD = 0x5c;
 const MAXIMUM_FRAME_BYTES = 65_536;
 
-/** Bytes of a tag. */
+/** Length of a tag in bytes. */
 export const TAG_BYTES = 16;
 
-/** Computes and checks tags under one key. */
+/** Computes and verifies tags under one key. */
 export class FrameAuthenticator {
-  /** The inner pad, followed by room for the message. */
+  /** The key XORed with the inner pad, followed by space for the message. */
   private readonly innerBlock = Buffer.alloc(BLOCK_BYTES + MAXIMUM_FRAME_BYTES);
-  /** The outer pad, followed by room for the inner digest. */
+  /** The key XORed with the outer pad, followed by space for the inner digest. */
   private readonly outerBlock = Buffer.alloc(BLOCK_BYTES + DIGEST_BYTES);
   private readonly expectedTag = Buffer.alloc(TAG_BYTES);
 
-  /** @param secret of any length; one longer than a block is hashed first */
+  /** @param secret of any length; a secret longer than a block is hashed first */
   constructor(secret: Buffer) {
     const key = secret.length > BLOCK_BYTES ? hash(ALGORITHM, secret, 'buffer') : secret;
     this.innerBlock.fill(INNER_PAD, 0, BLOCK_BYTES);
@@ -44,7 +44,7 @@
     target.write(hash(ALGORITHM, this.outerBlock, 'binary'), offset, TAG_BYTES, 'latin1');
   }
 
-  /** Whether `tag` is that of `body`. */
+  /** Whether `tag` is the tag of `body`, compared in constant time. */
   verifyTag(body: Uint8Array, tag: Buffer): boolean {
     this.writeTag(body, this.expectedTag, 0);
     return timingSafeEqual(this.expectedTag, tag);
--- a/src/wire/frame-codec.ts
+++ b/src/wire/frame-codec.ts
@@ -1,8 +1,8 @@
 /**
- * Encodes messages into authenticated frames and back.
+ * Encodes messages as authenticated frames and decodes them.
  *
- * Frame layout: version (1 byte), key id (1 byte), truncated HMAC-SHA256 of
- * everything after it (16 bytes), bson document.
+ * Frame layout: version (1 byte), key id (1 byte), truncated HMAC-SHA256 of the
+ * body (16 bytes), body (BSON document).
  */
 import { deserialize, serialize } from 'bson';
 import { Ok, type Result } from 'ts-results';
@@ -15,28 +15,28 @@
 
 const FRAME_VERSION = 1;
 const TAG_OFFSET = 2;
-/** Bytes before the body of a frame. */
+/** Offset of the body in a frame, in bytes. */
 export const BODY_OFFSET = TAG_OFFSET + TAG_BYTES;
 const TYPE_KEY = 't';
 
-/** A cluster key; `id` travels in the frame and says which key to check with. */
+/** A cluster key; `id` is sent in the frame and selects the key to verify it with. */
 export interface ClusterKey {
   /** 0 to 255. */
   readonly id: number;
   readonly secret: Buffer;
 }
 
-/** Fields of every message type of one protocol, by numeric type. */
+/** Fields of each message type of one protocol, by numeric type. */
 export type MessageSchema = ReadonlyMap<number, readonly FieldCodec[]>;
 
-/** Signs with the first key, accepts frames under any. */
+/** Signs frames with the first key and accepts frames signed with any of the keys. */
 export class FrameCodec<M extends { readonly type: number } = Message> {
   private authenticators = new Map<number, FrameAuthenticator>();
   private activeKeys: readonly ClusterKey[] = [];
 
   /**
    * @param keys one, or two while a key is being replaced; must not be empty
-   * @param schema the protocol; by default the one of balancers and agents
+   * @param schema the protocol; by default that of the datagram interface
    */
   constructor(
     keys: readonly ClusterKey[],
@@ -45,18 +45,18 @@
     this.replaceKeys(keys);
   }
 
-  /** The keys in use; the first one signs. */
+  /** The active keys; the first one signs. */
   get keys(): readonly ClusterKey[] {
     return this.activeKeys;
   }
 
-  /** Takes other keys from now on. */
+  /** Replaces the active keys. */
   replaceKeys(keys: readonly ClusterKey[]): void {
     this.activeKeys = keys;
     this.authenticators = new Map(keys.map((key) => [key.id, new FrameAuthenticator(key.secret)]));
   }
 
-  /** Encodes a message as one datagram. */
+  /** Encodes a message as the frame of one datagram. */
   encode(message: M): Buffer {
     const body = serialize(encodeDocument(message, this.schema.get(message.type)!));
     const frame = Buffer.allocUnsafe(BODY_OFFSET + body.length);
@@ -65,12 +65,12 @@
     return frame;
   }
 
-  /** Authenticates and checks a received datagram. Errors 1301 to 1303. */
+  /** Authenticates and decodes a received frame. Errors 1301 to 1303. */
   decode(frame: Buffer): Result<M, HallholdError> {
     return this.openFrame(frame, FRAME_VERSION).andThen((body) => decodeBody<M>(body, this.schema));
   }
 
-  /** Writes version, key id and tag before the body of a frame. */
+  /** Writes version, key id and tag in front of the body of a frame. */
   protected sealFrame(frame: Buffer, version: number): void {
     const { id } = this.activeKeys[0]!;
     frame[0] = version;
@@ -78,10 +78,13 @@
     this.authenticators.get(id)!.writeTag(frame.subarray(BODY_OFFSET), frame, TAG_OFFSET);
   }
 
-  /** The body of an authentic frame of a version. Errors 1301 and 1302. */
+  /** Verifies a frame of a version and returns its body. Errors 1301 and 1302. */
   protected openFrame(frame: Buffer, version: number): Result<Buffer, HallholdError> {
     if (frame.length <= BODY_OFFSET) {
-      return createFailure(ResultCodes.frameTooShort, `${frame.length} bytes`);
+      return createFailure(
+        ResultCodes.frameTooShort,
+        `a frame of ${frame.length} bytes has no body`,
+      );
     }
     const body = frame.subarray(BODY_OFFSET);
     const key = frame[0] === version ? this.authenticators.get(frame[1]!) : undefined;
@@ -89,7 +92,7 @@
       return createFailure(ResultCodes.frameNotAuthentic, 'unknown version or key id');
     }
     if (!key.verifyTag(body, frame.subarray(TAG_OFFSET, BODY_OFFSET))) {
-      return createFailure(ResultCodes.frameNotAuthentic, 'the authentication tag is wrong');
+      return createFailure(ResultCodes.frameNotAuthentic, 'the authentication tag does not match');
     }
     return new Ok(body);
   }
--- a/src/wire/frame-link.ts
+++ b/src/wire/frame-link.ts
@@ -1,4 +1,4 @@
-/** The link of the balancers' and agents' own protocol, which counts control traffic. */
+/** The message link of the datagram interface, which counts control traffic. */
 import type { Endpoint } from '../environment';
 import { MessageLink } from './message-link';
 import { MessageType, type Message } from './messages';
@@ -7,7 +7,7 @@
 export class FrameLink extends MessageLink<Message> {
   private controlBytes = 0;
 
-  /** Bytes sent in frames that carry no caller's datagram. */
+  /** Bytes sent in frames that carry neither a caller's datagram nor a reply. */
   get controlBytesSent(): number {
     return this.controlBytes;
   }
--- a/src/wire/message-link.ts
+++ b/src/wire/message-link.ts
@@ -1,4 +1,4 @@
-/** A node's way to and from other nodes: encodes and sends, authenticates and counts. */
+/** Encodes and sends the messages of a node; authenticates and decodes the frames it receives. */
 import type { Endpoint, Environment, FrameTransport } from '../environment';
 import { ResultCodes } from '../errors/result-codes';
 import { Events } from '../logging/events';
@@ -14,26 +14,26 @@
     private readonly environment: Environment,
   ) {}
 
-  /** Frames received that were not authentic or malformed. */
+  /** Number of received frames that were not authentic or malformed. */
   get framesRejected(): number {
     return this.rejectedFrames;
   }
 
-  /** Sends a message; returns the bytes of its frame. */
+  /** Sends a message; returns the length of its frame in bytes. */
   send(to: Endpoint, message: M): number {
     const frame = this.encodeFor(to, message);
     this.transport.send(to, frame);
     return frame.length;
   }
 
-  /** Sends one message to many, encoded once. */
+  /** Sends one message to several nodes, encoded once. */
   sendToAll(addresses: readonly Endpoint[], message: M): void {
     if (addresses.length > 0) {
       this.sendFrame(addresses, this.codec.encode(message));
     }
   }
 
-  /** The message of a received frame; undefined for one that is dropped, which is reported. */
+  /** Decodes a received frame; returns undefined and logs the reason when it is rejected. */
   receive(frame: Buffer): M | undefined {
     const decoded = this.codec.decode(frame);
     if (decoded.ok) {
@@ -46,12 +46,12 @@
     return undefined;
   }
 
-  /** Sends one frame to many. */
+  /** Sends one frame to several nodes. */
   protected sendFrame(addresses: readonly Endpoint[], frame: Buffer): void {
     addresses.forEach((to) => this.transport.send(to, frame));
   }
 
-  /** The frame of a message for one node. */
+  /** Encodes a message for one node. */
   protected encodeFor(_to: Endpoint, message: M): Buffer {
     return this.codec.encode(message);
   }
--- a/src/wire/message-schema.ts
+++ b/src/wire/message-schema.ts
@@ -1,16 +1,15 @@
 /**
- * How each message maps to a bson document: one short key a field, and a check
- * that a received value must pass. A frame from the network is trusted only
- * after every field of its type has passed.
+ * Maps each message to a BSON document: one short key per field, and the validation
+ * of its received value. A message is accepted only if all fields of its type are valid.
  */
 import { BUCKET_SET_BYTES } from '../core/bucket-set';
 import type { ServiceTable, TableRow } from '../core/table';
 import {
-  unpackBinary,
+  createEnumUnpacker,
+  createListUnpacker,
   FieldError,
+  unpackBinary,
   unpackInteger,
-  createListUnpacker,
-  createEnumUnpacker,
   unpackNonNegativeNumber,
   unpackText,
   unpackTuple,
@@ -19,14 +18,14 @@
 import {
   MessageType,
   type MemberRecord,
-  type TargetNotice,
   type ServiceTargetNotice,
+  type TargetNotice,
 } from './messages';
 
 function unpackBucketBitmap(value: unknown): Buffer {
   const bytes = unpackBinary(value);
   if (bytes.length !== BUCKET_SET_BYTES) {
-    throw new FieldError('not a bucket bitmap');
+    throw new FieldError(`not a bucket bitmap of ${BUCKET_SET_BYTES} bytes`);
   }
   return bytes;
 }
--- a/src/wire/messages.ts
+++ b/src/wire/messages.ts
@@ -1,8 +1,8 @@
-/** The messages between hallhold's own processes. docs/PROTOCOL.md lists who sends each. */
+/** Messages between balancers and agents of the datagram interface; see docs/PROTOCOL.md. */
 import type { ServiceTable } from '../core/table';
 import type { Endpoint } from '../environment';
 
-/** Numeric message types as sent. */
+/** Numeric message types on the wire. */
 export const MessageType = {
   forward: 1,
   reply: 2,
@@ -31,12 +31,12 @@
 export interface ForwardMessage {
   readonly type: typeof MessageType.forward;
   readonly service: string;
-  /** The agent this frame is meant for; any other drops it. */
+  /** The agent that the frame is addressed to; any other agent drops it. */
   readonly target: string;
   readonly caller: Endpoint;
   /** The balancer that received the datagram. */
   readonly balancer: Endpoint;
-  /** Revision of the service's table that the balancer routed by. */
+  /** Revision of the service's table by which the balancer routed the datagram. */
   readonly tableRevision: number;
   readonly hops: number;
   /** Target name of the bucket owner that placed the flow here; empty when not placed. */
@@ -49,13 +49,13 @@
   readonly type: typeof MessageType.reply;
   readonly service: string;
   readonly target: string;
-  /** 1 when the sender hosts the flow, so that the balancer may learn it; 0 for a refusal. */
+  /** 1 when the sender hosts the flow, so that the balancer may cache it; 0 for a refusal. */
   readonly hosted: number;
   readonly caller: Endpoint;
   readonly payload: Buffer;
 }
 
-/** What an agent says of its readiness for new flows. */
+/** Readiness of an agent for new flows. */
 export const AgentState = { serving: 1, draining: 2, stopped: 3 } as const;
 export type AgentStateValue = (typeof AgentState)[keyof typeof AgentState];
 
@@ -66,27 +66,27 @@
   readonly target: string;
   readonly incarnation: number;
   readonly sequence: number;
-  /** The receiver's newest sequence that the sender has heard; 0 for none. */
+  /** The receiver's latest sequence that the sender has received; 0 for none. */
   readonly echo: number;
   /** The receiver's incarnation that `echo` belongs to. */
   readonly echoIncarnation: number;
   readonly state: AgentStateValue;
-  /** Rises with each change of the sender's state. */
+  /** Increases with each change of the sender's state. */
   readonly stateSequence: number;
   readonly tableRevision: number;
   readonly flows: number;
   readonly freeSlots: number;
   /** Load in thousandths. */
   readonly load: number;
-  /** Milliseconds since the agent's back end started serving. */
+  /** Milliseconds since the agent's back end began to serve. */
   readonly age: number;
-  /** Peers the sender has not heard for {@link PEER_UNHEARD_AFTER}. */
+  /** Peers that have not reported to the sender for PEER_TIMEOUT_MS. */
   readonly unheard: readonly string[];
-  /** Flows of the receiver's buckets that ended at the sender: 6-byte endpoints. */
+  /** Flows in the receiver's buckets that have ended at the sender, as 6-byte endpoints. */
   readonly closed: Buffer;
 }
 
-/** Asks a peer to release buckets and to tell which flows it knows in them. */
+/** Requests that a peer release buckets and report the flows it knows in them. */
 export interface ClaimMessage {
   readonly type: typeof MessageType.claim;
   readonly service: string;
@@ -103,26 +103,26 @@
   readonly service: string;
   readonly target: string;
   readonly claimId: number;
-  /** Buckets the sender keeps, as a bitmap. */
+  /** Buckets that the sender does not release, as a bitmap. */
   readonly refused: Buffer;
   readonly part: number;
   readonly parts: number;
-  /** Host names that the entries point into. */
+  /** Target names of hosts, to which the entries refer by index. */
   readonly hosts: readonly string[];
   /** Entries of 7 bytes: the caller's endpoint and an index into `hosts`. */
   readonly entries: Buffer;
 }
 
-/** What an agent knows of a peer that is not simply serving. */
+/** The state of a target that is or has been draining or stopped. */
 export interface TargetNotice {
   readonly target: string;
   readonly incarnation: number;
-  /** The agent's own count of its state changes; orders notices of one incarnation. */
+  /** Number of state changes of the agent; orders the notices of one incarnation. */
   readonly stateSequence: number;
   readonly state: AgentStateValue;
 }
 
-/** Periodic report of an agent to a balancer, which also polls for a newer table. */
+/** Periodic report of an agent to a balancer, and request for a newer table. */
 export interface HelloMessage {
   readonly type: typeof MessageType.hello;
   readonly service: string;
@@ -131,7 +131,7 @@
   readonly state: AgentStateValue;
   readonly stateSequence: number;
   readonly tableRevision: number;
-  /** Peers a quorum of the group calls dead, and peers that drain. */
+  /** Peers that a quorum of the group considers dead, and peers that are draining. */
   readonly notices: readonly TargetNotice[];
 }
 
@@ -139,15 +139,15 @@
 export interface HelloAnswerMessage {
   readonly type: typeof MessageType.helloAnswer;
   readonly service: string;
-  /** The service's table if newer than the agent's, else empty. */
+  /** The service's table if it is newer than the agent's, else empty. */
   readonly tables: readonly ServiceTable[];
-  /** A few live balancers for the agent to turn to. */
+  /** Some live balancers for the agent to contact. */
   readonly balancers: readonly Endpoint[];
-  /** What the balancer believes of the asking agent, if it is not simply serving. */
+  /** The balancer's record of the agent itself, if it has one; the agent may have to refute it. */
   readonly notices: readonly TargetNotice[];
 }
 
-/** Asks for every table changed after a revision. */
+/** Requests all tables changed after a revision. */
 export interface TableRequestMessage {
   readonly type: typeof MessageType.tableRequest;
   readonly haveThrough: number;
@@ -159,34 +159,34 @@
   readonly fromRevision: number;
   readonly throughRevision: number;
   readonly tables: readonly ServiceTable[];
-  /** 1 for news that the receiver passes on; 0 for the answer to its own request. */
+  /** 1 for a push, which the receiver pushes to others; 0 for the answer to a request. */
   readonly pushed: number;
   /** Non-zero when the sender wants a {@link TableConfirmMessage}. */
   readonly confirmId: number;
 }
 
-/** Confirms that the receiver of a delta holds it. */
+/** Confirms that a delta has been applied. */
 export interface TableConfirmMessage {
   readonly type: typeof MessageType.tableConfirm;
   readonly confirmId: number;
   readonly name: string;
 }
 
-/** States of a balancer as its peers see it. */
+/** States of a balancer in the view of its peers. */
 export const MemberState = { alive: 1, suspect: 2, dead: 3, leaving: 4 } as const;
 export type MemberStateValue = (typeof MemberState)[keyof typeof MemberState];
 
-/** One balancer's entry in gossip. */
+/** Membership record of one balancer. */
 export interface MemberRecord {
   readonly name: string;
   readonly endpoint: Endpoint;
   readonly zone: string;
-  /** Raised by the member itself to refute a suspicion; a restart starts higher. */
+  /** Increased by the member itself to refute a suspicion; higher after each restart. */
   readonly incarnation: number;
   readonly state: MemberStateValue;
 }
 
-/** A change of an agent's state, spread among balancers. */
+/** A change of an agent's state, gossiped among balancers. */
 export interface ServiceTargetNotice extends TargetNotice {
   readonly service: string;
 }
@@ -195,31 +195,31 @@
 export interface GossipFields {
   readonly sequence: number;
   readonly sender: MemberRecord;
-  /** The sender has all tables through this revision. */
+  /** Revision through which the sender has all tables. */
   readonly haveThrough: number;
-  /** Digest of the tables it has beyond that; 0 for none. */
+  /** Digest of the tables it has after that revision; 0 for none. */
   readonly beyond: number;
   readonly members: readonly MemberRecord[];
   readonly targets: readonly ServiceTargetNotice[];
 }
 
-/** A probe. */
+/** Probes a member. */
 export interface PingMessage extends GossipFields {
   readonly type: typeof MessageType.ping;
 }
 
-/** The answer to a probe, direct or through another member. */
+/** Answers a probe, directly or through another member. */
 export interface PingAnswerMessage extends GossipFields {
   readonly type: typeof MessageType.pingAnswer;
 }
 
-/** Asks another member to probe `subject` for the sender. */
+/** Requests that another member probe `subject` for the sender. */
 export interface PingRequestMessage extends GossipFields {
   readonly type: typeof MessageType.pingRequest;
   readonly subject: Endpoint;
 }
 
-/** A balancer asks to join; answered by member lists. */
+/** Requests to join the group; answered by member lists. */
 export interface JoinMessage {
   readonly type: typeof MessageType.join;
   readonly sender: MemberRecord;
@@ -233,26 +233,26 @@
   readonly targets: readonly ServiceTargetNotice[];
 }
 
-/** A request that its flow's host passes to a target with a free slot. */
+/** A request that the host of its flow passes to a target with a free slot. */
 export interface PassedRequestMessage {
   readonly type: typeof MessageType.passedRequest;
   readonly service: string;
   readonly target: string;
-  /** The run of the target that may take it; another run might repeat what this one did. */
+  /** The only incarnation of the target that may run it; another one might run it a second time. */
   readonly targetIncarnation: number;
   readonly origin: string;
   readonly originIncarnation: number;
   readonly passId: number;
-  /** Milliseconds the origin still waits. */
+  /** Milliseconds for which the origin still waits. */
   readonly deadline: number;
   readonly payload: Buffer;
 }
 
-/** How a passed request ended. */
+/** Outcome of a passed request. */
 export const PassedOutcome = { answered: 1, refused: 2, unknown: 3 } as const;
 export type PassedOutcomeValue = (typeof PassedOutcome)[keyof typeof PassedOutcome];
 
-/** The answer to a passed request. */
+/** Answers a passed request. */
 export interface PassedAnswerMessage {
   readonly type: typeof MessageType.passedAnswer;
   readonly service: string;
@@ -263,7 +263,7 @@
   readonly payload: Buffer;
 }
 
-/** Asks the issuer of a permit to burn it, or to tell that it was used. */
+/** Requests that the issuer of a permit revoke it, or report that it was used. */
 export interface PermitQueryMessage {
   readonly type: typeof MessageType.permitQuery;
   readonly service: string;
@@ -274,24 +274,24 @@
   readonly expiresAt: number;
 }
 
-/** The issuer's answer. */
+/** Answers a {@link PermitQueryMessage}. */
 export interface PermitAnswerMessage {
   readonly type: typeof MessageType.permitAnswer;
   readonly service: string;
   readonly target: string;
   readonly queryId: number;
-  /** 1: no request ran under the permit and none will; 0: one ran or may have run. */
+  /** 1: revoked, no request ran under the permit and none will; 0: one ran or may have run. */
   readonly burnt: number;
 }
 
-/** A store reader tells an agent that the machine list has its machine as leaving. */
+/** Notifies an agent that the machine list marks its machine as leaving; from a store reader. */
 export interface DrainNoticeMessage {
   readonly type: typeof MessageType.drainNotice;
   readonly service: string;
   readonly target: string;
 }
 
-/** The owner of a bucket tells an agent to end flows that another agent hosts. */
+/** Requests that an agent end flows that another agent hosts; from the owner of their bucket. */
 export interface FlowEvictionMessage {
   readonly type: typeof MessageType.flowEviction;
   readonly service: string;
