--- a/src/table-store/http-store.ts
+++ b/src/table-store/http-store.ts
@@ -1,10 +1,10 @@
-/** The platform's store over HTTP and JSON, through undici. */
+/** Client of the platform's store over HTTP and JSON, using undici. */
 import { createInterface } from 'node:readline';
 import { Err, Ok, type Result } from 'ts-results';
 import { Agent, request, type Dispatcher } from 'undici';
 import type { z } from 'zod';
 import type { TableDelta } from '../core/table-cache';
-import { createFailure, HallholdError, getErrorMessage } from '../errors/hallhold-error';
+import { createFailure, getErrorMessage, HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 import type {
   ResultCallback,
@@ -15,15 +15,15 @@
   WatchHandle,
 } from './store-port';
 import {
+  convertToMachines,
+  convertToStoredTable,
+  convertToTable,
+  createTableResource,
   nodeList,
   NODES_PATH,
   tableList,
   tableResource,
   TABLES_PATH,
-  convertToMachines,
-  createTableResource,
-  convertToStoredTable,
-  convertToTable,
   watchEvent,
 } from './store-resources';
 
@@ -38,7 +38,7 @@
   readonly body: unknown;
 }
 
-/** Store client of one process. */
+/** The store client of one process. */
 export class HttpStore implements StorePort {
   private readonly agent = new Agent({
     connect: { timeout: CALL_TIMEOUT_MS },
@@ -106,7 +106,7 @@
     return checkResponse(response.val, tableResource).map(convertToStoredTable);
   }
 
-  /** Reads first: the object's earlier write ids must be carried on. */
+  /** Reads the object first, as its earlier write ids must be written back. */
   private async writeTable(
     write: TableWrite,
     expectedRevision: number,
@@ -119,7 +119,7 @@
     if (revision !== expectedRevision) {
       return createFailure(
         ResultCodes.storeConflict,
-        `revision is ${revision}, not ${expectedRevision}`,
+        `the revision is ${revision}, expected ${expectedRevision}`,
       );
     }
     const resource = createTableResource(
@@ -154,7 +154,7 @@
         revision = delta.throughRevision;
         onChange(delta);
       }
-      return new HallholdError(ResultCodes.storeUnavailable, 'the watch ended');
+      return new HallholdError(ResultCodes.storeUnavailable, 'the store closed the watch');
     } catch (error) {
       return error instanceof HallholdError
         ? error
@@ -207,15 +207,24 @@
     return new HallholdError(ResultCodes.storeConflict, 'the object has changed');
   }
   if (status === STATUS_GONE) {
-    return new HallholdError(ResultCodes.storeWatchExpired, 'the watch starts too long ago');
+    return new HallholdError(
+      ResultCodes.storeWatchExpired,
+      'the store no longer has the revision at which the watch starts',
+    );
   }
-  return new HallholdError(ResultCodes.storeUnavailable, `the store answered ${status}`);
+  return new HallholdError(
+    ResultCodes.storeUnavailable,
+    `the store answered with HTTP status ${status}`,
+  );
 }
 
 function parseWatchLine(line: string, fromRevision: number): TableDelta {
   const event = watchEvent.safeParse(JSON.parse(line));
   if (!event.success || event.data.type === 'ERROR') {
-    throw new HallholdError(ResultCodes.storeWatchExpired, 'the watch reported an error');
+    throw new HallholdError(
+      ResultCodes.storeWatchExpired,
+      'the watch returned an error or an invalid event',
+    );
   }
   const resource = tableResource.parse(event.data.object);
   const throughRevision = resource.metadata.resourceVersion;
--- a/src/table-store/store-resources.ts
+++ b/src/table-store/store-resources.ts
@@ -1,12 +1,16 @@
 /**
- * The store's resources in the form of the Kubernetes API conventions, and their
- * conversion to tables. Received objects are checked before use.
+ * The store's resources, which follow the Kubernetes API conventions, and their conversion
+ * to tables. Received objects are validated before use.
  */
 import { z } from 'zod';
 import { formatEndpoint, parseEndpoint } from '../core/endpoint';
 import type { ServiceTable, TableRow } from '../core/table';
-import type { MachineRecord, StoredTable, TableWrite } from './store-port';
-import { MAXIMUM_RECENT_WRITE_IDS } from './store-port';
+import {
+  MAXIMUM_RECENT_WRITE_IDS,
+  type MachineRecord,
+  type StoredTable,
+  type TableWrite,
+} from './store-port';
 
 /** Path of the table collection. */
 export const TABLES_PATH = '/apis/hallhold.io/v1/tables';
@@ -28,7 +32,7 @@
   connections: z.number().int().min(0),
 });
 
-/** A table object of the store. */
+/** Schema of a table object. */
 export const tableResource = z.object({
   metadata: z.object({
     name: z.string(),
@@ -38,13 +42,13 @@
   spec: z.object({ rows: z.array(tableRow) }),
 });
 
-/** A list of table objects. */
+/** Schema of a list of table objects. */
 export const tableList = z.object({
   metadata: z.object({ resourceVersion }),
   items: z.array(tableResource),
 });
 
-/** One line of a watch. */
+/** Schema of one line of a watch. */
 export const watchEvent = z.object({
   type: z.enum(['ADDED', 'MODIFIED', 'BOOKMARK', 'ERROR']),
   object: z.unknown(),
@@ -55,7 +59,7 @@
   status: z.object({ addresses: z.array(z.object({ type: z.string(), address: z.string() })) }),
 });
 
-/** The machine list. */
+/** Schema of the machine list. */
 export const nodeList = z.object({ items: z.array(nodeResource) });
 
 type TableResource = z.infer<typeof tableResource>;
@@ -66,7 +70,7 @@
   return joined.split(',').filter((id) => id !== '');
 }
 
-/** A stored object as a table. */
+/** Converts a stored object to a table. */
 export function convertToTable(resource: TableResource): ServiceTable {
   const { name, resourceVersion: revision } = resource.metadata;
   return {
@@ -77,12 +81,12 @@
   };
 }
 
-/** A stored object with its write ids. */
+/** Converts a stored object to a table with its write ids. */
 export function convertToStoredTable(resource: TableResource): StoredTable {
   return { table: convertToTable(resource), recentWriteIds: getWriteIds(resource) };
 }
 
-/** The object to send for a write. */
+/** Creates the object to send for a write. */
 export function createTableResource(
   write: TableWrite,
   expectedRevision: number,
@@ -102,7 +106,7 @@
   };
 }
 
-/** The machine list's entries. */
+/** Converts the machine list to one record per address. */
 export function convertToMachines(list: z.infer<typeof nodeList>): MachineRecord[] {
   return list.items.flatMap((node) =>
     node.status.addresses.map(({ address }) => ({ address, leaving: node.spec.unschedulable })),
