--- a/test/decoders.test.ts
+++ b/test/decoders.test.ts
@@ -1,4 +1,4 @@
-/** No decoder dies of any bytes: arbitrary ones, and mutations of real ones. */
+/** Fuzz tests: no decoder throws on arbitrary bytes or on mutated valid frames. */
 import { createHmac } from 'node:crypto';
 import { serialize } from 'bson';
 import fc from 'fast-check';
@@ -57,7 +57,7 @@
   },
 ];
 
-/** A frame with an arbitrary body under the right key. */
+/** Creates an authentic frame with an arbitrary body. */
 function signBody(body: Uint8Array): Buffer {
   const tag = createHmac('sha256', KEY.secret).update(body).digest().subarray(0, 16);
   return Buffer.concat([Buffer.from([1, KEY.id]), tag, body]);
@@ -71,8 +71,8 @@
 
 test('frames under another key, or changed by one bit, are not authentic', (t) => {
   const frame = codec.encode(forward);
-  const other = new FrameCodec([{ id: 7, secret: Buffer.from('another-test-secret') }]);
-  const refused = other.decode(frame);
+  const otherCodec = new FrameCodec([{ id: 7, secret: Buffer.from('another-test-secret') }]);
+  const refused = otherCodec.decode(frame);
   t.true(refused.err && refused.val.resultCode.name === 'frame-not-authentic');
   fc.assert(
     fc.property(fc.nat(frame.length * 8 - 1), (bit) => {
@@ -115,7 +115,7 @@
   t.pass();
 });
 
-test('authentic frames with any document are decoded or refused with a number', (t) => {
+test('authentic frames with any document are decoded or refused with a result code', (t) => {
   const keys = fc.constantFrom('t', 's', 'n', 'c', 'b', 'r', 'h', 'o', 'p', 'g', 'l');
   const values = fc.oneof(
     fc.integer(),
@@ -150,15 +150,15 @@
 });
 
 test('running nodes survive arbitrary and mutated datagrams', (t) => {
-  const world = new Simulation({
+  const simulation = new Simulation({
     deployment: DEPLOYMENTS.map,
     seed: 1,
     design: 'hallhold',
     without: [],
   });
-  world.start();
-  const balancer = world.balancers[0]!.node;
-  const agent = world.targets[0]!.agent;
+  simulation.start();
+  const balancer = simulation.balancers[0]!.node;
+  const agent = simulation.targets[0]!.agent;
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       const datagram = Buffer.from(bytes);
@@ -171,6 +171,6 @@
     }),
     RUNS,
   );
-  world.runUntil(world.clock.now + 2_000);
+  simulation.runUntil(simulation.clock.now + 2_000);
   t.true(agent.statistics.framesRejected >= RUNS.numRuns);
 });
