--- a/src/balancer/flow-host-cache.ts
+++ b/src/balancer/flow-host-cache.ts
@@ -19,10 +19,10 @@
   generation = 0;
   private currentEntries = 0;
 
-  /** @param capacity flows cached over all services; once full, at least half of it stays in use */
+  /** @param capacity maximum of flows cached over all services; once full, at least half of it */
   constructor(private readonly capacity: number) {}
 
-  /** Counts a new entry; begins a new generation after each half of the capacity. */
+  /** Counts a new entry; begins a new generation every `capacity / 2` entries. */
   countEntry(): void {
     this.currentEntries++;
     if (this.currentEntries >= this.capacity / 2) {
