--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -1,7 +1,7 @@
 /**
- * One agent: hosts the flows of one target, guards its limits, and owns a part of
+ * One agent: hosts the flows of one target, enforces its limits, and owns a part of
  * its service's flow directory. The same class runs in the real process and in the
- * simulator; everything outside comes in through {@link AgentDependencies}.
+ * simulator; all dependencies are passed in as {@link AgentDependencies}.
  */
 import { computeBucket, computeServiceSeed } from '../core/hashing';
 import { chooseTarget } from '../core/placement';
@@ -36,9 +36,9 @@
 import { RequestPassing } from './request-passing';
 import { Safeguards } from './safeguards';
 
-/** Interval of hellos while the agent has no table yet, in milliseconds. */
+/** Interval between hellos while the agent has no table yet. */
 const FIRST_HELLO_INTERVAL_MS = 200;
-/** Least time between two hellos that a newer table revision in a frame prompts. */
+/** Between two hellos that a newer table revision in a frame prompts. */
 const MINIMUM_PROMPTED_HELLO_INTERVAL_MS = 100;
 
 /** The agent of one target. */
@@ -125,7 +125,7 @@
     this.monitor = new BackendMonitor(context, this.requests, () => this.handleBackendChange());
   }
 
-  /** Begins heartbeats, hellos and back end reports. */
+  /** Starts heartbeats, hellos and polls of the back end. */
   start(): void {
     this.isRunning = true;
     const { environment } = this.dependencies;
@@ -134,7 +134,7 @@
     this.sendPeriodicHello();
   }
 
-  /** Ends this node in favour of a successor, and returns all that the successor needs. */
+  /** Stops this node and returns the state for its successor process. */
   handOver(): AgentSnapshot {
     this.halt();
     const runningRequests = [...this.requests.listPurposes(), ...this.passing.listPurposes()];
@@ -153,7 +153,7 @@
     };
   }
 
-  /** Takes over from a predecessor; call before {@link start}, with its incarnation in settings. */
+  /** Restores a predecessor's state; call before {@link start}, with its incarnation in settings. */
   takeOver(snapshot: AgentSnapshot): void {
     this.membership.importState(snapshot.membership);
     this.drain.importState(snapshot.drain);
@@ -168,19 +168,19 @@
     this.membership.sendHeartbeats();
   }
 
-  /** Begins a planned stop: no new work; hosted flows run out. */
+  /** Begins a planned stop: accepts no new work while hosted flows finish. */
   beginStop(): void {
     this.drain.setReason('stop', true);
   }
 
-  /** Ends the node: peers hear that it stopped, timers run out. */
+  /** Stops the node: announces the stop to its peers and cancels its timers. */
   stop(): void {
     this.drain.markStopped();
     this.membership.sendHeartbeats();
     this.halt();
   }
 
-  /** True while flows or requests are here. */
+  /** True while the agent hosts flows or runs requests. */
   get isBusy(): boolean {
     return this.flows.size > 0 || this.requests.busySlots > 0;
   }
@@ -190,17 +190,17 @@
     return [...this.flows.getAll()].map(([caller]) => caller);
   }
 
-  /** Revision of the table in force here; 0 before the first. */
+  /** Revision of the active table; 0 before the first. */
   get tableRevision(): number {
     return this.membership.tableRevision;
   }
 
-  /** The service's table in force here. */
+  /** The service's active table. */
   get activeTable(): ServiceTable | undefined {
     return this.membership.table;
   }
 
-  /** Buckets of the service's directory that this agent owns. */
+  /** Number of directory buckets that this agent owns. */
   get ownedBucketCount(): number {
     return this.directory.countOwned();
   }
@@ -226,20 +226,20 @@
     };
   }
 
-  /** Takes a datagram that arrived at the agent's frame address. */
+  /** Handles a datagram that arrived at the agent's frame address. */
   receiveFrame(frame: Buffer, from: Endpoint): void {
     const message = this.link.receive(frame);
     if (message) {
-      this.receive(message, from);
+      this.handleMessage(message, from);
     }
   }
 
-  /** Takes a datagram from the back end of a coap service. */
+  /** Handles a datagram from the back end of a coap service. */
   receiveBackendMessage(datagram: Buffer): void {
     this.requests.receive(datagram);
   }
 
-  /** Takes a datagram from the back end for one flow of a datagram service. */
+  /** Handles a datagram from the back end for one flow of a datagram service. */
   receiveBackendDatagram(caller: Endpoint, payload: Buffer): void {
     this.replyToCaller(caller, payload);
   }
@@ -254,7 +254,7 @@
     const { context, requests, passing, permits, queries } = this;
     return new RequestGuard(context, requests, passing, permits, queries, {
       reply: (caller, payload) => this.replyToCaller(caller, payload),
-      getFreeSlots: () => this.freeSlots(),
+      getFreeSlots: () => this.getFreeSlots(),
       acceptsNewWork: () => this.drain.state === AgentState.serving,
       endFlow: (caller) => this.endFlow(caller),
     });
@@ -276,9 +276,9 @@
     };
   }
 
-  private receive(message: Message, from: Endpoint): void {
+  private handleMessage(message: Message, from: Endpoint): void {
     if (message.type === MessageType.forward) {
-      this.receiveForward(message);
+      this.handleForward(message);
       return;
     }
     const service = 'service' in message ? message.service : this.settings.service;
@@ -286,10 +286,10 @@
       this.dependencies.environment.report(Events.frameWrongService, { service });
       return;
     }
-    this.receiveControl(message, from);
+    this.handleControlMessage(message, from);
   }
 
-  private receiveControl(message: Message, from: Endpoint): void {
+  private handleControlMessage(message: Message, from: Endpoint): void {
     switch (message.type) {
       case MessageType.heartbeat:
         this.membership.receive(message, from);
@@ -301,7 +301,7 @@
         this.directory.receiveAnswer(message);
         break;
       case MessageType.helloAnswer:
-        this.receiveHelloAnswer(message, from);
+        this.handleHelloAnswer(message, from);
         break;
       case MessageType.passedRequest:
         this.passing.receiveRequest(message, from);
@@ -326,7 +326,7 @@
     }
   }
 
-  private receiveForward(message: ForwardMessage): void {
+  private handleForward(message: ForwardMessage): void {
     if (message.hops === 0) {
       this.contacts.recordContact(message.balancer);
     }
@@ -338,7 +338,7 @@
     this.flowsOpened += Math.max(0, this.flows.size - before);
   }
 
-  private receiveHelloAnswer(message: HelloAnswerMessage, from: Endpoint): void {
+  private handleHelloAnswer(message: HelloAnswerMessage, from: Endpoint): void {
     this.contacts.recordContact(from);
     this.contacts.replaceKnown(message.balancers);
     message.tables.forEach((table) => this.applyTable(table));
@@ -481,12 +481,12 @@
     };
   }
 
-  private freeSlots(): number {
+  private getFreeSlots(): number {
     return (this.membership.ownRow?.slots ?? 0) - this.requests.busySlots;
   }
 
   private getFreeSlotsForNewWork(): number {
-    return this.drain.state === AgentState.serving ? this.freeSlots() : 0;
+    return this.drain.state === AgentState.serving ? this.getFreeSlots() : 0;
   }
 
   private deliver(caller: Endpoint, flow: HostedFlow, payload: Buffer): void {
--- a/src/agent/bucket-directory.ts
+++ b/src/agent/bucket-directory.ts
@@ -2,10 +2,10 @@
  * The part of the service's flow directory that this agent owns: for each of its
  * buckets, which target hosts each flow.
  *
- * Taking a bucket over is a hand-shake. The claimer asks every live agent of the
- * service; in the same step in which an agent answers it stops admitting in the
- * bucket and tells its entries and the flows it hosts. Only with all answers does
- * the claimer admit. So two views of the table never admit the same flow twice.
+ * A bucket changes its owner by a handshake. The claimer queries every live agent of
+ * the service; in the step in which an agent answers, it stops admitting flows in the
+ * bucket and sends its entries and the flows it hosts. The claimer admits flows only
+ * after all answers, so agents with different tables never both admit the same flow.
  */
 import { BucketSet } from '../core/bucket-set';
 import { BUCKET_COUNT } from '../core/hashing';
@@ -18,48 +18,48 @@
 import { packCallers, packEntries, unpackEntries, type FlowEntry } from './flow-entries';
 import type { GroupMembership, Peer } from './group-membership';
 
-/** What this agent may do in a bucket. */
+/** This agent's role in a bucket. */
 export type BucketPhase = 'none' | 'claiming' | 'owned';
 
 const ENTRIES_PER_PART = 150;
-/** Answers kept over all claimers. */
+/** Answers retained for all claimers together. */
 const MAXIMUM_SENT_ANSWERS = 64;
 
 interface Claim {
   readonly id: number;
   readonly buckets: BucketSet;
-  /** Peers still to answer, with the parts received of each. */
+  /** Peers that have not answered in full, with the parts received from each. */
   readonly awaiting: Map<string, Set<number>>;
 }
 
-/** The answer to a peer's claim, kept in case it asks again. */
+/** The answer to a peer's claim, retained to answer retransmissions. */
 export interface SentAnswer {
   /** Claimer and claim id. */
   readonly key: string;
   readonly parts: readonly ClaimAnswerMessage[];
 }
 
-/** What a successor needs to go on. Claims under way are made anew. */
+/** State handed to the successor. It makes pending claims anew. */
 export interface BucketDirectoryState {
   readonly owned: Buffer;
   readonly hosts: readonly string[];
-  /** Entries of 7 bytes, as in a claim's answer. */
+  /** Entries of 7 bytes, as in a claim answer. */
   readonly entries: Buffer;
   readonly nextClaimId: number;
   readonly sentAnswers: readonly SentAnswer[];
 }
 
-/** What the directory needs to know of the flows hosted here. */
+/** Access to the flows hosted by this agent. */
 export interface HostedFlowSource {
   /** Callers of hosted flows whose bucket is in the set. */
   listCallersIn(buckets: BucketSet): Endpoint[];
-  /** Whether a flow is hosted here. */
+  /** Whether this agent hosts the flow. */
   isHosted(caller: Endpoint): boolean;
-  /** Ends a flow hosted here, in favour of another host. */
+  /** Ends a flow that another target hosts too. */
   endFlow(caller: Endpoint): void;
 }
 
-/** Bucket phases, directory entries and the claim hand-shake of one agent. */
+/** Bucket phases, directory entries and the claim handshake of one agent. */
 export class BucketDirectory {
   private readonly phases: BucketPhase[] = Array.from({ length: BUCKET_COUNT }, () => 'none');
   private readonly entries = new Map<number, Map<Endpoint, string>>();
@@ -89,17 +89,17 @@
     return this.owners[bucket];
   }
 
-  /** Buckets owned here. */
+  /** Number of buckets that this agent owns. */
   countOwned(): number {
     return this.phases.filter((phase) => phase === 'owned').length;
   }
 
-  /** Owners that place flows at the same time, in this agent's view. */
+  /** Number of owners that place flows concurrently, in this agent's view. */
   getOwnerCount(): number {
     return this.distinctOwnerCount;
   }
 
-  /** Directory entries held. */
+  /** Number of directory entries. */
   countEntries(): number {
     let count = 0;
     for (const bucket of this.entries.values()) {
@@ -129,7 +129,7 @@
     }
   }
 
-  /** Forgets every entry of a host whose flows are gone, and stops waiting for it. */
+  /** Removes all entries of a host whose flows have ended; claims no longer wait for it. */
   removeHost(host: string): void {
     for (const bucket of this.entries.values()) {
       for (const [caller, entryHost] of bucket) {
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Computes the owners anew and claims what this agent now should own. */
+  /** Recomputes the owners and claims the buckets now assigned to this agent. */
   reconcile(): void {
     this.owners = computeOwners(
       this.context.settings.service,
@@ -154,8 +154,8 @@
   }
 
   /**
-   * Claims everything owned here anew, after this agent was out of touch for longer than
-   * its lease: others may own the buckets by now and know other hosts.
+   * Claims all owned buckets again after this agent was disconnected for longer than
+   * its lease: other agents may have taken them over and recorded other hosts.
    */
   reclaimOwned(): void {
     const buckets = this.getOwnedBuckets();
@@ -170,7 +170,7 @@
     this.startClaim(buckets, this.membership.listPeersToQuery());
   }
 
-  /** Asks one peer for its flows in the buckets owned here, without giving up admission. */
+  /** Queries one peer for its flows in the owned buckets, while admission continues. */
   refreshFrom(peer: Peer): void {
     if (this.countOwned() > 0) {
       this.startClaim(this.getOwnedBuckets(), [peer]);
@@ -178,8 +178,8 @@
   }
 
   /**
-   * Asks the rightful owner about buckets that this agent owns although its view names
-   * another: an owner that holds them too refuses, and this agent gives them up.
+   * Queries the assigned owner about buckets that this agent owns although its view names
+   * another owner: an agent that owns them too refuses the claim, and this agent releases them.
    */
   checkMisplacedBuckets(): void {
     const misplaced = new Map<string, BucketSet>();
@@ -199,7 +199,7 @@
     }
   }
 
-  /** Claims the buckets that this agent should own and does not. */
+  /** Claims the buckets that are assigned to this agent and not yet owned. */
   claimMissing(): void {
     const now = this.context.environment.now();
     const buckets = BucketSet.createEmpty();
@@ -219,9 +219,9 @@
     }
   }
 
-  /** Answers a peer's claim; releases what this agent does not keep. */
+  /** Answers a peer's claim and releases the buckets that the answer does not refuse. */
   answerClaim(message: ClaimMessage, from: Endpoint): void {
-    // Before anything is released: who claims lives, and must be asked by later claims here.
+    // The claimer is alive: mark it before the release, so that later claims query it.
     this.membership.markAlive(message.target);
     const key = `${message.target}/${message.claimId}`;
     const previous = this.sentAnswers.get(key);
@@ -237,7 +237,7 @@
     parts.forEach((part) => this.context.send(from, part));
   }
 
-  /** Takes one part of a peer's answer. */
+  /** Handles one part of a peer's answer. */
   receiveAnswer(message: ClaimAnswerMessage): void {
     const claim = this.claims.get(message.claimId);
     const parts = claim?.awaiting.get(message.target);
@@ -280,8 +280,8 @@
   }
 
   /**
-   * Keeps answers by claim, not only the latest of a claimer: two claims of one agent
-   * may cross on the way, and each must find its answer.
+   * Retains answers per claim, not only the latest per claimer: two claims of one agent
+   * may arrive out of order, and a retransmission of each needs its own answer.
    */
   private retainAnswer(answer: SentAnswer): void {
     this.sentAnswers.set(answer.key, answer);
@@ -344,23 +344,23 @@
     if (claim.awaiting.size > 0 || !this.claims.delete(claim.id)) {
       return claim.awaiting.size === 0;
     }
-    const gained = claim.buckets
+    const newlyOwned = claim.buckets
       .listBuckets()
       .filter((bucket) => this.phases[bucket] === 'claiming');
-    for (const bucket of gained) {
+    for (const bucket of newlyOwned) {
       this.phases[bucket] = 'owned';
     }
-    if (gained.length > 0) {
-      this.context.environment.report(Events.bucketsOwned, { buckets: gained.length });
+    if (newlyOwned.length > 0) {
+      this.context.environment.report(Events.bucketsOwned, { buckets: newlyOwned.length });
       this.onBucketsOwned();
     }
     return true;
   }
 
   /**
-   * Takes a peer's entries. A flow with two live hosts, as after one of them counted as
-   * dead for a while, keeps one: two hosts would each keep the balancers that learnt of
-   * them. Usually the peer's copy ends; this agent's own does if it was the one away.
+   * Merges a peer's entries. A flow may have two live hosts after one of them counted as
+   * dead for a time; each would go on serving the balancers that cached it, so one flow is
+   * ended: usually the peer's, but this agent's own if it was the disconnected one.
    */
   private mergeEntries(claim: Claim, message: ClaimAnswerMessage): void {
     const evicted: Endpoint[] = [];
@@ -418,7 +418,7 @@
     }
   }
 
-  /** Releases buckets to a claimer and returns those kept. */
+  /** Releases buckets to a claimer and returns those refused. */
   private releaseBuckets(asked: BucketSet, message: ClaimMessage): BucketSet {
     const refused = BucketSet.createEmpty();
     let released = 0;
@@ -438,7 +438,7 @@
     return refused;
   }
 
-  /** An owner keeps a bucket against a claimer with an older table or a lower score. */
+  /** An owner refuses a claimer that has an older table or a lower score. */
   private shouldRefuseClaim(bucket: number, message: ClaimMessage): boolean {
     const { service, target } = this.context.settings;
     const isHeldByOwner = this.phases[bucket] !== 'none' && this.owners[bucket] === target;
@@ -496,7 +496,7 @@
     buckets.listBuckets().forEach((bucket) => this.entries.delete(bucket));
   }
 
-  /** Stops admitting in a bucket, and takes it out of claims under way so that none completes it. */
+  /** Stops admission in a bucket and removes it from pending claims, so that none completes it. */
   private releaseBucket(bucket: number): void {
     this.phases[bucket] = 'none';
     for (const claim of this.claims.values()) {
--- a/src/agent/flow-router.ts
+++ b/src/agent/flow-router.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent does with a caller's datagram: deliver it, pass it to the flow's
- * host, place a new flow, or pass it to the owner of its bucket.
+ * Routes a caller's datagram at an agent: delivers it, forwards it to the flow's host,
+ * places a new flow, or forwards it to the owner of its bucket.
  */
 import { HOP_LIMIT, PARKED_FRAME_LIFETIME_MS, PEER_TIMEOUT_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
@@ -15,11 +15,11 @@
 
 const MAXIMUM_PARKED_FRAMES = 256;
 
-/** Where the router's decisions go. */
+/** Receives the outcome of routing. */
 export interface FlowSink {
-  /** A datagram of a flow hosted here. */
+  /** Delivers a datagram of a flow hosted here. */
   deliver(caller: Endpoint, flow: HostedFlow, payload: Buffer): void;
-  /** A datagram whose flow no target can take now. */
+  /** Refuses a datagram whose flow no target can accept now. */
   refuse(caller: Endpoint, balancer: Endpoint, payload: Buffer): void;
 }
 
@@ -31,7 +31,7 @@
 /** Routes forwarded datagrams among the agents of one service. */
 export class FlowRouter {
   private parked: ParkedFrame[] = [];
-  /** Flows placed lately: a notice of their end that was sent before is out of date. */
+  /** Recently placed flows: a notice that one has ended may have been sent before its placement. */
   private readonly placedAt = new Map<Endpoint, number>();
 
   constructor(
@@ -43,7 +43,7 @@
     private readonly sink: FlowSink,
   ) {}
 
-  /** Takes a datagram that a balancer or another agent forwarded here. */
+  /** Handles a datagram that a balancer or another agent forwarded here. */
   receive(message: ForwardMessage): void {
     if (!this.isAddressedHere(message)) {
       return;
@@ -52,20 +52,20 @@
     if (flow) {
       this.deliver(message, flow);
     } else if (this.context.hostsAnyFlow || this.wasPlacedHere(message)) {
-      this.host(message);
+      this.hostFlow(message);
     } else {
       this.route(message);
     }
   }
 
-  /** Tries parked frames again, after buckets became owned. */
+  /** Routes the parked frames again after buckets have become owned. */
   retryParked(): void {
-    const waiting = this.parked;
+    const { parked } = this;
     this.parked = [];
-    waiting.forEach(({ message }) => this.receive(message));
+    parked.forEach(({ message }) => this.receive(message));
   }
 
-  /** Takes notices of flows that ended at a peer. */
+  /** Removes the directory entries of flows that ended at a peer. */
   removeClosedFlows(peer: Peer, closed: Buffer): void {
     for (const caller of unpackCallers(closed)) {
       if (!this.placedAt.has(caller)) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Periodic housekeeping. */
+  /** Removes placements for which no earlier notice can still arrive. */
   removeOldPlacements(): void {
     const oldest = this.context.environment.now() - PEER_TIMEOUT_MS;
     for (const [caller, placedAt] of this.placedAt) {
@@ -101,9 +101,9 @@
   }
 
   /**
-   * A placement counts unless its owner is dead here, or this agent is out of touch
-   * with its group, as after a freeze: then another agent may host the flow by now,
-   * and the frame was long under way.
+   * A placement is valid unless its owner is dead in this agent's view, or this agent is
+   * disconnected from its group, as after a freeze: the frame may then have been delayed,
+   * and another agent may host the flow by now.
    */
   private wasPlacedHere(message: ForwardMessage): boolean {
     const { placedBy } = message;
@@ -116,7 +116,7 @@
     this.sink.deliver(message.caller, flow, message.payload);
   }
 
-  private host(message: ForwardMessage): void {
+  private hostFlow(message: ForwardMessage): void {
     const maximumFlows = this.membership.ownRow?.connections ?? 0;
     if (this.flows.size >= maximumFlows) {
       this.refuse(message);
@@ -156,13 +156,13 @@
       this.placedAt.set(message.caller, this.context.environment.now());
     }
     if (host === this.context.settings.target) {
-      this.host(message);
+      this.hostFlow(message);
     } else {
       this.forwardTo(host, message, this.context.settings.target);
     }
   }
 
-  /** An entry that names this agent while it hosts no such flow is left over from an ended flow. */
+  /** An entry that names this agent is stale here: the flow has ended. */
   private isReachable(host: string): boolean {
     return host !== this.context.settings.target && this.membership.peer(host)?.dead === false;
   }
@@ -202,13 +202,13 @@
     }
   }
 
-  /** Holds a frame for the moment that a claim takes; refuses it if the claim takes longer. */
+  /** Buffers a frame until a claim completes; refuses it after PARKED_FRAME_LIFETIME_MS. */
   private park(message: ForwardMessage): void {
     if (this.parked.length >= MAXIMUM_PARKED_FRAMES) {
       this.refuse(message);
       return;
     }
-    // A placement that could not count now must not count later: another may host the flow.
+    // A placement that is invalid now must stay invalid: another agent may host the flow.
     const unplaced = { ...message, placedBy: '' };
     this.parked.push({ message: unplaced, parkedAt: this.context.environment.now() });
     this.context.environment.startTimer(PARKED_FRAME_LIFETIME_MS, () => this.refuseOverdue());
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -1,12 +1,12 @@
 /**
- * Which agents of one service are alive, as one of them sees it.
+ * One agent's view of which agents of its service are alive.
  *
- * Agents heartbeat each other. A peer counts as dead only when a quorum of the
- * table's targets has not heard it for PEER_UNHEARD_AFTER; an owner admits flows
- * only within OWNER_LEASE of a heartbeat that a quorum echoed. The two sets share
- * a member and the lease is the shorter, so a bucket's old owner has stopped
- * before its successor may start. Groups of one or two targets have no quorum to
- * ask and prefer staying available; docs/DESIGN.md weighs this.
+ * Agents send each other heartbeats. A peer counts as dead only when a quorum of the
+ * table's targets has received no heartbeat from it for PEER_TIMEOUT_MS; an owner admits
+ * flows only within OWNER_LEASE_MS of a heartbeat that a quorum echoed. Any two quorums
+ * share a member and the lease is shorter than the time-out, so a bucket's old owner stops
+ * before the new one may start. Groups of one or two targets have no quorum and prefer
+ * availability; docs/DESIGN.md discusses this trade-off.
  */
 import type { PlacementCandidate } from '../core/placement';
 import type { ServiceTable, TableRow } from '../core/table';
@@ -29,7 +29,7 @@
 
 const MAXIMUM_SENT_TIMES = 16;
 const LOAD_SCALE = 1_000;
-/** Longer than an agent needs to claim its buckets again after it was away. */
+/** Longer than an agent needs to claim its buckets again after a disconnection. */
 const DISCONNECTION_RETENTION_MS = 10_000;
 const MINIMUM_QUORUM_GROUP_SIZE = 3;
 
@@ -38,16 +38,16 @@
   readonly target: string;
   endpoint: Endpoint;
   row: TableRow | undefined;
-  /** 0 until first heard. */
+  /** 0 until the first heartbeat. */
   incarnation: number;
   state: AgentStateValue;
   stateSequence: number;
-  /** Time of the last heartbeat, or of first knowing about the peer. */
+  /** Time of the last heartbeat, or when the peer was added. */
   lastHeard: number;
   heardSequence: number;
-  /** When this agent sent the newest heartbeat that the peer has echoed. */
+  /** When this agent sent its latest heartbeat that the peer has echoed. */
   echoedAt: number;
-  /** Targets that the peer itself has not heard. */
+  /** Targets from which the peer has received no heartbeat within the time-out. */
   unheard: readonly string[];
   dead: boolean;
   flows: number;
@@ -57,7 +57,7 @@
   warmSince: number;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface GroupMembershipState {
   readonly sequence: number;
   readonly sentTimes: readonly { readonly sequence: number; readonly at: number }[];
@@ -65,7 +65,7 @@
   readonly table: ServiceTable | undefined;
 }
 
-/** What a member's own heartbeat says of it. */
+/** An agent's own status, as sent in its heartbeats. */
 export interface OwnStatus {
   readonly state: AgentStateValue;
   readonly stateSequence: number;
@@ -73,28 +73,28 @@
   readonly freeSlots: number;
   /** 0 to 1. */
   readonly load: number;
-  /** Milliseconds since the back end began to serve. */
+  /** Milliseconds since the back end started serving. */
   readonly age: number;
 }
 
-/** Told of changes that others act on. */
+/** Callbacks for membership changes, and sources of heartbeat content. */
 export interface MembershipListener {
-  /** Eligibility may have changed: owners must be computed anew. */
+  /** Eligibility may have changed: owners must be recomputed. */
   onMembersChanged(): void;
-  /** A peer is heard for the first time, or again after it counted as dead. */
+  /** A peer sent its first heartbeat, or is alive after it counted as dead. */
   onPeerAppeared(peer: Peer): void;
-  /** A peer is dead, stopped or runs anew: the flows it hosted are gone. */
+  /** A peer is dead or has restarted: the flows it hosted have ended. */
   onPeerLost(peer: Peer): void;
-  /** This agent was out of touch: others may have taken over what it owned. */
+  /** This agent was disconnected: peers may have taken over its buckets. */
   onDisconnected(): void;
   /** Flows that ended at a peer. */
   onFlowsClosed(peer: Peer, closed: Buffer): void;
-  /** Flows that ended here, for the peer that owns their buckets. */
+  /** Removes and returns ended flows whose buckets the peer owns. */
   takeClosedFlows(target: string): Buffer;
   getOwnStatus(): OwnStatus;
 }
 
-/** The agent's view of its service's group. */
+/** One agent's view of its service's group. */
 export class GroupMembership {
   private readonly peers = new Map<string, Peer>();
   private readonly sentTimes = new Map<number, number>();
@@ -111,12 +111,12 @@
     this.lastHeartbeatAt = context.environment.now();
   }
 
-  /** The service's table in force here. */
+  /** The service's active table. */
   get table(): ServiceTable | undefined {
     return this.activeTable;
   }
 
-  /** Revision of that table; 0 before the first. */
+  /** Revision of the active table; 0 before the first. */
   get tableRevision(): number {
     return this.activeTable?.revision ?? 0;
   }
@@ -130,14 +130,14 @@
     return this.peers.get(target);
   }
 
-  /** Peers that must be asked before a bucket may be taken over. */
+  /** Peers that must answer before a bucket may be taken over. */
   listPeersToQuery(): Peer[] {
     return [...this.peers.values()].filter(
       (peer) => !peer.dead && peer.state !== AgentState.stopped,
     );
   }
 
-  /** Takes a newer table; returns false for one that is not newer. */
+  /** Applies a newer table; returns false for one that is not newer. */
   applyTable(table: ServiceTable): boolean {
     const isChecked = this.context.safeguards.has('revision-check');
     if (isChecked && table.revision <= this.tableRevision) {
@@ -157,7 +157,7 @@
     return true;
   }
 
-  /** Targets that may own buckets, this agent among them when it may. */
+  /** Targets that may own buckets; includes this agent's if it is eligible. */
   listEligibleTargets(): string[] {
     const targets = [...this.peers.values()].filter(isServing).map((peer) => peer.target);
     const ownShare = this.ownRow?.share ?? 0;
@@ -167,7 +167,7 @@
     return targets.sort();
   }
 
-  /** Targets that may receive new flows, with what is known of their load. */
+  /** Targets that may receive new flows, with their reported load. */
   listCandidates(): PlacementCandidate[] {
     const now = this.context.environment.now();
     const found = [...this.peers.values()].filter(isServing).map((peer) => ({
@@ -184,7 +184,7 @@
     return own ? [...found, own] : found;
   }
 
-  /** Whether a quorum of the group has lately confirmed that it hears this agent. */
+  /** Whether a quorum of the group has echoed a heartbeat of this agent within the lease. */
   holdsQuorum(): boolean {
     const rows = this.activeTable?.rows ?? [];
     if (rows.length < MINIMUM_QUORUM_GROUP_SIZE) {
@@ -198,7 +198,7 @@
     return held;
   }
 
-  /** Whether this agent was lately out of touch with its group: cut off, or frozen. */
+  /** Whether this agent was recently disconnected from its group: cut off or frozen. */
   get wasDisconnectedRecently(): boolean {
     return this.context.environment.now() - this.disconnectedAt < DISCONNECTION_RETENTION_MS;
   }
@@ -216,7 +216,7 @@
     this.detectDeadPeers();
   }
 
-  /** Takes a peer's heartbeat, received from `from`. */
+  /** Handles a peer's heartbeat, received from `from`. */
   receive(message: HeartbeatMessage, from: Endpoint): void {
     const peer = this.ensurePeer(message.target, from);
     if (message.incarnation < peer.incarnation) {
@@ -241,7 +241,7 @@
     }
   }
 
-  /** A message other than a heartbeat shows that a peer lives. */
+  /** Marks a peer alive when another message than a heartbeat arrives from it. */
   markAlive(target: string): void {
     const peer = this.peers.get(target);
     if (peer?.dead) {
@@ -252,7 +252,7 @@
     }
   }
 
-  /** Peers whose state balancers should know of. */
+  /** State notices for balancers: peers that are dead, draining or stopped. */
   listNotices(): TargetNotice[] {
     return [...this.peers.values()]
       .filter((peer) => peer.incarnation > 0 && (peer.dead || peer.state !== AgentState.serving))
@@ -355,7 +355,7 @@
     this.listener.onDisconnected();
   }
 
-  /** A long pause between own heartbeats means that this process stood still. */
+  /** A long pause between this agent's own heartbeats means that its process was frozen. */
   private detectFreeze(): void {
     const now = this.context.environment.now();
     if (now - this.lastHeartbeatAt > OWNER_LEASE_MS) {
@@ -425,17 +425,17 @@
     if (voters < MINIMUM_QUORUM_GROUP_SIZE) {
       return true;
     }
-    const agreeing = [...this.peers.values()].filter(
+    const confirming = [...this.peers.values()].filter(
       (peer) =>
         peer.row !== undefined &&
         !this.isUnresponsive(peer) &&
         peer.unheard.includes(subject.target),
     );
     const own = this.ownRow ? 1 : 0;
-    return agreeing.length + own >= computeQuorum(voters);
+    return confirming.length + own >= computeQuorum(voters);
   }
 
-  /** A stopped peer that the table no longer names will not come back under this name. */
+  /** Removes dead and stopped peers that the table no longer lists: they cannot return by this name. */
   private removeStopped(): void {
     for (const peer of this.peers.values()) {
       const silence = this.context.environment.now() - peer.lastHeard;
--- a/src/agent/request-guard.ts
+++ b/src/agent/request-guard.ts
@@ -1,9 +1,9 @@
 /**
- * Requests of callers to a coap service: one answer each, slots respected, and a
- * request that may not be repeated run at most once.
+ * Callers' requests to a coap service: gives each one answer, respects the slot limit,
+ * and runs a request that is not idempotent at most once.
  *
- * Answers go out as acknowledgements of the caller's message; a caller that asks
- * again is given the kept answer, or nothing while the request still runs.
+ * Answers are sent as acknowledgements of the caller's message; a retransmission gets
+ * the retained answer, or nothing while the request is still running.
  */
 import murmurhash from 'murmurhash';
 import {
@@ -32,14 +32,14 @@
 import type { RequestPassing } from './request-passing';
 
 const NO_PAYLOAD = Buffer.alloc(0);
-/** Class of the response codes that say the request was done. */
+/** Class of the response codes for success. */
 const SUCCESS_CODE_CLASS = '2.';
 
-/** How the guard reaches its surroundings. */
+/** Dependencies of {@link RequestGuard}. */
 export interface RequestGuardDependencies {
   /** Sends a datagram to a caller of a hosted flow. */
   reply(caller: Endpoint, payload: Buffer): void;
-  /** Slots free at the own back end. */
+  /** Free slots at this agent's back end. */
   getFreeSlots(): number;
   /** False while this agent drains. */
   acceptsNewWork(): boolean;
@@ -58,16 +58,16 @@
 /** The exchanges of one caller. */
 interface CallerExchanges {
   readonly byMessageId: Map<number, RequestExchange>;
-  /** Those without a final answer. */
+  /** Exchanges without a final answer. */
   readonly unanswered: Set<RequestExchange>;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface RequestGuardState {
   readonly exchanges: readonly RequestExchange[];
 }
 
-/** Guards the requests of the flows hosted at one agent. */
+/** Handles the requests of the flows hosted by one agent. */
 export class RequestGuard {
   readonly counts: GuardCounts = { answered: 0, refused: 0, unknown: 0, passed: 0 };
   private readonly exchanges = new Map<Endpoint, CallerExchanges>();
@@ -81,22 +81,22 @@
     private readonly dependencies: RequestGuardDependencies,
   ) {}
 
-  /** Takes a datagram of a hosted flow. */
+  /** Handles a datagram of a hosted flow. */
   receive(caller: Endpoint, datagram: Buffer): void {
     const parsed = parseCoap(datagram);
     if (parsed.none) {
       this.context.environment.report(Events.callerMessageMalformed, {});
     } else if (isRequest(parsed.val)) {
-      this.receiveRequest(caller, parsed.val, murmurhash.v3(datagram));
+      this.handleRequest(caller, parsed.val, murmurhash.v3(datagram));
     } else if (parsed.val.code === CoapCode.empty) {
-      this.receiveEmpty(caller, parsed.val);
+      this.handleEmpty(caller, parsed.val);
     }
   }
 
   /**
-   * Refuses a datagram whose flow has no host here. A refused request must not run
-   * later from another copy, so its permit is burnt first, by its issuer.
-   * @param reply sends an answer to the caller; not called when there is none to give
+   * Refuses a datagram whose flow this agent does not host. No duplicate of a refused
+   * request may run later, so the permit is first revoked by its issuer.
+   * @param reply sends an answer to the caller; not called when there is no answer
    */
   refuseUnhosted(caller: Endpoint, datagram: Buffer, reply: (answer: Buffer) => void): void {
     const parsed = parseCoap(datagram);
@@ -112,13 +112,13 @@
     this.refuseUnhostedPost(caller, request, respond);
   }
 
-  /** A flow has ended: its observations end, its kept answers go. */
+  /** Cancels the observations and discards the retained answers of an ended flow. */
   handleFlowEnd(caller: Endpoint): void {
     this.requests.cancelObservationsOf(caller);
     this.exchanges.delete(caller);
   }
 
-  /** A caller's request has ended, here or at another target. */
+  /** Answers a caller's request that has ended, here or at another target. */
   finish(request: CallerRequest, result: RequestResult): void {
     const latest = this.exchanges.get(request.caller)?.byMessageId.get(request.messageId);
     const exchange = latest?.fingerprint === request.fingerprint ? latest : undefined;
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Periodic housekeeping. */
+  /** Removes exchanges whose answers need no longer be retained. */
   removeExpiredExchanges(): void {
     const now = this.context.environment.now();
     for (const [caller, { byMessageId }] of this.exchanges) {
@@ -148,7 +148,7 @@
     }
   }
 
-  /** Exchanges that are answered, or whose request runs somewhere; others begin anew. */
+  /** Exports exchanges that are answered or running; the others start again at the successor. */
   exportState(running: readonly CallerRequest[]): RequestGuardState {
     const isRunning = new Set(running.map(({ caller, messageId }) => `${caller}/${messageId}`));
     const all = [...this.exchanges.values()].flatMap(({ byMessageId }) => [
@@ -172,7 +172,7 @@
     const verdict = this.permits.evaluate(caller, request);
     switch (verdict.kind) {
       case 'run':
-        this.burnPermit(verdict.permit, createRefusal());
+        this.revokePermit(verdict.permit, createRefusal());
         respond(createRefusal());
         break;
       case 'not-run':
@@ -185,8 +185,8 @@
         respond(createUnknownOutcome());
         break;
       case 'foreign':
-        this.queries.queryIssuer(verdict.permit, (burnt) =>
-          respond(burnt ? createRefusal() : createUnknownOutcome()),
+        this.queries.queryIssuer(verdict.permit, (isRevoked) =>
+          respond(isRevoked ? createRefusal() : createUnknownOutcome()),
         );
         break;
       case 'running':
@@ -194,7 +194,7 @@
     }
   }
 
-  private burnPermit(permit: Permit, answer: PermitAnswer): void {
+  private revokePermit(permit: Permit, answer: PermitAnswer): void {
     if (this.context.safeguards.has('burn')) {
       this.permits.record(permit, { outcome: 'burnt', answer });
     } else {
@@ -202,7 +202,7 @@
     }
   }
 
-  private receiveEmpty(caller: Endpoint, message: CoapMessage): void {
+  private handleEmpty(caller: Endpoint, message: CoapMessage): void {
     if (message.ack || message.reset) {
       this.requests.forwardEmpty(caller, message);
     } else if (message.confirmable) {
@@ -212,7 +212,7 @@
     }
   }
 
-  private receiveRequest(caller: Endpoint, request: CoapMessage, fingerprint: number): void {
+  private handleRequest(caller: Endpoint, request: CoapMessage, fingerprint: number): void {
     const known = this.exchanges.get(caller)?.byMessageId.get(request.messageId);
     if (known && known.fingerprint === fingerprint) {
       this.retransmitAnswer(known);
@@ -256,7 +256,7 @@
     return exchange;
   }
 
-  /** A token used again while its old answer is under way: the old answer is not sent any more. */
+  /** Suppresses the pending answers to earlier requests that used the same token. */
   private supersede(caller: Endpoint, token: Buffer): void {
     for (const other of this.exchanges.get(caller)?.unanswered ?? []) {
       if (other.token.equals(token)) {
@@ -271,7 +271,7 @@
       byMessageId: new Map(),
       unanswered: new Set(),
     };
-    // Set anew, so that the order of the map is the order in which answers are forgotten.
+    // Reinserted to keep the map in order of expiry.
     callerExchanges.byMessageId.delete(exchange.messageId);
     callerExchanges.byMessageId.set(exchange.messageId, exchange);
     if (!exchange.answer) {
@@ -305,10 +305,10 @@
     }
   }
 
-  /** Only the issuer can say that nothing ran under its permit; without it the outcome is unknown. */
+  /** Only the issuer can confirm that nothing ran under its permit; otherwise the outcome is unknown. */
   private queryIssuer(exchange: RequestExchange, permit: Permit): void {
-    this.queries.queryIssuer(permit, (burnt) => {
-      if (burnt) {
+    this.queries.queryIssuer(permit, (isRevoked) => {
+      if (isRevoked) {
         this.issuePermit(exchange);
       } else {
         this.answerUnknown(exchange, undefined);
@@ -337,8 +337,8 @@
   }
 
   /**
-   * A draining host cannot take the feed that a caller asks for. If it holds nothing
-   * else of the flow, the flow ends here, so that the caller's next try is placed anew.
+   * A draining host cannot accept an observation. If the flow has no other observation
+   * and no pending request, it ends here, so that the caller's next attempt is placed anew.
    */
   private endFlowIfIdle(caller: Endpoint): void {
     const isIdle =
@@ -372,11 +372,11 @@
     this.answer(exchange, answer);
   }
 
-  /** Refuses for good: the permit is burnt, so a copy that comes later is refused too. */
+  /** Refuses a request finally: the permit is revoked, so a later duplicate is refused too. */
   private refuse(exchange: RequestExchange | undefined, permit: Permit | undefined): void {
     const answer = createRefusal();
     if (permit) {
-      this.burnPermit(permit, answer);
+      this.revokePermit(permit, answer);
     }
     this.counts.refused++;
     this.context.environment.report(Events.requestRefused, {});
@@ -387,7 +387,7 @@
     this.answer(exchange, { code: CoapCode.unauthorized, options: [], payload: NO_PAYLOAD });
   }
 
-  /** Answers an exchange; one whose flow has ended meanwhile needs no answer. */
+  /** Answers an exchange; none is left to answer if its flow has ended meanwhile. */
   private answer(exchange: RequestExchange | undefined, answer: PermitAnswer): void {
     if (!exchange) {
       return;
@@ -405,7 +405,7 @@
     }
   }
 
-  /** A copy of a request that runs already: the copy that runs will be answered. */
+  /** Removes a duplicate of a running request; the running one will be answered. */
   private removeExchange(exchange: RequestExchange): void {
     const callerExchanges = this.exchanges.get(exchange.caller);
     callerExchanges?.byMessageId.delete(exchange.messageId);
@@ -413,13 +413,13 @@
   }
 }
 
-/** The final refusal, with the time after which to come back. */
+/** The final refusal, with the time after which to retry. */
 function createRefusal(): PermitAnswer {
   const maxAge = { name: CoapOption.maxAge, value: encodeInteger(RETRY_AFTER_SECONDS) };
   return { code: CoapCode.serviceUnavailable, options: [maxAge], payload: NO_PAYLOAD };
 }
 
-/** The answer when nobody can tell whether the request ran. */
+/** The answer when it is unknown whether the request ran. */
 function createUnknownOutcome(): PermitAnswer {
   return { code: CoapCode.gatewayTimeout, options: [], payload: NO_PAYLOAD };
 }
