--- a/src/agent/agent-context.ts
+++ b/src/agent/agent-context.ts
@@ -1,11 +1,11 @@
-/** What the parts of an agent share: settings, environment, the way out. */
+/** What the parts of an agent share: settings, environment, sending of messages. */
 import type { PlacementCandidate } from '../core/placement';
 import type { Endpoint, Environment } from '../environment';
 import type { ClusterKey } from '../wire/frame-codec';
 import type { Message } from '../wire/messages';
 import type { Safeguards } from './safeguards';
 
-/** How a service's datagrams are treated. */
+/** How a service's datagrams are handled. */
 export type ServiceProtocol = 'datagram' | 'coap';
 
 /** Checked settings of one agent. */
@@ -16,23 +16,23 @@
   readonly target: string;
   /** Where this agent receives internal frames. */
   readonly endpoint: Endpoint;
-  /** Balancers to say hello to before any answered. */
+  /** Balancers that receive hellos before any has answered. */
   readonly balancers: readonly Endpoint[];
-  /** Rises with each start of the target's agent; tells one run from the next. */
+  /** Increases with each start of the target's agent. */
   readonly incarnation: number;
-  /** Milliseconds without a datagram after which a flow has ended. */
+  /** Milliseconds without a datagram after which a flow ends. */
   readonly flowIdle: number;
-  /** Milliseconds a back end has for a request. */
+  /** Milliseconds in which the back end must answer a request. */
   readonly requestDeadline: number;
-  /** Path of the back end's load report; empty when it has none. */
+  /** Path of the back end's load report; empty if it has none. */
   readonly loadPath: string;
 }
 
-/** The agent's side of its back end. */
+/** Sends datagrams to the agent's back end. */
 export interface BackendPort {
-  /** Sends on the one association that a coap service has with its back end. */
+  /** Sends on the single association of a coap service with its back end. */
   sendMessage(message: Buffer): void;
-  /** Sends on the association of one flow of a datagram service, opening it when needed. */
+  /** Sends on the association of one flow of a datagram service; opens it if needed. */
   sendDatagram(caller: Endpoint, payload: Buffer): void;
   /** Closes a flow's association. */
   closeFlow(caller: Endpoint): void;
@@ -54,9 +54,9 @@
   readonly place: PlacementPolicy;
   /** True in the simulator's baselines, where an agent hosts whatever flow reaches it. */
   readonly hostsAnyFlow: boolean;
-  /** The cluster's keys in use, by which permits are made too. */
+  /** The cluster's current keys; they sign permits too. */
   getKeys(): readonly ClusterKey[];
-  /** Bucket of a caller's flow to this service. */
+  /** Bucket of the caller's flow to this service. */
   getBucket(caller: Endpoint): number;
   /** Encodes, signs and sends an internal message. */
   send(to: Endpoint, message: Message): void;
--- a/src/agent/agent-dependencies.ts
+++ b/src/agent/agent-dependencies.ts
@@ -1,10 +1,10 @@
-/** What an agent is given, and the figures it shows. */
+/** Dependencies and statistics of an agent. */
 import type { Environment, FrameTransport } from '../environment';
 import type { FrameCodec } from '../wire/frame-codec';
 import type { BackendPort, PlacementPolicy } from './agent-context';
 import type { Safeguards } from './safeguards';
 
-/** What an agent is given by its surroundings. */
+/** Dependencies that are passed to an agent. */
 export interface AgentDependencies {
   readonly environment: Environment;
   readonly transport: FrameTransport;
@@ -15,7 +15,7 @@
   readonly hostsAnyFlow?: boolean;
 }
 
-/** Figures of an agent for metrics and status. */
+/** Statistics of an agent for metrics and status. */
 export interface AgentStatistics {
   readonly flows: number;
   readonly flowsOpened: number;
--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -153,7 +153,7 @@
     };
   }
 
-  /** Restores a predecessor's state; call before {@link start}, with its incarnation in settings. */
+  /** Restores a predecessor's state; call before {@link start}, with its incarnation set. */
   takeOver(snapshot: AgentSnapshot): void {
     this.membership.importState(snapshot.membership);
     this.drain.importState(snapshot.drain);
--- a/src/agent/agent-snapshot.ts
+++ b/src/agent/agent-snapshot.ts
@@ -1,7 +1,7 @@
 /**
- * All that one run of an agent hands to its successor on the same machine.
+ * State that an agent process hands to its successor on the same machine.
  *
- * Times in it are of the machine's monotonic clock, which both processes share.
+ * Times are of the machine's monotonic clock, which both processes share.
  */
 import { deserialize, serialize } from 'bson';
 import type { BackendMonitorState } from './backend-monitor';
@@ -33,7 +33,7 @@
   return Buffer.from(serialize(snapshot));
 }
 
-/** Decodes a snapshot; the sender is this machine's own predecessor and is trusted. */
+/** Decodes a snapshot; it comes from the predecessor process on this machine and is trusted. */
 export function decodeSnapshot(bytes: Buffer): AgentSnapshot {
   return deserialize(bytes, { promoteBuffers: true }) as AgentSnapshot;
 }
--- a/src/agent/backend-monitor.ts
+++ b/src/agent/backend-monitor.ts
@@ -1,8 +1,8 @@
 /**
- * What the back end says of itself: its load, and whether it drains.
+ * Polls the back end's load report: its load, and whether it is draining.
  *
- * The report lags and may lie, so load only nudges placement. A back end that has
- * not answered for a while gets no new work until it answers again.
+ * The report is delayed and may be wrong, so load has only a small weight in placement.
+ * After several unanswered reports a back end gets no new work until it answers again.
  */
 import { CoapCode, CoapOption, type CoapMessage } from '../coap/coap-message';
 import type { AgentContext } from './agent-context';
@@ -20,7 +20,7 @@
   readonly draining?: unknown;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface BackendMonitorState {
   readonly load: number;
   readonly draining: boolean;
@@ -33,9 +33,9 @@
 export class BackendMonitor {
   /** Last reported load, 0 to 1. */
   load = 0;
-  /** True when the back end itself asked for no new work. */
+  /** True while the back end asks for no new work. */
   draining = false;
-  /** Time since when the back end serves without a break. */
+  /** Time since which the back end has served without interruption. */
   servingSince: number;
   private silentReports = 0;
   private polling = false;
@@ -48,12 +48,12 @@
     this.servingSince = context.environment.now();
   }
 
-  /** False when several reports in a row went unanswered. */
+  /** False after several consecutive unanswered reports. */
   get isReady(): boolean {
     return this.silentReports < UNANSWERED_REPORTS_UNTIL_UNREADY;
   }
 
-  /** Asks for a report, unless one is still awaited or the service has none. */
+  /** Requests a report, unless one is pending or the service has none. */
   poll(): void {
     const { protocol, loadPath } = this.context.settings;
     if (protocol !== 'coap' || loadPath === '' || this.polling) {
@@ -63,7 +63,7 @@
     this.requests.send(createReportRequest(loadPath), { kind: 'load-report' }, REPORT_DEADLINE_MS);
   }
 
-  /** Takes the end of a poll. */
+  /** Handles the result of a poll. */
   receiveReport(result: BackendResult): void {
     this.polling = false;
     this.recordReport(result.outcome === 'answered' ? result.message : undefined);
--- a/src/agent/backend-requests.ts
+++ b/src/agent/backend-requests.ts
@@ -1,9 +1,8 @@
 /**
  * Requests and observations between this agent and its back end.
  *
- * Each request goes out once, under a token that no other request of this
- * incarnation has, so a late answer can never be taken for another request's.
- * Holds the back end's slots.
+ * Each request is sent once, with a token that is unique within this incarnation, so a
+ * late answer cannot be matched to another request. Counts the back end's busy slots.
  */
 import murmurhash from 'murmurhash';
 import {
@@ -23,20 +22,20 @@
 import type { BackendResult, RequestPurpose } from './request-exchange';
 
 const TOKEN_BYTES = 6;
-/** Upper half of a token names the agent's run, lower half counts its requests. */
+/** A token's upper half is the agent's incarnation, its lower half counts requests. */
 const TOKEN_PART_RANGE = 2 ** 24;
 const MESSAGE_ID_RANGE = 65_536;
 
-/** An observation (RFC 7641) that a caller holds at the back end. */
+/** A caller's observation (RFC 7641) at the back end. */
 export interface Observation {
   readonly caller: Endpoint;
   readonly callerToken: Buffer;
   readonly backendToken: number;
-  /** Message id of the newest notification, to match a reset. */
+  /** Message id of the latest notification, to match a reset. */
   lastMessageId: number;
 }
 
-/** A request now at the back end. */
+/** A request that is running at the back end. */
 interface BackendExchange {
   /** Token used towards the back end; never reused within an incarnation. */
   readonly token: number;
@@ -45,7 +44,7 @@
   readonly purpose: RequestPurpose;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface BackendRequestsState {
   readonly nextToken: number;
   readonly nextMessageId: number;
@@ -53,13 +52,13 @@
   readonly observations: readonly Observation[];
 }
 
-/** Receives the end of every request. */
+/** Receives the result of every request. */
 export type RequestEndCallback = (purpose: RequestPurpose, result: BackendResult) => void;
 
-/** Receives notifications for the caller of an observation. */
+/** Receives the notifications for an observation's caller. */
 export type NotificationCallback = (caller: Endpoint, message: Buffer) => void;
 
-/** The agent's requests at its back end. */
+/** The agent's requests and observations at its back end. */
 export class BackendRequests {
   private readonly running = new Map<number, BackendExchange>();
   private readonly deadlineTimers = new Map<number, TimerHandle>();
@@ -79,7 +78,7 @@
     this.nextMessageId = murmurhash.v3(String(incarnation)) % MESSAGE_ID_RANGE;
   }
 
-  /** Requests now at the back end; each takes a slot. */
+  /** Callers' and peers' requests running at the back end; each occupies a slot. */
   get busySlots(): number {
     return this.busyCount;
   }
@@ -88,7 +87,7 @@
     return this.observations.size;
   }
 
-  /** The purposes of the requests now at the back end. */
+  /** The purposes of the requests running at the back end. */
   listPurposes(): RequestPurpose[] {
     return [...this.running.values()].map((exchange) => exchange.purpose);
   }
@@ -125,17 +124,17 @@
     }
   }
 
-  /** Ends a caller's observation, here and at the back end. */
+  /** Cancels a caller's observation, here and at the back end. */
   cancelObservation(caller: Endpoint, callerToken: Buffer): void {
     const token = this.observationKeys.get(formatObservationKey(caller, callerToken));
     const observation = token === undefined ? undefined : this.observations.get(token);
     if (observation) {
-      this.reset(observation.lastMessageId);
+      this.sendReset(observation.lastMessageId);
       this.removeObservation(observation.backendToken);
     }
   }
 
-  /** Whether a caller holds an observation here. */
+  /** Whether a caller has an observation here. */
   hasObservation(caller: Endpoint): boolean {
     for (const observation of this.observations.values()) {
       if (observation.caller === caller) {
@@ -145,7 +144,7 @@
     return false;
   }
 
-  /** Passes a caller's acknowledgement or reset of a notification on. */
+  /** Forwards a caller's acknowledgement or reset of a notification. */
   forwardEmpty(caller: Endpoint, message: CoapMessage): void {
     this.context.backend.sendMessage(
       generateCoap({
@@ -160,17 +159,17 @@
     }
   }
 
-  /** Ends every observation of a flow that has ended. */
+  /** Cancels all observations of a flow that has ended. */
   cancelObservationsOf(caller: Endpoint): void {
     for (const [token, observation] of this.observations) {
       if (observation.caller === caller) {
-        this.reset(observation.lastMessageId);
+        this.sendReset(observation.lastMessageId);
         this.removeObservation(token);
       }
     }
   }
 
-  /** Takes a datagram from the back end. */
+  /** Handles a datagram from the back end. */
   receive(datagram: Buffer): void {
     const parsed = parseCoap(datagram);
     if (parsed.none) {
@@ -187,7 +186,7 @@
     } else if (this.observations.has(token)) {
       this.forwardNotification(this.observations.get(token)!, message);
     } else if (message.confirmable && message.code !== CoapCode.empty) {
-      this.reset(message.messageId);
+      this.sendReset(message.messageId);
     }
   }
 
@@ -195,8 +194,8 @@
     const { token, deadlineAt, purpose } = exchange;
     this.running.set(token, exchange);
     this.busyCount += purpose.kind === 'load-report' ? 0 : 1;
-    const left = deadlineAt - this.context.environment.now();
-    const timer = this.context.environment.startTimer(left, () => this.timeOutRequest(token));
+    const remaining = deadlineAt - this.context.environment.now();
+    const timer = this.context.environment.startTimer(remaining, () => this.timeOutRequest(token));
     this.deadlineTimers.set(token, timer);
   }
 
@@ -206,7 +205,7 @@
     this.notify(observation.caller, notification);
   }
 
-  /** Keeps an observation's message id; an answer without Observe ends the observation. */
+  /** Records an observation's message id; a message without Observe ends the observation. */
   private recordNotification(token: number, message: CoapMessage): void {
     const observation = this.observations.get(token);
     if (!observation) {
@@ -221,7 +220,7 @@
   private timeOutRequest(token: number): void {
     const exchange = this.running.get(token);
     if (exchange) {
-      this.reset(exchange.messageId);
+      this.sendReset(exchange.messageId);
       this.removeObservation(token);
       this.finish(exchange, { outcome: 'unknown' });
     }
@@ -245,7 +244,7 @@
     }
   }
 
-  private reset(messageId: number): void {
+  private sendReset(messageId: number): void {
     const message = generateCoap({ code: CoapCode.empty, messageId, reset: true });
     this.context.backend.sendMessage(message);
   }
--- a/src/agent/balancer-contacts.ts
+++ b/src/agent/balancer-contacts.ts
@@ -1,8 +1,8 @@
 /**
- * The balancers this agent has lately heard, and through which a reply goes.
+ * The balancers that recently sent datagrams, to select the one that carries a reply.
  *
- * A reply goes through the balancer that last carried the flow while that one is
- * still heard; else through the one heard last. No message of its own is needed.
+ * A reply goes through the balancer that last carried the flow if that one has sent a
+ * datagram recently, else through the latest sender. This needs no message of its own.
  */
 import { BALANCER_FRESHNESS_MS } from '../core/timing';
 import type { Endpoint } from '../environment';
@@ -10,7 +10,7 @@
 
 const MAXIMUM_CONTACTS = 2_048;
 
-/** Times at which balancers were last heard. */
+/** Balancers by the time of their last datagram. */
 export class BalancerContacts {
   private readonly lastContactAt = new Map<Endpoint, number>();
   private latest: Endpoint | undefined;
@@ -20,7 +20,7 @@
     this.known = context.settings.balancers;
   }
 
-  /** Notes a datagram that arrived from a balancer. */
+  /** Records a datagram that arrived from a balancer. */
   recordContact(balancer: Endpoint): void {
     if (this.lastContactAt.size >= MAXIMUM_CONTACTS && !this.lastContactAt.has(balancer)) {
       this.evictOldest();
@@ -29,14 +29,14 @@
     this.latest = balancer;
   }
 
-  /** Replaces the balancers to turn to, as a balancer's answer names them. */
+  /** Replaces the known balancers by those that a balancer's answer lists. */
   replaceKnown(balancers: readonly Endpoint[]): void {
     if (balancers.length > 0) {
       this.known = balancers;
     }
   }
 
-  /** The balancer to send a flow's reply through. */
+  /** Selects the balancer that carries a flow's reply. */
   selectForReply(lastCarrier: Endpoint): Endpoint {
     if (this.isFresh(lastCarrier) || this.latest === undefined) {
       return lastCarrier;
@@ -44,7 +44,7 @@
     return this.latest;
   }
 
-  /** One of the known balancers, at random, or one from settings at times, so that none is lost for good. */
+  /** Selects a known balancer at random, or at times one from settings, so that none is lost. */
   selectForHello(): Endpoint | undefined {
     const { environment, settings } = this.context;
     const useSettings = environment.random() < 0.25;
--- a/src/agent/drain-state.ts
+++ b/src/agent/drain-state.ts
@@ -1,24 +1,24 @@
-/** Why an agent takes no new work, and its state as others see it. */
+/** The reasons why an agent drains, and the state that it announces. */
 import type { Environment } from '../environment';
 import { Events } from '../logging/events';
 import { AgentState, type AgentStateValue } from '../wire/messages';
 
-/** Signs that a target is leaving. */
+/** Reasons for draining. */
 export type DrainReason = 'table' | 'machine-list' | 'stop' | 'backend-draining' | 'backend-silent';
 
-/** A notice of the machine list holds for so long, unless it is repeated. */
+/** A notice from the machine list expires after this, unless it is repeated. */
 const MACHINE_NOTICE_LIFETIME_MS = 15_000;
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface DrainStateSnapshot {
   readonly sequence: number;
   readonly reasons: readonly DrainReason[];
   readonly noticedAt: number;
 }
 
-/** Collects the reasons; drains while there is any. */
+/** Collects the reasons for draining; drains while there is any. */
 export class DrainState {
-  /** Rises with every change of state. */
+  /** Increases with every change of state. */
   sequence = 0;
   private readonly reasons = new Set<DrainReason>();
   private noticedAt = -Infinity;
@@ -38,7 +38,7 @@
     return this.reasons.size > 0 && this.isEnabled ? AgentState.draining : AgentState.serving;
   }
 
-  /** The reasons in force, for status pages. */
+  /** The active reasons, for status pages. */
   listReasons(): readonly DrainReason[] {
     return [...this.reasons].sort();
   }
@@ -54,39 +54,39 @@
     this.announceIfChanged(before, reason);
   }
 
-  /** The machine list has this machine as leaving. */
+  /** Records that the machine list marks this machine as leaving. */
   recordMachineLeaving(): void {
     this.noticedAt = this.environment.now();
     this.setReason('machine-list', true);
   }
 
-  /** The agent ends: nothing is hosted here any more. */
+  /** Marks the agent as stopped: it hosts nothing any more. */
   markStopped(): void {
     const before = this.state;
     this.isStopped = true;
     this.announceIfChanged(before, 'stop');
   }
 
-  /** Tells the group again that this agent lives, after it was called dead. */
+  /** Announces that this agent is alive after it was reported dead. */
   refute(): void {
     this.sequence++;
     this.onChanged();
   }
 
-  /** The state without the reason `stop`: the successor does not stop. */
+  /** Exports the state without the reason `stop`: the successor does not stop. */
   exportState(): DrainStateSnapshot {
     const reasons = this.listReasons().filter((reason) => reason !== 'stop');
     return { sequence: this.sequence, reasons, noticedAt: this.noticedAt };
   }
 
   importState(state: DrainStateSnapshot): void {
-    // One further, so that a "stop" said before the hand-over is out of date.
+    // One higher, so that a "stopped" announced before the handover is out of date.
     this.sequence = state.sequence + 1;
     this.noticedAt = state.noticedAt;
     state.reasons.forEach((reason) => this.reasons.add(reason));
   }
 
-  /** Periodic housekeeping. */
+  /** Clears the reason `machine-list` once its notice has expired. */
   expireMachineNotice(): void {
     if (this.environment.now() - this.noticedAt > MACHINE_NOTICE_LIFETIME_MS) {
       this.setReason('machine-list', false);
--- a/src/agent/flow-entries.ts
+++ b/src/agent/flow-entries.ts
@@ -1,9 +1,9 @@
-/** Packing of flow lists into the binary fields of claim answers and heartbeats. */
+/** Encoding of flow lists in the binary fields of claim answers and heartbeats. */
 import type { Endpoint } from '../environment';
 
-/** Bytes of a caller's endpoint. */
+/** Size of a caller's endpoint. */
 export const ENDPOINT_BYTES = 6;
-/** Bytes of a directory entry: endpoint and host index. */
+/** Size of a directory entry: endpoint and host index. */
 export const ENTRY_BYTES = ENDPOINT_BYTES + 1;
 
 /** A flow and the name of the target that hosts it. */
@@ -12,7 +12,7 @@
   readonly host: string;
 }
 
-/** Packs endpoints one after the other. */
+/** Packs endpoints contiguously. */
 export function packCallers(callers: readonly Endpoint[]): Buffer {
   const bytes = Buffer.allocUnsafe(callers.length * ENDPOINT_BYTES);
   callers.forEach((caller, index) =>
@@ -29,7 +29,7 @@
   );
 }
 
-/** Packs entries with their host names listed once. */
+/** Packs entries; each host name is listed once. */
 export function packEntries(entries: readonly FlowEntry[]): { hosts: string[]; bytes: Buffer } {
   const hosts = [...new Set(entries.map((entry) => entry.host))];
   const bytes = Buffer.allocUnsafe(entries.length * ENTRY_BYTES);
--- a/src/agent/flow-table.ts
+++ b/src/agent/flow-table.ts
@@ -1,4 +1,4 @@
-/** The flows this agent hosts, and the ends of flows that owners have yet to hear of. */
+/** The flows that this agent hosts, and ended flows not yet reported to the bucket owners. */
 import type { BucketSet } from '../core/bucket-set';
 import type { Endpoint } from '../environment';
 import type { AgentContext } from './agent-context';
@@ -6,15 +6,15 @@
 
 const MAXIMUM_CLOSED_PER_HEARTBEAT = 100;
 
-/** One hosted flow; kept small, since a target may hold thousands. */
+/** One hosted flow; small, since a target may hold thousands. */
 export interface HostedFlow {
   /** The balancer that last carried a datagram of the flow. */
   balancer: Endpoint;
-  /** Time of the last datagram either way. */
+  /** Time of the last datagram in either direction. */
   lastActive: number;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface FlowTableState {
   readonly flows: readonly (HostedFlow & { readonly caller: Endpoint })[];
   readonly closed: readonly Endpoint[];
@@ -40,7 +40,7 @@
     return this.flows.entries();
   }
 
-  /** Begins to host a flow. */
+  /** Adds a hosted flow. */
   open(caller: Endpoint, balancer: Endpoint): HostedFlow {
     const flow = { balancer, lastActive: this.context.environment.now() };
     this.flows.set(caller, flow);
@@ -48,7 +48,7 @@
     return flow;
   }
 
-  /** Callers whose flows were idle for too long. */
+  /** Callers whose flows have been idle for longer than `flowIdle`. */
   listIdleCallers(): Endpoint[] {
     const oldest = this.context.environment.now() - this.context.settings.flowIdle;
     const idle: Endpoint[] = [];
@@ -60,7 +60,7 @@
     return idle;
   }
 
-  /** Ends a flow; its owner will hear of it. False when it is not hosted here. */
+  /** Ends a flow, to be reported to its owner; returns false if it is not hosted here. */
   close(caller: Endpoint): boolean {
     const wasHosted = this.flows.delete(caller);
     if (wasHosted) {
@@ -73,7 +73,7 @@
     return [...this.flows.keys()].filter((caller) => buckets.has(this.context.getBucket(caller)));
   }
 
-  /** Ended flows whose bucket passes `concerns`, packed; each is handed out once. */
+  /** Ended flows whose bucket passes `concerns`, packed; each is returned once. */
   takeClosed(isRelevant: (bucket: number) => boolean): Buffer {
     const taken: Endpoint[] = [];
     for (const caller of this.closed) {
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -435,7 +435,7 @@
     return confirming.length + own >= computeQuorum(voters);
   }
 
-  /** Removes dead and stopped peers that the table no longer lists: they cannot return by this name. */
+  /** Removes dead and stopped peers that the table no longer lists; they will not return. */
   private removeStopped(): void {
     for (const peer of this.peers.values()) {
       const silence = this.context.environment.now() - peer.lastHeard;
--- a/src/agent/permit-authority.ts
+++ b/src/agent/permit-authority.ts
@@ -1,4 +1,4 @@
-/** Issues and judges permits: the at-most-once part of the agent. */
+/** Issues and evaluates permits, which let a request run at most once. */
 import { decodePermit, encodePermit, type Permit } from '../core/permit';
 import { PermitLedger, type LedgerEntry, type StoredEntry } from '../core/permit-ledger';
 import { PERMIT_LIFETIME_MS } from '../core/timing';
@@ -6,7 +6,7 @@
 import type { Endpoint } from '../environment';
 import type { AgentContext } from './agent-context';
 
-/** The part of an answer that repeats under another message id or token need. */
+/** The part of an answer that is the same for duplicates with another message id or token. */
 export interface PermitAnswer {
   readonly code: string;
   readonly options: CoapMessage['options'];
@@ -17,18 +17,18 @@
 export type PermitVerdict =
   /** Run it, once, under this permit. */
   | { readonly kind: 'run'; readonly permit: Permit }
-  /** It carries no valid permit, or one that certainly never ran: tell the caller to ask again. */
+  /** It carries no valid permit, or an expired one that was never used: the caller must retry. */
   | { readonly kind: 'not-run' }
-  /** Another copy is at the back end now. */
+  /** A duplicate is running at the back end. */
   | { readonly kind: 'running' }
-  /** Another copy has had this answer. */
+  /** A duplicate was given this answer. */
   | { readonly kind: 'repeat'; readonly answer: PermitAnswer }
-  /** Another copy may have run. */
+  /** A duplicate may have run. */
   | { readonly kind: 'unknown' }
-  /** Issued by another incarnation; only that one can tell. */
+  /** Issued by another incarnation; only that one knows whether it was used. */
   | { readonly kind: 'foreign'; readonly permit: Permit };
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface PermitAuthorityState {
   readonly nextSerial: number;
   readonly ledger: readonly StoredEntry<PermitAnswer>[];
@@ -45,7 +45,7 @@
     return this.ledger.size;
   }
 
-  /** A fresh permit for a caller, as the value of an Echo option. */
+  /** Issues a permit for a caller, as the value of an Echo option. */
   issue(caller: Endpoint): Buffer {
     const permit = {
       incarnation: this.context.settings.incarnation,
@@ -55,7 +55,7 @@
     return encodePermit(permit, caller, this.context.getKeys()[0]!.secret);
   }
 
-  /** Judges the permit that a request carries. */
+  /** Evaluates the permit that a request carries. */
   evaluate(caller: Endpoint, request: CoapMessage): PermitVerdict {
     const echo = findOption(request, CoapOption.echo);
     const secrets = this.context.getKeys().map((key) => key.secret);
@@ -69,17 +69,17 @@
     return this.evaluateOwn(permit);
   }
 
-  /** Records what became of a permit. */
+  /** Records the outcome of a permit. */
   record(permit: Permit, entry: LedgerEntry<PermitAnswer>): void {
     this.ledger.record(permit.serial, permit.expiresAt, entry);
   }
 
-  /** Takes a permit back out of the ledger: it may be used again. */
+  /** Removes a permit from the ledger: it may be used again. */
   forget(permit: Permit): void {
     this.ledger.remove(permit.serial);
   }
 
-  /** Makes sure nothing runs under a permit of this incarnation; false if something did or may have. */
+  /** Revokes an unused permit of this incarnation; false if a request may have run under it. */
   burnIfUnused(serial: number, expiresAt: number): boolean {
     const known = this.ledger.find(serial);
     if (known) {
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Periodic housekeeping. */
+  /** Drops the answers of expired permits, and later their entries. */
   removeExpired(): void {
     this.ledger.removeExpired(this.context.environment.now());
   }
--- a/src/agent/permit-queries.ts
+++ b/src/agent/permit-queries.ts
@@ -1,4 +1,4 @@
-/** Questions between agents about permits: may nothing have run under it, and will nothing? */
+/** Queries between agents that revoke a permit if no request has run under it. */
 import type { Permit } from '../core/permit';
 import type { Endpoint } from '../environment';
 import { MessageType, type PermitAnswerMessage, type PermitQueryMessage } from '../wire/messages';
@@ -13,11 +13,11 @@
   readonly id: number;
   readonly permit: Permit;
   readonly issuer: Peer;
-  readonly done: (burnt: boolean) => void;
+  readonly onDone: (isRevoked: boolean) => void;
   attempts: number;
 }
 
-/** Asks and answers permit questions. */
+/** Sends and answers permit queries. */
 export class PermitQueries {
   private readonly queries = new Map<number, PermitQuery>();
   private nextId = 1;
@@ -28,21 +28,21 @@
     private readonly permits: PermitAuthority,
   ) {}
 
-  /** Asks the permit's issuer to burn it; `done(false)` when it was used or nobody can tell. */
-  queryIssuer(permit: Permit, done: (burnt: boolean) => void): void {
+  /** Asks the issuer to revoke a permit; `onDone(false)` if it was used or that is unknown. */
+  queryIssuer(permit: Permit, onDone: (isRevoked: boolean) => void): void {
     const issuer = this.membership
       .listPeersToQuery()
       .find((peer) => peer.incarnation === permit.incarnation);
     if (!issuer) {
-      done(false);
+      onDone(false);
       return;
     }
-    const query = { id: this.nextId++, permit, issuer, done, attempts: 0 };
+    const query = { id: this.nextId++, permit, issuer, onDone, attempts: 0 };
     this.queries.set(query.id, query);
     this.transmit(query);
   }
 
-  /** Answers a peer's question about a permit issued here. */
+  /** Answers a peer's query about a permit issued here. */
   receiveQuery(message: PermitQueryMessage, from: Endpoint): void {
     const { settings } = this.context;
     if (message.issuerIncarnation !== settings.incarnation) {
@@ -57,7 +57,7 @@
     });
   }
 
-  /** The issuer's answer. */
+  /** Handles the issuer's answer. */
   receiveAnswer(message: PermitAnswerMessage): void {
     const query = this.queries.get(message.queryId);
     if (query?.issuer.target === message.target) {
@@ -86,8 +86,8 @@
     this.context.environment.startTimer(RETRANSMIT_INTERVAL_MS, () => this.transmit(query));
   }
 
-  private finish(query: PermitQuery, burnt: boolean): void {
+  private finish(query: PermitQuery, isRevoked: boolean): void {
     this.queries.delete(query.id);
-    query.done(burnt);
+    query.onDone(isRevoked);
   }
 }
--- a/src/agent/request-guard.ts
+++ b/src/agent/request-guard.ts
@@ -305,7 +305,7 @@
     }
   }
 
-  /** Only the issuer can confirm that nothing ran under its permit; otherwise the outcome is unknown. */
+  /** Only the issuer can confirm that nothing ran under its permit; else the outcome is unknown. */
   private queryIssuer(exchange: RequestExchange, permit: Permit): void {
     this.queries.queryIssuer(permit, (isRevoked) => {
       if (isRevoked) {
--- a/src/agent/request-passing.ts
+++ b/src/agent/request-passing.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that their flow's host passes to another target with a free slot, both
- * as the host and as the target that helps.
+ * Requests that the flow's host forwards to another target with a free slot, at both
+ * the host and the target that runs them (the helper).
  */
 import type { CoapMessage } from '../coap/coap-message';
 import { generateCoap, parseCoap } from '../coap/coap-message';
@@ -23,13 +23,13 @@
 const RETRANSMIT_INTERVAL_MS = 500;
 const NO_PAYLOAD = Buffer.alloc(0);
 
-/** A request that another target runs for this one. */
+/** A request that another target runs for this agent. */
 interface PassedRequest {
   readonly id: number;
   readonly purpose: CallerRequest;
   readonly request: Buffer;
   readonly deadlineAt: number;
-  /** Targets asked so far. */
+  /** Targets tried so far. */
   readonly tried: string[];
   helper: string;
   helperIncarnation: number;
@@ -42,17 +42,17 @@
   answer: PassedAnswerMessage | undefined;
 }
 
-/** What a successor needs to go on. */
+/** State handed to the successor. */
 export interface RequestPassingState {
   readonly nextId: number;
   readonly passed: readonly PassedRequest[];
   readonly helped: readonly PeerRequestEntry[];
 }
 
-/** Receives the end of every passed request. */
+/** Receives the result of every forwarded request. */
 export type PassEndCallback = (purpose: CallerRequest, result: RequestResult) => void;
 
-/** Passing of requests among the targets of one service. */
+/** Forwards requests among the targets of one service. */
 export class RequestPassing {
   private readonly passed = new Map<number, PassedRequest>();
   private readonly timers = new Map<number, TimerHandle>();
@@ -63,11 +63,11 @@
     private readonly context: AgentContext,
     private readonly membership: GroupMembership,
     private readonly requests: BackendRequests,
-    private readonly freeSlots: () => number,
+    private readonly getFreeSlots: () => number,
     private readonly onEnded: PassEndCallback,
   ) {}
 
-  /** Passes a request to a target believed to have a free slot. */
+  /** Forwards a request to a target that last reported a free slot. */
   pass(request: CoapMessage, purpose: CallerRequest): void {
     const helper = this.findHelper([]);
     if (!helper) {
@@ -87,12 +87,12 @@
     this.sendToHelper(entry, helper);
   }
 
-  /** The purposes of the requests that others run now. */
+  /** The purposes of the requests that other targets are running. */
   listPurposes(): CallerRequest[] {
     return [...this.passed.values()].map((entry) => entry.purpose);
   }
 
-  /** The helper's answer to a passed request. */
+  /** Handles the helper's answer to a forwarded request. */
   receiveAnswer(message: PassedAnswerMessage): void {
     const entry = this.passed.get(message.passId);
     if (!entry || entry.helper !== message.target) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** A helper is gone: what was passed to it has an unknown outcome, said at once. */
+  /** Ends the requests forwarded to a lost helper, with an unknown outcome. */
   handlePeerLost(peer: Peer): void {
     for (const entry of [...this.passed.values()]) {
       if (entry.helper === peer.target && entry.helperIncarnation === peer.incarnation) {
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Runs a request for a peer, at most once however often it is asked. */
+  /** Runs a request for a peer, at most once despite retransmissions. */
   receiveRequest(message: PassedRequestMessage, from: Endpoint): void {
     const { settings } = this.context;
     const isAddressedHere =
@@ -145,7 +145,7 @@
     }
   }
 
-  /** A request run for a peer has ended. */
+  /** Answers the peer whose request has ended. */
   finishPeerRequest(purpose: PeerRequest, result: BackendResult): void {
     if (result.outcome === 'answered') {
       this.answerPeer(purpose, PassedOutcome.answered, generateCoap(result.message));
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Periodic housekeeping. */
+  /** Removes requests run for peers once no retransmission can arrive. */
   removeOldEntries(): void {
     const oldest =
       this.context.environment.now() - ANSWER_RETENTION_MS - this.context.settings.requestDeadline;
@@ -183,7 +183,7 @@
     const key = formatKey(purpose);
     this.helped.set(key, { key, since: this.context.environment.now(), answer: undefined });
     const request = parseCoap(message.payload);
-    if (request.none || this.freeSlots() <= 0) {
+    if (request.none || this.getFreeSlots() <= 0) {
       this.answerPeer(purpose, PassedOutcome.refused, NO_PAYLOAD);
     } else {
       this.requests.send(request.val, purpose, message.deadline);
@@ -197,7 +197,7 @@
       target: this.context.settings.target,
       passId: purpose.passId,
       outcome,
-      freeSlots: Math.max(0, this.freeSlots()),
+      freeSlots: Math.max(0, this.getFreeSlots()),
       payload,
     };
     const entry = this.helped.get(formatKey(purpose));
--- a/src/agent/safeguards.ts
+++ b/src/agent/safeguards.ts
@@ -1,8 +1,8 @@
 /**
- * The mechanisms that keep hallhold's promises, each with a switch.
+ * The mechanisms that enforce hallhold's invariants, each with a switch.
  *
- * Real processes always run with all of them; the simulator can take one out to
- * show what breaks without it.
+ * Real processes always run with all of them; the simulator can disable some to show
+ * which invariants are violated without them.
  */
 
 /** Names of the switches, as `hallhold simulate --without` takes them. */
@@ -18,9 +18,9 @@
 
 export type SafeguardName = (typeof SAFEGUARD_NAMES)[number];
 
-/** Answers whether a mechanism is in. */
+/** The set of enabled mechanisms. */
 export class Safeguards {
-  /** @param without mechanisms taken out; only the simulator passes any */
+  /** @param without disabled mechanisms; only the simulator passes any */
   constructor(private readonly without: ReadonlySet<SafeguardName> = new Set()) {}
 
   has(name: SafeguardName): boolean {
