--- a/src/agent/agent-node.ts
+++ b/src/agent/agent-node.ts
@@ -153,7 +153,7 @@
     };
   }
 
-  /** Restores a predecessor's state; call before {@link start}, with its incarnation set. */
+  /** Restores a predecessor's state; call before {@link start}, with the same incarnation. */
   takeOver(snapshot: AgentSnapshot): void {
     this.membership.importState(snapshot.membership);
     this.drain.importState(snapshot.drain);
--- a/src/agent/flow-table.ts
+++ b/src/agent/flow-table.ts
@@ -73,7 +73,7 @@
     return [...this.flows.keys()].filter((caller) => buckets.has(this.context.getBucket(caller)));
   }
 
-  /** Ended flows whose bucket passes `concerns`, packed; each is returned once. */
+  /** Ended flows whose bucket passes `isRelevant`, packed; each is returned once. */
   takeClosed(isRelevant: (bucket: number) => boolean): Buffer {
     const taken: Endpoint[] = [];
     for (const caller of this.closed) {
--- a/src/agent/group-membership.ts
+++ b/src/agent/group-membership.ts
@@ -435,7 +435,7 @@
     return confirming.length + own >= computeQuorum(voters);
   }
 
-  /** Removes dead and stopped peers that the table no longer lists; they will not return. */
+  /** Removes dead and stopped peers not in the table: they will not return under this name. */
   private removeStopped(): void {
     for (const peer of this.peers.values()) {
       const silence = this.context.environment.now() - peer.lastHeard;
