--- a/src/errors/hallhold-error.ts
+++ b/src/errors/hallhold-error.ts
@@ -1,10 +1,10 @@
-/** The one error type that crosses module seams, carried in a ts-results `Err`. */
+/** The error type of all module interfaces, carried in a ts-results `Err`. */
 import { Err } from 'ts-results';
 import type { ResultCode, RetryAdvice } from './result-codes';
 
-/** A failure with a numbered result code and, where known, what exactly was wrong. */
+/** A failure with a numbered result code and, where known, details of what was invalid. */
 export class HallholdError extends Error {
-  /** @param details one line for each thing that was wrong, for example a table row */
+  /** @param details one line for each problem, for example for each invalid table row */
   constructor(
     readonly resultCode: ResultCode,
     message: string,
@@ -14,19 +14,19 @@
     this.name = 'HallholdError';
   }
 
-  /** Whether the same call may be made again. */
+  /** Whether the same call may be retried. */
   get retry(): RetryAdvice {
     return this.resultCode.retry;
   }
 
-  /** The error as an operator reads it: number, name, message, details. */
+  /** Formats the error for operators: number, name, message, details. */
   describe(): string {
     const summary = `error ${this.resultCode.number} ${this.resultCode.name}: ${this.message}`;
     return [summary, ...this.details.map((detail) => `  ${detail}`)].join('\n');
   }
 }
 
-/** Shorthand for an `Err` that holds a {@link HallholdError}. */
+/** Creates an `Err` that holds a {@link HallholdError}. */
 export function createFailure(
   resultCode: ResultCode,
   message: string,
@@ -35,7 +35,7 @@
   return new Err(new HallholdError(resultCode, message, details));
 }
 
-/** The message of anything that was thrown. */
+/** Returns the message of any thrown value. */
 export function getErrorMessage(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/src/errors/result-codes.ts
+++ b/src/errors/result-codes.ts
@@ -1,21 +1,21 @@
 /**
  * The numbered result codes of hallhold.
  *
- * Every failure that leaves a module carries one of these numbers; the table
- * in docs/ERRORS.md explains each to an operator, and a test holds the two
- * lists against each other.
+ * Every failure that a module returns carries one of these numbers; the table
+ * in docs/ERRORS.md describes each one for operators, and a test checks that
+ * both lists are the same.
  */
 
-/** Says whether the caller may do the same thing again. */
+/** Whether the caller may retry the same call. */
 export type RetryAdvice =
-  /** The operation had no effect; the same call may be made again. */
+  /** The operation had no effect; the same call may be retried. */
   | 'safe'
-  /** The operation may have taken effect; read back before repeating it. */
+  /** The operation may have taken effect; read the state back before retrying. */
   | 'unknown'
-  /** The same call will fail again; change the input first. */
+  /** The same call will fail again unless the input changes. */
   | 'never';
 
-/** One entry of the catalogue of result codes. */
+/** An entry of the catalogue of result codes. */
 export interface ResultCode {
   readonly number: number;
   readonly name: string;
--- a/src/logging/event-log.ts
+++ b/src/logging/event-log.ts
@@ -1,8 +1,8 @@
-/** Writes numbered events as JSON lines through winston, each kind at a bounded rate. */
+/** Writes numbered events as JSON lines through winston, rate-limited for each kind of event. */
 import { createLogger, format, transports, type Logger } from 'winston';
 import type { EventFields, EventKind, EventLevel } from './events';
 
-/** Lines of one event kind that are written in a second; the rest are counted. */
+/** Lines of one kind of event written in each window; further ones are counted. */
 const MAXIMUM_LINES_PER_SECOND = 10;
 const RATE_WINDOW_MS = 1_000;
 
@@ -12,7 +12,7 @@
   suppressed: number;
 }
 
-/** Receives every event, also those whose line is suppressed. */
+/** Receives every event, including those whose line is suppressed. */
 export type EventObserver = (event: EventKind) => void;
 
 /** Log of one process. */
@@ -21,7 +21,7 @@
   private readonly windows = new Map<number, RateWindow>();
 
   /**
-   * @param source goes into every line, for example the process's name
+   * @param source included in every line, for example the name of the process
    * @param observer counts events for metrics
    */
   constructor(
@@ -38,7 +38,7 @@
     });
   }
 
-  /** Writes one event. */
+  /** Logs one event; its line is suppressed below the log level or above the rate limit. */
   report(event: EventKind, fields: EventFields): void {
     this.observer(event);
     if (!this.logger.isLevelEnabled(event.level)) {
--- a/src/logging/events.ts
+++ b/src/logging/events.ts
@@ -1,11 +1,11 @@
 /**
  * The catalogue of numbered log events.
  *
- * docs/EVENTS.md explains each to an operator; a test holds the two lists
- * against each other. Numbers are never reused.
+ * docs/EVENTS.md describes each one for operators; a test checks that both
+ * lists are the same. Numbers are never reused.
  */
 
-/** Log levels, by rising severity. */
+/** Log levels, in order of increasing severity. */
 export type EventLevel = 'debug' | 'info' | 'warn' | 'error';
 
 /** One entry of the event catalogue. */
@@ -15,7 +15,7 @@
   readonly level: EventLevel;
 }
 
-/** Values that go with an event into its log line. */
+/** Fields that an event adds to its log line. */
 export type EventFields = Record<string, string | number | boolean | undefined>;
 
 function event(number: number, name: string, level: EventLevel): EventKind {
--- a/src/logging/line-log.ts
+++ b/src/logging/line-log.ts
@@ -1,39 +1,38 @@
 /**
- * The log of a process that must carry packets at once: JSON lines on standard output.
+ * Log of a process that must handle packets right after its start: JSON lines on standard output.
  *
- * It writes what {@link EventLog} writes without loading winston, which alone takes
- * longer than the whole start of such a process (docs/PACKETS.md has the figures). Each
- * kind of event has a budget a second, and what the reader does not take is dropped and
- * counted: a log never delays a packet.
+ * It writes the same lines as {@link EventLog} without winston, which takes longer to load
+ * than such a process takes to start (measurements in docs/PACKETS.md). Each kind of event
+ * is rate-limited, and lines that the reader does not accept are dropped and counted, so
+ * that logging never delays a packet.
  */
 import SonicBoom from 'sonic-boom';
 import type { EventFields, EventKind, EventLevel } from './events';
 
 const LEVELS: readonly EventLevel[] = ['debug', 'info', 'warn', 'error'];
 const RATE_WINDOW_MS = 1_000;
-/** Bytes that wait for the reader at most. */
+/** Limit of the data that waits for the reader. */
 const MAXIMUM_BACKLOG_BYTES = 1_048_576;
-/** Bytes of one write at most, unless a line is longer: a pipe takes so many at once or none. */
+/** Limit of one write, unless a line is longer; a pipe accepts up to 4,096 bytes atomically. */
 const MAXIMUM_WRITE_BYTES = 4_096;
-/** Milliseconds for which lines are gathered. */
 const FLUSH_DELAY_MS = 100;
-/** Milliseconds that a process waits at its end for the reader. */
+/** How long a stopping process waits for the reader. */
 const CLOSE_TIMEOUT_MS = 100;
 
 /** Settings of a line log. */
 export interface LineLogOptions {
-  /** Goes into every line, for example the process's name. */
+  /** Included in every line, for example the name of the process. */
   readonly source: string;
   readonly level: EventLevel;
-  /** Lines of one kind of event in a second; the rest are counted. */
+  /** Lines written for one kind of event in a second; further ones are counted. */
   readonly linesPerSecond: number;
-  /** Receives every event, also those whose line is left out. */
+  /** Receives every event, including those whose line is suppressed. */
   readonly observer: (event: EventKind, fields: EventFields) => void;
 }
 
-/** Where lines go. */
+/** Destination of log lines. */
 export interface LineOutput {
-  /** Takes a line, or drops it when too much waits; never blocks. */
+  /** Queues a line, or drops it when the backlog is full; never blocks. */
   write(line: string): void;
 }
 
@@ -53,7 +52,7 @@
     private readonly now: () => number = () => performance.now(),
   ) {}
 
-  /** Writes one event. */
+  /** Logs one event; its line is suppressed below the log level or above the rate limit. */
   report(event: EventKind, fields: EventFields): void {
     const { observer, level, linesPerSecond, source } = this.options;
     observer(event, fields);
@@ -93,8 +92,8 @@
 }
 
 /**
- * Lines to a file descriptor in the background, with a bounded backlog. Lines are
- * gathered for a moment: each write costs a hand-over to another thread.
+ * Writes lines to a file descriptor asynchronously, with a bounded backlog. Lines are
+ * buffered briefly, because each write is dispatched to another thread.
  */
 export class DescriptorOutput implements LineOutput {
   private readonly stream: SonicBoom;
@@ -112,7 +111,7 @@
     this.stream.on('error', () => this.droppedBatches++);
   }
 
-  /** Batches that the reader did not take. */
+  /** Number of batches dropped or failed to be written. */
   get droppedCount(): number {
     return this.droppedBatches;
   }
@@ -127,7 +126,7 @@
     this.buffered += line;
   }
 
-  /** Hands over what has been gathered. */
+  /** Writes the buffered lines. */
   flush(): void {
     if (this.buffered !== '') {
       this.stream.write(this.buffered);
@@ -135,7 +134,7 @@
     }
   }
 
-  /** Writes what is left; `done` is called then, or soon when the reader does not take it. */
+  /** Writes the remaining lines, then calls `done`, after the time-out if the reader is stalled. */
   close(done: () => void): void {
     this.flush();
     const timer = setTimeout(done, CLOSE_TIMEOUT_MS);
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads a settings file, lays flags over it, and checks the whole. */
+/** Reads a settings file, applies command-line overrides and validates the result. */
 import { readFileSync } from 'node:fs';
 import { Ok, type Result } from 'ts-results';
 import { parse } from 'yaml';
@@ -6,13 +6,13 @@
 import { createFailure, getErrorMessage, type HallholdError } from '../errors/hallhold-error';
 import { ResultCodes } from '../errors/result-codes';
 
-/** Values from flags; undefined ones do not override. */
+/** Values of command-line flags; undefined ones do not override. */
 export type SettingsOverrides = Readonly<Record<string, unknown>>;
 
 /**
- * Loads and checks settings.
- * Error 1001 when the file cannot be read or is not YAML, 1002 when a key is wrong,
- * with one detail line for each wrong key: file, path and what is allowed.
+ * Loads and validates settings.
+ * Error 1001 when the file cannot be read or is not YAML, 1002 when a key is invalid,
+ * with one detail line for each invalid key: file, path and allowed values.
  */
 export function loadSettings<T>(
   file: string,
@@ -31,7 +31,7 @@
   return checkSettings(file, schema, merged);
 }
 
-/** Checks values against a schema; `source` names them in errors. */
+/** Validates values against a schema; errors name `source` as their origin. */
 export function checkSettings<T>(
   source: string,
   schema: z.ZodType<T>,
@@ -44,7 +44,7 @@
   const details = checked.error.issues.map((issue) => describeIssue(source, issue));
   return createFailure(
     ResultCodes.settingsInvalid,
-    `${source} has ${details.length} wrong keys`,
+    `${source} has ${details.length} invalid keys`,
     details,
   );
 }
--- a/src/settings/settings-schema.ts
+++ b/src/settings/settings-schema.ts
@@ -1,4 +1,4 @@
-/** What a settings file may say, checked by zod. docs/SETTINGS.md explains each key. */
+/** Zod schemas of the settings files. docs/SETTINGS.md describes each key. */
 import { z } from 'zod';
 import { parseEndpoint } from '../core/endpoint';
 
@@ -31,11 +31,11 @@
 const protocolSchema = z.enum(['datagram', 'coap']);
 
 const commonSettings = {
-  /** Where internal frames are received. */
+  /** Address on which internal frames are received. */
   listen: endpointSchema,
-  /** How others reach `listen`, when not at that address itself. */
+  /** Address at which other processes reach this one, where it differs from `listen`. */
   advertise: endpointSchema.optional(),
-  /** Address of health, metrics and, on balancers, the operators' API. */
+  /** HTTP address of health, metrics and, on balancers, the operators' API. */
   admin: endpointSchema,
   keys: z.array(clusterKeySchema).min(1).max(2),
   log: logSchema,
@@ -68,12 +68,12 @@
   flowIdleSeconds: z.number().min(1).max(86_400).default(300),
   requestDeadlineSeconds: z.number().min(0.1).max(600).default(10),
   loadPath: z.string().max(200).default(''),
-  /** TCP address at which a successor on the same machine asks to take over. */
+  /** TCP address at which a successor on the same machine requests a handover. */
   handover: endpointSchema.optional(),
   stopAfterSeconds: z.number().min(0).max(86_400).default(30),
 });
 
-/** Any settings file. */
+/** Settings of either kind of process, distinguished by `role`. */
 export const settingsSchema = z.discriminatedUnion('role', [balancerSchema, agentSchema]);
 
 export type BalancerSettings = z.infer<typeof balancerSchema>;
