--- a/src/coap/coap-message.ts
+++ b/src/coap/coap-message.ts
@@ -1,8 +1,8 @@
-/** CoAP messages (RFC 7252) by way of the coap-packet library, with the few options hallhold reads. */
+/** CoAP messages (RFC 7252), parsed and encoded with coap-packet, and the options hallhold uses. */
 import { generate, parse, type Packet, type ParsedPacket } from 'coap-packet';
 import { None, Some, type Option } from 'ts-results';
 
-/** Option numbers of RFC 7252, 7641, 7959 and 9175, and one of the experimental range. */
+/** Option numbers of RFC 7252, 7641, 7959 and 9175, and one from the experimental range. */
 export const CoapOption = {
   etag: 4,
   observe: 6,
@@ -10,11 +10,11 @@
   maxAge: 14,
   block2: 23,
   echo: 252,
-  /** Milliseconds the back end has left; hallhold's own, from the range for experiments. */
+  /** Milliseconds left for the back end to answer; private to hallhold, in the experimental range. */
   deadline: 65_000,
 } as const;
 
-/** Names by which coap-packet reports the options it knows. */
+/** Option names in messages parsed by coap-packet; it keeps other options as numbers. */
 const OPTION_NAMES: ReadonlyMap<number, string> = new Map([
   [CoapOption.etag, 'ETag'],
   [CoapOption.observe, 'Observe'],
@@ -23,7 +23,7 @@
   [CoapOption.block2, 'Block2'],
 ]);
 
-/** Response codes used by the agent itself. */
+/** Codes of messages that the agent itself creates. */
 export const CoapCode = {
   empty: '0.00',
   content: '2.05',
@@ -37,12 +37,13 @@
 const GET_CODE = '0.01';
 const OBSERVE_REGISTER = 0;
 const MAXIMUM_INTEGER_BYTES = 6;
+/** Smallest Block2 value with a block number above 0: the number starts at bit 4. */
 const MINIMUM_LATER_BLOCK_VALUE = 16;
 
 /** A parsed message. */
 export type CoapMessage = ParsedPacket;
 
-/** Parses a datagram; none when it is not a CoAP message. */
+/** Parses a datagram; `None` when it is not a CoAP message. */
 export function parseCoap(datagram: Buffer): Option<CoapMessage> {
   try {
     return Some(parse(datagram));
@@ -56,7 +57,7 @@
   return generate(packet, Number.MAX_SAFE_INTEGER);
 }
 
-/** The first value of an option, if present. */
+/** Returns the first value of an option, if present. */
 export function findOption(message: CoapMessage, number: number): Buffer | undefined {
   const name = OPTION_NAMES.get(number);
   const found = message.options.find(
@@ -65,12 +66,12 @@
   return found?.value;
 }
 
-/** The options without one number, in the form `generateCoap` takes. */
+/** Returns the options except one number, in the form that `generateCoap` accepts. */
 export function omitOption(message: CoapMessage, number: number): CoapMessage['options'] {
   return message.options.filter((option) => Number(option.name) !== number);
 }
 
-/** An option value that holds an unsigned integer; 0 for an empty one, as RFC 7252 has it. */
+/** Decodes an unsigned integer option; an empty value is 0 by RFC 7252. */
 export function decodeInteger(value: Buffer | undefined): number | undefined {
   if (!value || value.length > MAXIMUM_INTEGER_BYTES) {
     return undefined;
@@ -78,7 +79,7 @@
   return value.length === 0 ? 0 : value.readUIntBE(0, value.length);
 }
 
-/** The shortest encoding of an unsigned integer below 2^32. */
+/** Encodes an unsigned integer below 2^32 in as few bytes as possible. */
 export function encodeInteger(value: number): Buffer {
   const bytes = Buffer.alloc(4);
   bytes.writeUInt32BE(value);
@@ -86,35 +87,35 @@
   return firstUsed < 0 ? Buffer.alloc(0) : bytes.subarray(firstUsed);
 }
 
-/** True for codes 0.01 to 0.31. */
+/** Whether the code is a request code, 0.01 to 0.31. */
 export function isRequest(message: CoapMessage): boolean {
   return message.code.startsWith('0.') && message.code !== CoapCode.empty;
 }
 
-/** True for a request that may not be repeated. */
+/** Whether the message is a POST, which must not be executed twice. */
 export function isPost(message: CoapMessage): boolean {
   return message.code === POST_CODE;
 }
 
-/** True for a GET that registers an observation (RFC 7641). */
+/** Whether the message is a GET that registers an observation (RFC 7641). */
 export function isObserveRegistration(message: CoapMessage): boolean {
   const observe = decodeInteger(findOption(message, CoapOption.observe));
   return message.code === GET_CODE && observe === OBSERVE_REGISTER;
 }
 
-/** True for a GET that ends an observation. */
+/** Whether the message is a GET that cancels an observation. */
 export function isObserveCancellation(message: CoapMessage): boolean {
   const observe = decodeInteger(findOption(message, CoapOption.observe));
   return message.code === GET_CODE && observe !== undefined && observe !== OBSERVE_REGISTER;
 }
 
-/** True for a request of a later block of a transfer already begun (RFC 7959). */
+/** Whether the request is for a later block of a transfer in progress (RFC 7959). */
 export function isTransferContinuation(message: CoapMessage): boolean {
   const value = decodeInteger(findOption(message, CoapOption.block2));
   return value !== undefined && value >= MINIMUM_LATER_BLOCK_VALUE;
 }
 
-/** The request's path, for example "staff/reports". */
+/** Returns the request path, for example "staff/reports". */
 export function getUriPath(message: CoapMessage): string {
   const segments = message.options.filter((option) => option.name === 'Uri-Path');
   return segments.map((option) => option.value.toString()).join('/');
--- a/src/explain/explanation.ts
+++ b/src/explain/explanation.ts
@@ -1,38 +1,38 @@
 /**
- * The story of one request or flow, told from the logs of all processes.
+ * Reconstructs the timeline of one request or flow from the logs of all processes.
  *
- * Clocks of machines differ, so records of one process keep their order, and records of
- * different ones are merged by time with the differences that the logs themselves show.
+ * Records are merged by the time stamps in the logs. Clocks of machines differ and are not
+ * corrected, so the order of records of different machines is approximate.
  */
 import { Events, type EventKind } from '../logging/events';
 import type { LogRecord } from './log-reader';
 
-/** Milliseconds around the flow's own records within which changes of belief are told. */
+/** State changes this long before and after the flow's own records are included. */
 const RELATED_RECORDS_MARGIN_MS = 3_000;
 
-/** What was found. */
+/** Timeline and likely cause for one flow. */
 export interface Explanation {
-  /** The client's end of the flow; undefined when nothing was found. */
+  /** Client address of the flow as "address:port"; undefined when nothing was found. */
   readonly client: string | undefined;
-  /** Records of the flow and of what changed around it, in order. */
+  /** Records of the flow and of related state changes, by time. */
   readonly story: readonly LogRecord[];
   readonly cause: string;
 }
 
-/** Explains a request id or a client's end "address:port". */
+/** Explains a request id or a client address "address:port". */
 export function explain(records: readonly LogRecord[], id: string): Explanation {
   const delivered = records.find(({ fields }) => fields['request'] === id);
   const client = delivered ? String(delivered.fields['client']) : id;
   const flowRecords = records.filter(({ fields }) => fields['client'] === client);
   if (flowRecords.length === 0) {
-    const cause = 'no process logged it: it never reached a balancer, or its lines were left out';
+    const cause = 'not in any log: it never reached a balancer, or its lines were suppressed';
     return { client: undefined, story: [], cause };
   }
   const merged = mergeByTime(flowRecords.concat(findRelatedRecords(records, flowRecords)));
   return { client, story: merged, cause: findLikelyCause(flowRecords, merged) };
 }
 
-/** Changes of belief at the processes and agents that the flow's records name. */
+/** State changes of the processes and agents that the flow's records name. */
 function findRelatedRecords(
   records: readonly LogRecord[],
   flowRecords: readonly LogRecord[],
@@ -66,7 +66,7 @@
   Events.targetStateChanged,
 ];
 
-/** Sorts by time; equal times keep the order in which they were read. */
+/** Sorts by time; records with equal times keep their input order. */
 function mergeByTime(records: readonly LogRecord[]): LogRecord[] {
   return records
     .map((record, order) => ({ record, order }))
@@ -90,17 +90,17 @@
     return `packets dropped by ${dropped.source}: ${String(dropped.fields['reason'])}`;
   }
   if (!hasEvent(flowRecords, Events.requestDelivered)) {
-    return `placed, but no request reached a target: the opening was lost${describeRestarts(story)}`;
+    return `placed, but no request reached a target: the opening packet was lost${describeRestarts(story)}`;
   }
   const delivered = findLast(Events.requestDelivered)!;
   const restart = describeRestarts(story);
   const busy = String(delivered.fields['busy']);
   return restart === ''
-    ? `delivered by ${delivered.source} with ${busy} requests at its target: what is late or missing is the target's`
+    ? `delivered by ${delivered.source} with ${busy} requests at its target: a late or missing answer is due to the target`
     : `delivered by ${delivered.source}${restart}`;
 }
 
-/** Names processes of the story that started or stopped in it. */
+/** Names the processes that started within the timeline; empty when there are none. */
 function describeRestarts(story: readonly LogRecord[]): string {
   const restarted = story.filter(({ event }) => event === Events.processStarted.number);
   const sources = [...new Set(restarted.map(({ source }) => source))];
--- a/src/explain/log-reader.ts
+++ b/src/explain/log-reader.ts
@@ -1,8 +1,8 @@
-/** Reads the JSON log lines of many processes, also behind a prefix that a collector added. */
+/** Parses JSON log lines of many processes, also behind a prefix added by a log collector. */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface LogRecord {
-  /** Milliseconds since 1970 by the clock of the process that wrote it. */
+  /** Unix time in milliseconds, by the clock of the process that wrote the line. */
   readonly time: number;
   readonly source: string;
   readonly event: number;
@@ -10,7 +10,7 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** The record in a line; undefined for a line that holds none. */
+/** Parses one line; undefined for a line without a record. */
 export function parseLogLine(line: string): LogRecord | undefined {
   const start = line.indexOf('{');
   if (start < 0) {
@@ -33,7 +33,7 @@
   return { time, source: String(source), event, message, fields };
 }
 
-/** Every record of a text. */
+/** Parses all records of a text and skips other lines. */
 export function parseLog(text: string): LogRecord[] {
   const records: LogRecord[] = [];
   for (const line of text.split('\n')) {
--- a/src/operator/admin-server.ts
+++ b/src/operator/admin-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of a process: health, metrics and, on balancers, the operators' API. */
+/** HTTP server of a process: health, metrics and, on balancers, the operators' API. */
 import 'reflect-metadata';
 import { Module, type DynamicModule, type Type } from '@nestjs/common';
 import { NestFactory } from '@nestjs/core';
@@ -14,15 +14,15 @@
 import { StatusController } from './status-controller';
 import { TablesController } from './tables-controller';
 
-/** What the server shows. */
+/** Address and data sources of the server. */
 export interface AdminServerOptions {
   readonly listen: Endpoint;
   readonly metrics: Metrics;
-  /** Whether the process may be sent traffic. */
+  /** Whether the process accepts traffic. */
   readonly isReady: () => boolean;
-  /** Present on balancers: adds the operators' API. */
+  /** Set on balancers only: enables the operators' API. */
   readonly balancer?: BalancerNode;
-  /** Figures shown at /status. */
+  /** Document returned at /status. */
   readonly status: () => unknown;
 }
 
@@ -48,7 +48,7 @@
   };
 }
 
-/** Starts the server. Throws a {@link HallholdError} 1402 when the address is taken. */
+/** Starts the server. Throws a {@link HallholdError} 1402 when it cannot listen at the address. */
 export async function startAdminServer(options: AdminServerOptions): Promise<AdminServer> {
   const adapter = new FastifyAdapter();
   const application = await NestFactory.create<NestFastifyApplication>(
@@ -71,7 +71,7 @@
   };
 }
 
-/** Loaded only here: agents have no API to describe, and the library takes memory. */
+/** Imports the library on demand: agents have no API to describe, and it uses much memory. */
 async function serveOpenApi(application: NestFastifyApplication): Promise<void> {
   const { DocumentBuilder, SwaggerModule } = await import('@nestjs/swagger');
   const configuration = new DocumentBuilder()
--- a/src/operator/admin-tokens.ts
+++ b/src/operator/admin-tokens.ts
@@ -1,12 +1,12 @@
-/** Injection tokens of the admin server. */
+/** Dependency injection tokens of the admin server. */
 import type { Metrics } from '../runtime/metrics';
 
 /** Token of the {@link AdminTarget}. */
 export const ADMIN_TARGET = 'hallhold-admin-target';
-/** Token of the balancer node; undefined on agents. */
+/** Token of the balancer node, whose value is undefined on agents. */
 export const BALANCER_NODE = 'hallhold-balancer-node';
 
-/** What health, metrics and status read. */
+/** Data source of the health, metrics and status controllers. */
 export interface AdminTarget {
   readonly metrics: Metrics;
   readonly isReady: () => boolean;
--- a/src/operator/health-controller.ts
+++ b/src/operator/health-controller.ts
@@ -1,8 +1,8 @@
-/** Health and metrics of a process. */
+/** Health and metrics routes of a process. */
 import { Controller, Get, Header, HttpException, HttpStatus, Inject } from '@nestjs/common';
 import { ADMIN_TARGET, type AdminTarget } from './admin-tokens';
 
-/** Answer of the health pages. */
+/** Answer of the health routes. */
 interface Health {
   readonly status: 'ok';
 }
@@ -17,7 +17,7 @@
     return { status: 'ok' };
   }
 
-  /** 200 when the process may be sent traffic, 503 otherwise. */
+  /** 200 when the process accepts traffic, 503 otherwise. */
   @Get('readyz')
   readyz(): Health {
     if (!this.target.isReady()) {
--- a/src/operator/operator-client.ts
+++ b/src/operator/operator-client.ts
@@ -1,4 +1,4 @@
-/** The operators' API as the command line calls it, through undici. */
+/** HTTP client of the operators' API for the command line, built on undici. */
 import { Err, Ok, type Result } from 'ts-results';
 import { request } from 'undici';
 import { createFailure, HallholdError, getErrorMessage } from '../errors/hallhold-error';
@@ -14,7 +14,7 @@
 const MINIMUM_ERROR_STATUS = 400;
 const STATUS_NOT_FOUND = 404;
 
-/** An edit as sent to the API. */
+/** Body of a table edit. */
 export interface EditRequest {
   readonly baseRevision: number;
   readonly baseRows: readonly RowView[];
@@ -22,28 +22,28 @@
   readonly writeId: string;
 }
 
-/** A balancer's /status page. */
+/** Document at /status of a balancer. */
 export interface BalancerStatus {
   readonly name: string;
   readonly zone: string;
   readonly ready: boolean;
   readonly statistics: BalancerStatistics;
   readonly members: readonly MemberRecord[];
-  /** Targets that are not simply serving. */
+  /** Targets that are draining or stopped. */
   readonly targets: readonly TargetView[];
 }
 
-/** Client of one balancer's API. */
+/** Client of the API of one balancer. */
 export class OperatorClient {
   /** @param url base address, for example "http://127.0.1.1:7080" */
   constructor(private readonly url: string) {}
 
-  /** Every table in force at the balancer. */
+  /** Returns every active table of the balancer. */
   listTables(): Promise<Result<readonly TableView[], HallholdError>> {
     return this.call('GET', '/tables');
   }
 
-  /** One table; revision 0 without rows when the service has none. */
+  /** Returns one table; an empty one at revision 0 when the service has none. */
   async getTable(service: string): Promise<Result<TableView, HallholdError>> {
     const result = await this.call<TableView>('GET', `/tables/${service}`);
     if (result.err && result.val.resultCode.number === ResultCodes.tableUnknownService.number) {
@@ -56,12 +56,12 @@
     return this.call('PUT', `/tables/${service}`, edit);
   }
 
-  /** The state of a write by its id. */
+  /** Returns the state of a write by its id. */
   getWriteStatus(writeId: string): Promise<Result<unknown, HallholdError>> {
     return this.call('GET', `/tables/writes/${writeId}`);
   }
 
-  /** Figures and members of the process. */
+  /** Returns metric values and members of the process. */
   getStatus(): Promise<Result<BalancerStatus, HallholdError>> {
     return this.call('GET', '/status');
   }
@@ -102,7 +102,7 @@
     status === STATUS_NOT_FOUND
       ? ResultCodes.tableUnknownService
       : ResultCodes.operatorApiUnreachable;
-  return new HallholdError(fallback, `the balancer answered ${status}`);
+  return new HallholdError(fallback, `the balancer answered with HTTP status ${status}`);
 }
 
 function findResultCode(number: number | undefined): ResultCode | undefined {
--- a/src/operator/status-controller.ts
+++ b/src/operator/status-controller.ts
@@ -1,8 +1,8 @@
-/** The state of a process as an operator reads it. */
+/** Status route of a process. */
 import { Controller, Get, Inject } from '@nestjs/common';
 import { ADMIN_TARGET, type AdminTarget } from './admin-tokens';
 
-/** A target that is not simply serving. */
+/** A target that is draining or stopped. */
 export interface TargetView {
   readonly service: string;
   readonly target: string;
@@ -13,7 +13,7 @@
 export class StatusController {
   constructor(@Inject(ADMIN_TARGET) private readonly target: AdminTarget) {}
 
-  /** Figures, members and drains known to this process. */
+  /** Metric values, members and draining targets known to this process. */
   @Get('status')
   status(): unknown {
     return this.target.status();
--- a/src/operator/table-rows.ts
+++ b/src/operator/table-rows.ts
@@ -1,4 +1,4 @@
-/** Rows of a table as operators write them, in CSV and in JSON. */
+/** Parses, validates and formats table rows in the CSV and JSON forms of operators. */
 import { parse } from 'csv-parse/sync';
 import { stringify } from 'csv-stringify/sync';
 import { Err, Ok, type Result } from 'ts-results';
@@ -21,7 +21,7 @@
   .union([z.number(), z.string().regex(/^\d+(\.\d+)?$/, 'must be a number, 0 or more')])
   .transform(Number);
 
-/** One row as text or JSON. */
+/** Schema of one row, from CSV cells or JSON. */
 export const rowSchema = z.strictObject({
   service: nameSchema,
   target: nameSchema,
@@ -40,7 +40,7 @@
   readonly rows: readonly TableRow[];
 }
 
-/** A row as the operators' API shows it. */
+/** A row in the form of the operators' API. */
 export interface RowView {
   readonly service: string;
   readonly target: string;
@@ -50,7 +50,7 @@
   readonly connections: number;
 }
 
-/** Turns stored rows into what operators see. */
+/** Converts stored rows to the form of the operators' API. */
 export function createRowViews(service: string, rows: readonly TableRow[]): RowView[] {
   return rows.map((row) => ({
     service,
@@ -62,7 +62,7 @@
   }));
 }
 
-/** Turns what operators see back into rows; the API has checked them. */
+/** Converts rows from the operators' API to stored rows. The API has validated them before. */
 export function parseRowViews(views: readonly RowView[]): TableRow[] {
   return views.map(({ target, address, share, slots, connections }) => ({
     target,
@@ -73,7 +73,7 @@
   }));
 }
 
-/** Checks rows given as objects; `where` names a row's place in an error, for example "line 3". */
+/** Validates row objects; `formatLocation` names a row in errors, for example "line 3". */
 export function checkRows(
   values: readonly unknown[],
   formatLocation: (index: number) => string,
@@ -112,7 +112,7 @@
   return new Ok([...services].map(([service, rows]) => ({ service, rows })));
 }
 
-/** Parses a CSV table. Error 1101 names line, column and reason of everything wrong. */
+/** Parses a CSV table. Error 1101 lists each invalid cell by line, column and reason. */
 export function parseCsvTable(text: string): Result<readonly ServiceRows[], HallholdError> {
   try {
     const records = parse(text, { bom: true, skip_empty_lines: true, trim: true }) as string[][];
@@ -120,7 +120,7 @@
     const isHeaderWrong = !header || header.join(',') !== COLUMNS.join(',');
     if (isHeaderWrong) {
       const detail = `line 1: the columns must be ${COLUMNS.join(',')}`;
-      return createFailure(ResultCodes.tableInvalid, 'the header is wrong', [detail]);
+      return createFailure(ResultCodes.tableInvalid, 'the header is invalid', [detail]);
     }
     const values = rows.map((row) =>
       Object.fromEntries(COLUMNS.map((key, column) => [key, row[column]])),
@@ -131,7 +131,7 @@
   }
 }
 
-/** Writes rows as CSV with a header. */
+/** Formats rows as CSV with a header. */
 export function formatCsvTable(rows: readonly RowView[]): string {
   return stringify([...rows], { header: true, columns: [...COLUMNS] });
 }
--- a/src/operator/tables-controller.ts
+++ b/src/operator/tables-controller.ts
@@ -1,4 +1,4 @@
-/** The operators' API for tables, on balancers. */
+/** Table routes of the operators' API, on balancers. */
 import { Body, Controller, Get, HttpException, Inject, Param, Put } from '@nestjs/common';
 import { z } from 'zod';
 import type { BalancerNode } from '../balancer/balancer-node';
@@ -9,14 +9,14 @@
 import { BALANCER_NODE } from './admin-tokens';
 import { checkRows, createRowViews, type RowView, type ServiceRows } from './table-rows';
 
-/** A service's table as the API shows it. */
+/** A service's table in the form of the API. */
 export interface TableView {
   readonly service: string;
   readonly revision: number;
   readonly rows: readonly RowView[];
 }
 
-/** An error as the API shows it. */
+/** An error in the form of the API. */
 export interface ErrorView {
   readonly number: number;
   readonly name: string;
@@ -44,13 +44,13 @@
 export class TablesController {
   constructor(@Inject(BALANCER_NODE) private readonly balancer: BalancerNode) {}
 
-  /** Every table in force here. */
+  /** Returns every active table of this balancer. */
   @Get()
   list(): readonly TableView[] {
     return [...this.balancer.distribution.cache.listTables()].map(createTableView);
   }
 
-  /** One service's table; 404 with error 1103 when there is none. */
+  /** Returns the table of one service; 404 with error 1103 when there is none. */
   @Get(':service')
   get(@Param('service') service: string): TableView {
     const table = this.balancer.distribution.cache.get(service);
@@ -60,7 +60,7 @@
     return createTableView(table);
   }
 
-  /** How far an edit is, by its write id. */
+  /** Returns the state of an edit by its write id; 404 with error 1103 when unknown. */
   @Get('writes/:writeId')
   writeStatus(@Param('writeId') writeId: string): unknown {
     const status = this.balancer.acceptance.getStatus(writeId);
@@ -75,7 +75,7 @@
       : status;
   }
 
-  /** Replaces a service's rows; answers when accepted, refused, or not yet known. */
+  /** Replaces a service's rows; answers once the edit is accepted, refused or of unknown outcome. */
   @Put(':service')
   async put(@Param('service') service: string, @Body() body: unknown): Promise<AcceptedEdit> {
     const edit = editSchema.safeParse(body);
@@ -99,7 +99,7 @@
   }
 }
 
-/** An error in the API's form. */
+/** Converts an error to the form of the API. */
 export function createErrorView(error: HallholdError): ErrorView {
   const { number, name, retry } = error.resultCode;
   return { number, name, message: error.message, retry, details: error.details };
@@ -117,7 +117,7 @@
   }
   const otherService = checked.val.find((group) => group.service !== service);
   if (otherService) {
-    const text = `the edit is of ${service} but has rows of ${otherService.service}`;
+    const text = `the edit of ${service} contains rows of ${otherService.service}`;
     throw createHttpException(ResultCodes.tableInvalid, text);
   }
   return checked.val[0]?.rows ?? [];
