--- a/src/cli/agent-command.ts
+++ b/src/cli/agent-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold agent`: runs an agent process beside a back end. */
+/** `hallhold agent`: runs an agent process next to a back end. */
 import { Command, Option } from 'clipanion';
 import type { Result } from 'ts-results';
 import type { HallholdError } from '../errors/hallhold-error';
@@ -11,9 +11,9 @@
 export class AgentCommand extends Command {
   static override paths = [['agent']];
   static override usage = Command.Usage({
-    description: 'Run an agent beside a back end.',
+    description: 'Run an agent next to a back end.',
     details:
-      'Settings come from a YAML file; flags override it. SIGTERM begins a planned stop, SIGHUP reads the cluster keys anew.',
+      'Settings come from a YAML file; flags override it. SIGTERM starts a planned stop, SIGHUP reloads the cluster keys.',
     examples: [
       ['With a settings file', '$0 agent --settings examples/map-agent.yaml'],
       [
@@ -30,7 +30,7 @@
   backend = Option.String('--backend', { description: 'Address of the back end' });
 
   takeOver = Option.Boolean('--take-over', false, {
-    description: 'Take flows, ledger and incarnation over from the agent that runs here now',
+    description: 'Take over flows, ledger and incarnation from the agent now running here',
   });
 
   async execute(): Promise<number> {
--- a/src/cli/balancer-command.ts
+++ b/src/cli/balancer-command.ts
@@ -13,7 +13,7 @@
   static override usage = Command.Usage({
     description: 'Run a balancer.',
     details:
-      'Settings come from a YAML file; flags override it. SIGTERM begins a planned stop, SIGHUP reads the cluster keys anew.',
+      'Settings come from a YAML file; flags override it. SIGTERM starts a planned stop, SIGHUP reloads the cluster keys.',
     examples: [
       ['With a settings file', '$0 balancer --settings examples/map-balancer.yaml'],
       ['On another address', '$0 balancer --settings b.yaml --listen 127.0.1.9:7000 --name b-9'],
--- a/src/cli/bench-commands.ts
+++ b/src/cli/bench-commands.ts
@@ -1,4 +1,4 @@
-/** `hallhold bench ...`: measurements, each beside a baseline or at several sizes. */
+/** `hallhold bench ...`: benchmarks, each against a baseline or at several sizes. */
 import { Command, Option } from 'clipanion';
 import { benchDatapath, type DatapathReport } from '../bench/datapath';
 import { benchBalance } from '../bench/balance';
@@ -8,7 +8,7 @@
 export class BenchDatapathCommand extends Command {
   static override paths = [['bench', 'datapath']];
   static override usage = Command.Usage({
-    description: 'Measure the data path beside a bare UDP relay with the same hops.',
+    description: 'Measure the data path against a bare UDP relay with the same hops.',
     examples: [['As one JSON line', '$0 bench datapath --json']],
   });
 
@@ -53,10 +53,10 @@
 export class BenchPacketsCommand extends Command {
   static override paths = [['bench', 'packets']];
   static override usage = Command.Usage({
-    description: 'Measure processor time a packet at a packet balancer, cold and warm.',
+    description: 'Measure processor time per packet at a packet balancer, cold and warm.',
     details:
-      'Four paths, each in a process of its own: a bare relay, a balancer with compact ' +
-      'frames, one whose agents also acknowledge packets, and one whose agents know only documents.',
+      'Four paths, each in a separate process: a bare relay, a balancer with compact ' +
+      'frames, one whose agents also acknowledge packets, and one whose agents support only documents.',
     examples: [['As one JSON line', '$0 bench packets --json']],
   });
 
@@ -85,12 +85,12 @@
 export class BenchBalanceCommand extends Command {
   static override paths = [['bench', 'balance']];
   static override usage = Command.Usage({
-    description: 'Measure balance over hours of virtual time beside baselines and an oracle.',
+    description: 'Measure balance over hours of virtual time against baselines and an oracle.',
     examples: [['Three hours with seven targets', '$0 bench balance --hours 3 --targets 7 --json']],
   });
 
   json = Option.Boolean('--json', false, { description: 'Print one JSON object as the last line' });
-  hours = Option.String('--hours', '2', { description: 'Virtual hours after warming up' });
+  hours = Option.String('--hours', '2', { description: 'Virtual hours after the warm-up' });
   targets = Option.String('--targets', '7', { description: 'Targets of the service' });
   seed = Option.String('--seed', '1');
 
--- a/src/cli/demo-command.ts
+++ b/src/cli/demo-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold demo`: a whole office on loopback, with planned changes on the way. */
+/** `hallhold demo`: a complete deployment on loopback, with planned changes during the run. */
 import { Command, Option } from 'clipanion';
 import * as validator from 'typanion';
 import type { TableRow } from '../core/table';
@@ -10,7 +10,7 @@
 const PROGRESS_INTERVAL_MS = 1_000;
 const SAMPLE_INTERVAL_MS = 100;
 
-/** What the demo measured; the JSON line's shape. */
+/** Results of the demo, as printed in the JSON line. */
 interface DemoResult {
   readonly deployment: string;
   readonly seconds: number;
@@ -31,8 +31,9 @@
   readonly breakReasons: Readonly<Record<string, number>>;
 }
 
-/** A change on the way, at a part of the run's time. */
+/** A planned change during the run. */
 interface PlannedChange {
+  /** Start as a fraction of the duration of the run. */
   readonly startFraction: number;
   readonly description: string;
   readonly run: () => Promise<void>;
@@ -41,14 +42,14 @@
 export class DemoCommand extends Command {
   static override paths = [['demo']];
   static override usage = Command.Usage({
-    description: 'Run a whole deployment on loopback and measure it.',
+    description: 'Run a complete deployment on loopback and measure it.',
     details:
       'Starts platform, balancers, agents, back ends, fabric and callers in this process, with real ' +
-      'sockets. A table edit, a draining target and a balancer stop happen on the way.',
+      'sockets. A table edit, a draining target and a balancer stop take place during the run.',
     examples: [
-      ['The map office for 20 seconds', '$0 demo'],
+      ['The map deployment for 20 seconds', '$0 demo'],
       [
-        'The porting office, one JSON line at the end',
+        'The porting deployment, with a JSON line at the end',
         '$0 demo --deployment porting --seconds 5 --json',
       ],
     ],
@@ -59,7 +60,7 @@
     validator: validator.isEnum(['map', 'porting'] as const),
   });
   seconds = Option.String('--seconds', '20', {
-    description: 'How long callers run',
+    description: 'Duration of the run',
     validator: validator.cascade(validator.isNumber(), validator.isInInclusiveRange(1, 3_600)),
   });
   json = Option.Boolean('--json', false, { description: 'Print one JSON object as the last line' });
@@ -71,7 +72,7 @@
     const deployment = DEPLOYMENTS[this.deployment];
     const embedded = new EmbeddedDeployment(deployment, { logLevel: this.logLevel });
     try {
-      this.context.stderr.write(`starting the ${this.deployment} office on loopback\n`);
+      this.context.stderr.write(`starting the ${this.deployment} deployment on loopback\n`);
       await embedded.start();
       await embedded.startCallers();
       const imbalance = await this.run(embedded, deployment);
@@ -162,7 +163,7 @@
   }
 }
 
-/** Time-weighted mean of the imbalance of each service. */
+/** Mean of the imbalance of each service over regular samples. */
 class ImbalanceSampler {
   private readonly sums = new Map<string, number>();
   private samples = 0;
@@ -214,7 +215,7 @@
     },
     {
       startFraction: 0.75,
-      description: `return: ${service} target-2 gets share 1`,
+      description: `end of drain: ${service} target-2 gets share 1`,
       run: () => embedded.edit(service, createShareEdit('target-2', 1)),
     },
   ];
--- a/src/cli/explain-command.ts
+++ b/src/cli/explain-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold explain`: what became of a request or flow, by the logs of all processes. */
+/** `hallhold explain`: outcome of a request or flow, from the logs of all processes. */
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import { createFailure, getErrorMessage } from '../errors/hallhold-error';
@@ -12,9 +12,9 @@
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
   static override usage = Command.Usage({
-    description: 'Explain what became of a request or flow.',
+    description: 'Explain the outcome of a request or flow.',
     details:
-      'Reads the log files of any number of processes, or standard input, and prints in order what they decided about one request id or one client "address:port", and the likely cause of a failure.',
+      'Reads the log files of any number of processes, or standard input, and prints the records of one request id or one client "address:port" by time, with the likely cause of a failure.',
     examples: [
       ['A request id', '$0 explain bcebcdc4a9731f35 front.log side.log'],
       ['A flow, as JSON', '$0 explain 100.65.0.20:1046 --json < all.log'],
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,17 +1,17 @@
 /**
  * Entry point of the `hallhold` command line.
  *
- * Most of a command's time to its first word is loading libraries, so only the modules of
- * the command that was asked for are loaded; all of them for help and for unknown words.
+ * Loading libraries takes most of the start-up time of a command, so only the modules of the
+ * requested command are loaded; all of them for help and for unknown commands.
  */
 import { Builtins, Cli, type CommandClass } from 'clipanion';
 
 const VERSION = '0.1.0';
 
-/** Loads the command classes that begin with one word. */
+/** Loads the command classes whose paths share a first word. */
 type CommandLoader = () => Promise<readonly CommandClass[]>;
 
-/** Loaders by the first word of the command line. */
+/** Loaders by first word of the command line. */
 const LOADERS: Readonly<Record<string, CommandLoader>> = {
   agent: async () => [(await import('./agent-command')).AgentCommand],
   balancer: async () => [(await import('./balancer-command')).BalancerCommand],
@@ -48,7 +48,7 @@
 
 const VERSION_FLAGS: readonly string[] = ['--version', '-v'];
 
-/** The commands that a command line may mean. */
+/** Loads the commands that a command line with this first word can refer to. */
 async function loadCommands(commandName: string | undefined): Promise<readonly CommandClass[]> {
   if (commandName !== undefined && VERSION_FLAGS.includes(commandName)) {
     return [];
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,9 +1,9 @@
-/** Common output of commands: errors, tables, JSON. */
+/** Output shared by all commands: errors, tables, JSON. */
 import Table from 'cli-table3';
 import type { BaseContext } from 'clipanion';
 import { HallholdError, getErrorMessage } from '../errors/hallhold-error';
 
-/** Exit codes: 0 done, 1 a numbered error, 2 the check or simulation found something. */
+/** Exit codes: 0 success, 1 error, 2 a check or simulation found violations. */
 export const ExitCode = { done: 0, failed: 1, violations: 2 } as const;
 
 /** Writes an error to standard error and returns the exit code. */
@@ -13,7 +13,7 @@
   return ExitCode.failed;
 }
 
-/** Writes rows under a header as a readable table. */
+/** Prints rows as a text table with a header. */
 export function printTable(
   context: BaseContext,
   head: readonly string[],
@@ -24,7 +24,7 @@
   context.stdout.write(`${table.toString()}\n`);
 }
 
-/** Writes one JSON object as one line. */
+/** Prints a value as one line of JSON. */
 export function printJson(context: BaseContext, value: unknown): void {
   context.stdout.write(`${JSON.stringify(value)}\n`);
 }
--- a/src/cli/process-runner.ts
+++ b/src/cli/process-runner.ts
@@ -1,20 +1,20 @@
-/** Runs a process object until a signal asks it to stop. */
+/** Runs a process object until a signal or a handover ends it. */
 import type { BaseContext } from 'clipanion';
 import type { Result } from 'ts-results';
 import type { HallholdError } from '../errors/hallhold-error';
 import { ExitCode, printError } from './output';
 
-/** A process that can be stopped as planned. */
+/** A process that supports a planned stop. */
 export interface StoppableProcess {
   stop(): Promise<void>;
-  /** Resolves when a successor has taken over, and this process has nothing left to do. */
+  /** Resolves when a successor has taken over and this process can exit. */
   readonly handedOver?: Promise<void>;
 }
 
-/** Re-reads settings when SIGHUP comes. */
+/** Reloads settings on SIGHUP. */
 export type Reload<T> = (running: T) => void;
 
-/** Starts, waits for SIGTERM or SIGINT, stops as planned. Returns the exit code. */
+/** Runs until SIGTERM or SIGINT (planned stop) or a handover. Returns the exit code. */
 export async function runUntilSignal<T extends StoppableProcess>(
   context: BaseContext,
   start: () => Promise<T>,
@@ -43,11 +43,11 @@
 /** A process whose cluster keys can be replaced while it runs. */
 export interface KeyedProcess<S> {
   replaceKeys(settings: S): void;
-  /** Notes that settings were wrong and the keys in use stay. */
+  /** Logs that the settings are invalid; the current keys stay in use. */
   refuseSettings(error: HallholdError): void;
 }
 
-/** Takes the keys of freshly loaded settings, or keeps those in use when they are wrong. */
+/** Applies the keys of reloaded settings, or keeps the current ones if these are invalid. */
 export function applyReloadedKeys<S>(
   running: KeyedProcess<S>,
   loaded: Result<S, HallholdError>,
--- a/src/cli/settings-check-command.ts
+++ b/src/cli/settings-check-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold settings check FILE`: checks a settings file without starting anything. */
+/** `hallhold settings check FILE`: validates a settings file without starting a process. */
 import { Command, Option } from 'clipanion';
 import { loadSettings } from '../settings/load-settings';
 import { settingsSchema } from '../settings/settings-schema';
@@ -7,7 +7,7 @@
 export class SettingsCheckCommand extends Command {
   static override paths = [['settings', 'check']];
   static override usage = Command.Usage({
-    description: 'Check a settings file.',
+    description: 'Validate a settings file.',
     examples: [['Check a file', '$0 settings check examples/map-balancer.yaml']],
   });
 
@@ -18,7 +18,7 @@
     if (loaded.err) {
       return printError(this.context, loaded.val);
     }
-    this.context.stdout.write(`${this.file}: settings of a ${loaded.val.role}, all keys right\n`);
+    this.context.stdout.write(`${this.file}: valid settings of role ${loaded.val.role}\n`);
     return ExitCode.done;
   }
 }
--- a/src/cli/simulate-command.ts
+++ b/src/cli/simulate-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold simulate`: one scenario in virtual time, judged by the eight checkers. */
+/** `hallhold simulate`: runs one scenario in virtual time and checks the eight invariants. */
 import { Command, Option } from 'clipanion';
 import * as validator from 'typanion';
 import { SAFEGUARD_NAMES, type SafeguardName } from '../agent/safeguards';
@@ -17,14 +17,14 @@
 export class SimulateCommand extends Command {
   static override paths = [['simulate']];
   static override usage = Command.Usage({
-    description: 'Run one scenario in virtual time and judge it.',
+    description: 'Run one scenario in virtual time and check the invariants.',
     details:
-      'The same seed gives the same digest on every machine. Exit code 0 without violations, 2 with.',
+      'The same seed gives the same digest on every machine. Exit code 0 without violations, 2 otherwise.',
     examples: [
       ['List the scenarios', '$0 simulate --list'],
-      ['Faults at random', '$0 simulate --scenario everything --seed 7 --json'],
+      ['Random faults', '$0 simulate --scenario everything --seed 7 --json'],
       ['A baseline', '$0 simulate --scenario planned --design hash --deployment porting'],
-      ['Without one mechanism', '$0 simulate --scenario network-loss --without permits'],
+      ['With one safeguard disabled', '$0 simulate --scenario network-loss --without permits'],
     ],
   });
 
@@ -38,7 +38,7 @@
   });
   design = Option.String('--design', 'hallhold', { validator: validator.isEnum(DESIGNS) });
   without = Option.Array('--without', [], {
-    description: `Mechanisms taken out: ${SAFEGUARD_NAMES.join(', ')}`,
+    description: `Safeguards to disable: ${SAFEGUARD_NAMES.join(', ')}`,
   });
   json = Option.Boolean('--json', false, { description: 'Print one JSON object' });
   trace = Option.Boolean('--trace', false, { description: 'Print every event to standard error' });
@@ -48,14 +48,14 @@
       printTable(
         this.context,
         ['scenario', 'what happens'],
-        SCENARIOS.map(({ name, description: what }) => [name, what]),
+        SCENARIOS.map(({ name, description }) => [name, description]),
       );
       return ExitCode.done;
     }
     const scenario = findScenario(this.scenario);
     const unknown = this.without.find((name) => !SAFEGUARD_NAMES.includes(name as SafeguardName));
     if (!scenario || unknown !== undefined) {
-      const text = scenario ? `no mechanism ${unknown}` : `no scenario ${this.scenario}`;
+      const text = scenario ? `unknown safeguard ${unknown}` : `unknown scenario ${this.scenario}`;
       return printError(this.context, new HallholdError(ResultCodes.scenarioUnknown, text));
     }
     const report = runSimulation({
@@ -75,9 +75,9 @@
       printJson(this.context, report);
       return;
     }
-    const rows = Object.entries(report.checked).map(([name, judged]) => [
+    const rows = Object.entries(report.checked).map(([name, checks]) => [
       name,
-      judged,
+      checks,
       report.violations[name] ?? 0,
     ]);
     printTable(this.context, ['promise', 'judged', 'violations'], rows);
--- a/src/cli/soak-command.ts
+++ b/src/cli/soak-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold soak`: many seeds of one scenario; prints those that break a promise. */
+/** `hallhold soak`: runs many seeds of one scenario and prints those with violations. */
 import { Command, Option } from 'clipanion';
 import * as validator from 'typanion';
 import { HallholdError } from '../errors/hallhold-error';
@@ -23,11 +23,14 @@
 export class SoakCommand extends Command {
   static override paths = [['soak']];
   static override usage = Command.Usage({
-    description: 'Run a scenario over many seeds and print the failing ones.',
-    details: 'Ends after the given seeds, or after the given minutes with seeds at random.',
+    description: 'Run a scenario with many seeds and print the failing ones.',
+    details: 'Runs the given seeds, or random seeds for the time given by --minutes.',
     examples: [
       ['Ten minutes of random seeds', '$0 soak --minutes 10'],
-      ['Seeds 1 to 200 of the porting office', '$0 soak --from 1 --to 200 --deployment porting'],
+      [
+        'Seeds 1 to 200 of the porting deployment',
+        '$0 soak --from 1 --to 200 --deployment porting',
+      ],
     ],
   });
 
@@ -44,7 +47,7 @@
   async execute(): Promise<number> {
     const scenario = findScenario(this.scenario);
     if (!scenario) {
-      const text = `no scenario ${this.scenario}`;
+      const text = `unknown scenario ${this.scenario}`;
       return printError(this.context, new HallholdError(ResultCodes.scenarioUnknown, text));
     }
     let runs = 0;
--- a/src/cli/soak-packets-command.ts
+++ b/src/cli/soak-packets-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold soak packets`: random faults on the packet interface, seed after seed. */
+/** `hallhold soak packets`: random faults on the packet interface for a range of seeds. */
 import { Command, Option } from 'clipanion';
 import * as t from 'typanion';
 import { countViolations, runRandomFaults } from '../simulation/packets/random-faults';
@@ -8,9 +8,9 @@
 export class SoakPacketsCommand extends Command {
   static override paths = [['soak', 'packets']];
   static override usage = Command.Usage({
-    description: 'Play random faults on the packet interface in virtual time.',
+    description: 'Inject random faults on the packet interface in virtual time.',
     details:
-      'Runs the real balancers and agents of the packet interface against model targets, clients, routers and store. Prints each seed that broke a promise; exit code 2 if any did.',
+      'Runs the real balancers and agents of the packet interface against model targets, clients, routers and store. Prints each seed with violations; exit code 2 if there are any.',
     examples: [['Two hundred seeds from 1', '$0 soak packets --first 1 --seeds 200']],
   });
 
--- a/src/cli/standin-commands.ts
+++ b/src/cli/standin-commands.ts
@@ -1,4 +1,4 @@
-/** `hallhold standin ...`: small stand-ins for the systems around hallhold. */
+/** `hallhold standin ...`: minimal stand-ins for the systems that hallhold works with. */
 import { Command, Option } from 'clipanion';
 import * as validator from 'typanion';
 import { parseEndpoint } from '../core/endpoint';
@@ -42,7 +42,7 @@
 
   listen = Option.String('--listen', { required: true });
   machineLag = Option.String('--machine-lag', '1000', {
-    description: 'Milliseconds by which the machine list is behind',
+    description: 'Delay of the machine list in milliseconds',
     validator: isWholeNumber,
   });
 
@@ -59,9 +59,9 @@
 export class StandinBackendCommand extends Command {
   static override paths = [['standin', 'backend']];
   static override usage = Command.Usage({
-    description: 'Run a back end stand-in: feeds, reports, tiles, load.',
+    description: 'Run a back-end stand-in: feeds, reports, tiles, load.',
     details:
-      'Serves what it ran at http://RECORD/runs, for tests to compare with what callers saw.',
+      'Lists the requests it ran at http://RECORD/runs, so that tests can compare them with the answers callers received.',
     examples: [
       [
         'A coap back end',
@@ -73,7 +73,7 @@
   listen = Option.String('--listen', { required: true });
   service = Option.String('--service', { required: true });
   target = Option.String('--target', { required: true });
-  record = Option.String('--record', { description: 'Address to serve the runs at' });
+  record = Option.String('--record', { description: 'Address of the list of requests run' });
   protocol = Option.String('--protocol', 'coap', {
     validator: validator.isEnum(['coap', 'datagram'] as const),
   });
@@ -123,7 +123,7 @@
 export class StandinCallerCommand extends Command {
   static override paths = [['standin', 'caller']];
   static override usage = Command.Usage({
-    description: 'Run callers against a service address and print what they saw as JSON.',
+    description: 'Run callers against a service address and print their results as JSON.',
     examples: [
       [
         'Ten feeds and five reporters for 20 seconds',
@@ -167,10 +167,10 @@
 export class StandinFabricCommand extends Command {
   static override paths = [['standin', 'fabric']];
   static override usage = Command.Usage({
-    description: 'Run the fabric stand-in: sprays datagrams over balancers.',
+    description: 'Run the fabric stand-in, which distributes datagrams over balancers.',
     examples: [
       [
-        'One service over two balancers, each sprayed at while its /readyz answers',
+        'One service over two balancers, each used while its /readyz succeeds',
         '$0 standin fabric --listen 127.0.0.2:5683 --balancer 127.0.1.1:5683=http://127.0.1.1:7080/readyz ' +
           '--balancer 127.0.1.2:5683=http://127.0.1.2:7080/readyz',
       ],
--- a/src/cli/status-command.ts
+++ b/src/cli/status-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold status`: members, tables and figures as one balancer sees them. */
+/** `hallhold status`: members, targets and metric values as reported by one balancer. */
 import { Command, Option } from 'clipanion';
 import { formatEndpoint } from '../core/endpoint';
 import { OperatorClient, type BalancerStatus } from '../operator/operator-client';
@@ -12,7 +12,7 @@
 export class StatusCommand extends Command {
   static override paths = [['status']];
   static override usage = Command.Usage({
-    description: 'Show members, targets that do not serve, and figures of a balancer.',
+    description: 'Show members, draining or stopped targets and metric values of a balancer.',
     examples: [['Of one balancer', '$0 status --api http://127.0.1.1:7080']],
   });
 
--- a/src/cli/table-commands.ts
+++ b/src/cli/table-commands.ts
@@ -1,4 +1,4 @@
-/** `hallhold table get|put|status`: the table an operator edits, by way of a balancer's API. */
+/** `hallhold table get|put|status`: reads and edits tables through the API of a balancer. */
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
@@ -16,7 +16,7 @@
 
 const API_DESCRIPTION = "URL of a balancer's admin address";
 
-/** Options that all table commands share. */
+/** Base class with the options of all table commands. */
 export abstract class TableCommand extends Command {
   api = Option.String('--api', { required: true, description: API_DESCRIPTION });
 
@@ -28,7 +28,7 @@
 export class TableGetCommand extends TableCommand {
   static override paths = [['table', 'get']];
   static override usage = Command.Usage({
-    description: 'Print the tables in force as CSV.',
+    description: 'Print the active tables as CSV.',
     examples: [
       ['All tables', '$0 table get --api http://127.0.1.1:7080 > table.csv'],
       ['One service', '$0 table get live-map --api http://127.0.1.1:7080'],
@@ -54,12 +54,12 @@
 export class TablePutCommand extends TableCommand {
   static override paths = [['table', 'put']];
   static override usage = Command.Usage({
-    description: 'Put a CSV table in force.',
+    description: 'Apply a CSV table.',
     details:
       'Columns: service,target,address,share,slots,connections. Every service named in the file ' +
-      'gets exactly the rows given. A file with any wrong row changes nothing.',
+      'gets exactly the given rows. A file with any invalid row changes nothing.',
     examples: [
-      ['Put a file', '$0 table put table.csv --api http://127.0.1.1:7080'],
+      ['Apply a file', '$0 table put table.csv --api http://127.0.1.1:7080'],
       [
         'Only if nobody edited since',
         '$0 table put table.csv --base 42 --api http://127.0.1.1:7080',
@@ -107,7 +107,7 @@
 export class TableStatusCommand extends TableCommand {
   static override paths = [['table', 'status']];
   static override usage = Command.Usage({
-    description: 'Show the revision of every table, or what became of one write.',
+    description: 'Show the revision of every table, or the outcome of one write.',
     examples: [
       ['Revisions', '$0 table status --api http://127.0.1.1:7080'],
       [
@@ -118,7 +118,7 @@
   });
 
   write = Option.String('--write', {
-    description: 'Write id, as an "outcome unknown" error names it',
+    description: 'Write id given in an "outcome unknown" error',
   });
 
   async execute(): Promise<number> {
@@ -148,7 +148,7 @@
   }
 }
 
-/** Reads and checks a CSV file. Errors 1101 and 1105. */
+/** Reads and validates a CSV file. Error 1101 when it is invalid, 1105 when it is unreadable. */
 export function readTable(file: string): Result<readonly ServiceRows[], HallholdError> {
   let text: string;
   try {
--- a/src/cli/table-diff-command.ts
+++ b/src/cli/table-diff-command.ts
@@ -1,4 +1,4 @@
-/** `hallhold table diff FILE`: what putting a file would change. */
+/** `hallhold table diff FILE`: shows what `table put` of a file would change. */
 import { Option } from 'clipanion';
 import { findChangedRows, type TableRow } from '../core/table';
 import { parseRowViews, createRowViews } from '../operator/table-rows';
@@ -9,7 +9,7 @@
   static override paths = [['table', 'diff']];
   static override usage = TableCommand.Usage({
     description: 'Show which rows a CSV table would change.',
-    examples: [['Before putting it', '$0 table diff table.csv --api http://127.0.1.1:7080']],
+    examples: [['Before table put', '$0 table diff table.csv --api http://127.0.1.1:7080']],
   });
 
   file = Option.String();
