--- a/test/demo.test.ts
+++ b/test/demo.test.ts
@@ -1,4 +1,4 @@
-/** The main job on real input: the demo's JSON line, for both offices. */
+/** The demo from start to end: its JSON line, for both deployments. */
 import { spawnSync } from 'node:child_process';
 import { resolve } from 'node:path';
 import test from 'ava';
@@ -6,9 +6,9 @@
 const PROGRAM = resolve(__dirname, '../../bin/hallhold.js');
 
 for (const deployment of ['map', 'porting']) {
-  test(`the demo of the ${deployment} office keeps every promise it counts`, (t) => {
-    const words = ['demo', '--deployment', deployment, '--seconds', '5', '--json'];
-    const ended = spawnSync(process.execPath, [PROGRAM, ...words], { encoding: 'utf8' });
+  test(`the demo of the ${deployment} deployment ends without violations`, (t) => {
+    const commandLine = ['demo', '--deployment', deployment, '--seconds', '5', '--json'];
+    const ended = spawnSync(process.execPath, [PROGRAM, ...commandLine], { encoding: 'utf8' });
     t.is(ended.status, 0, ended.stderr);
     const result = JSON.parse(ended.stdout.trim().split('\n').pop()!) as Record<string, number>;
     t.true(result.flowsOpened! > 40, ended.stdout);
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -1,11 +1,11 @@
-/** The tables of result codes and events in docs/ against the code, in both directions. */
+/** The tables in docs/ and the code list the same result codes and events. */
 import { readFileSync } from 'node:fs';
 import { resolve } from 'node:path';
 import test from 'ava';
 import { ResultCodes } from '../src/errors/result-codes';
 import { Events } from '../src/logging/events';
 
-/** Rows "| number | name | third | ..." of a page. */
+/** Reads the rows "| number | name | third | ..." of a page. */
 function readTableRows(page: string): { number: number; name: string; third: string }[] {
   const text = readFileSync(resolve(__dirname, '../../docs', page), 'utf8');
   return [...text.matchAll(/^\| (\d{4}) \| ([a-z-]+) \| ([a-z]+) \| \S/gm)].map((row) => ({
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -1,4 +1,4 @@
-/** `hallhold explain` tells a failed request's story from logs alone. */
+/** `hallhold explain` finds the cause of a failed request from logs alone. */
 import test from 'ava';
 import { explain } from '../src/explain/explanation';
 import { parseLog } from '../src/explain/log-reader';
@@ -16,7 +16,7 @@
 
 const FLOW = { client: '100.64.0.7:40001', destination: '198.18.0.1:443' };
 
-test('a request id leads over its flow to the reset and the restart before it', (t) => {
+test('a request id is resolved to its flow, the reset and the restart before it', (t) => {
   const log = [
     'built in 2 s',
     `  0.1 front ${createLogLine(0, 'front', 2704, 'flow-placed', { ...FLOW, agent: '10.0.0.1:7' })}`,
@@ -41,7 +41,7 @@
   );
 });
 
-test('a flow that reached its target in time points at the target', (t) => {
+test('a delivered request without a restart is attributed to the target', (t) => {
   const log = createLogLine(0, 'side', 2706, 'request-delivered', {
     ...FLOW,
     request: 'abc',
@@ -50,6 +50,6 @@
   t.regex(explain(parseLog(log), FLOW.client).cause, /19 requests at its target/);
 });
 
-test('an id that no log holds is said to be so', (t) => {
+test('an id that is in no log gives no client', (t) => {
   t.is(explain([], 'nothing').client, undefined);
 });
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,4 +1,4 @@
-/** CI passes over the failures that KNOWN-RED.txt lists, and over nothing else. */
+/** CI accepts the test failures that KNOWN-RED.txt lists, and no others. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -17,18 +17,18 @@
   return spawnSync(process.execPath, [SCRIPT, join(folder, 'log'), join(folder, 'list')]).status;
 }
 
-test('a listed failure alone is passed over', (t) => {
+test('a run that fails only in a listed test is accepted', (t) => {
   t.is(runCheck(`${FAILED_LOG}\n  1 test failed\n`), 0);
 });
 
-test('a test that is listed as failing at times may pass, and no other may fail', (t) => {
+test('a test that is listed as flaky may pass, and no other may fail', (t) => {
   const other = '  ✘ [fail]: table › another\n\n  1 test failed\n';
   t.is(runCheck(`${FAILED_LOG}\n  1 test failed\n`, FLAKY_LIST), 0);
   t.is(runCheck(other, FLAKY_LIST), 1);
   t.is(runCheck(`${other}${FAILED_LOG}\n  2 tests failed\n`, FLAKY_LIST), 1);
 });
 
-test('another failure, a listed test that is green, and a run that breaks off are not', (t) => {
+test('an unlisted failure, a listed test that passes and an aborted run are not accepted', (t) => {
   t.is(runCheck(`${FAILED_LOG}  ✘ [fail]: table › another late one\n\n  2 tests failed\n`), 1);
   t.is(runCheck('  ✔ table › a table is late\n\n  1 test passed\n'), 1);
   t.is(
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings: samples are right, every wrong key is named. */
+/** Settings: sample files are valid, and errors name every invalid key. */
 import { readdirSync, writeFileSync, mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
@@ -8,7 +8,7 @@
 
 const EXAMPLES = resolve(__dirname, '../../examples');
 
-test('every sample settings file is right', (t) => {
+test('every sample settings file is valid', (t) => {
   const files = readdirSync(EXAMPLES).filter((file) => file.endsWith('.yaml'));
   t.true(files.length >= 4);
   for (const file of files) {
@@ -17,7 +17,7 @@
   }
 });
 
-test('wrong and unknown keys are named with path, file and what is allowed', (t) => {
+test('invalid and unknown keys are named with path, file and allowed values', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'hallhold-settings-')), 'agent.yaml');
   writeFileSync(
     file,
--- a/test/table-rows.test.ts
+++ b/test/table-rows.test.ts
@@ -1,4 +1,4 @@
-/** The table as a spreadsheet: errors name line, column and reason. */
+/** Tables as CSV: errors name line, column and reason. */
 import test from 'ava';
 import { parseEndpoint } from '../src/core/endpoint';
 import { findConflictingRows, findChangedRows, type TableRow } from '../src/core/table';
@@ -11,7 +11,7 @@
   return { target, address, share, slots: 5, connections: 2_000 };
 }
 
-test('a table survives being written and read, also as a spreadsheet saves it', (t) => {
+test('a table is unchanged by formatting and parsing, also with byte order mark and CRLF', (t) => {
   const rows = [createRow('target-1', 1), { ...createRow('target-2', 0.5), address: 12_345_678 }];
   const csv = formatCsvTable(createRowViews('live-map', rows));
   const spreadsheet = `\uFEFF${csv.replace(/\n/g, '\r\n')}`;
@@ -19,7 +19,7 @@
   t.deepEqual(parseCsvTable(spreadsheet).unwrap(), [{ service: 'live-map', rows }]);
 });
 
-test('every bad cell is named', (t) => {
+test('every invalid cell is named', (t) => {
   const csv = [
     HEADER,
     'live-map,target-1,127.0.0.1:7000,1,5,2000',
@@ -40,23 +40,23 @@
   ]);
 });
 
-test('a wrong header is refused', (t) => {
+test('an invalid header is refused', (t) => {
   const parsed = parseCsvTable('a,b\n1,2');
   t.is(parsed.err && parsed.val.resultCode.number, 1_101);
 });
 
-test('edits of different rows do not collide, edits of the same row do', (t) => {
+test('edits of different rows do not conflict, edits of the same row do', (t) => {
   const base = [createRow('a', 1), createRow('b', 1), createRow('c', 1)];
-  const theirs = [createRow('a', 2), createRow('b', 1), createRow('c', 1)];
-  const mineElsewhere = [createRow('a', 1), createRow('b', 3), createRow('c', 1)];
-  const mineSame = [createRow('a', 5), createRow('b', 1)];
-  t.deepEqual(findConflictingRows(base, theirs, mineElsewhere), []);
+  const concurrentEdit = [createRow('a', 2), createRow('b', 1), createRow('c', 1)];
+  const editOfOtherRow = [createRow('a', 1), createRow('b', 3), createRow('c', 1)];
+  const editOfSameRow = [createRow('a', 5), createRow('b', 1)];
+  t.deepEqual(findConflictingRows(base, concurrentEdit, editOfOtherRow), []);
   t.deepEqual(
-    findConflictingRows(base, theirs, mineSame).map((conflict) => conflict.target),
+    findConflictingRows(base, concurrentEdit, editOfSameRow).map((conflict) => conflict.target),
     ['a'],
   );
   t.deepEqual(
-    findChangedRows(base, mineSame).map((change) => change.target),
+    findChangedRows(base, editOfSameRow).map((change) => change.target),
     ['a', 'c'],
   );
 });
