--- a/src/runtime/agent-handover.ts
+++ b/src/runtime/agent-handover.ts
@@ -2,10 +2,10 @@
  * Hands a running agent over to its successor on the same machine, over TCP.
  *
  * Records are a type byte, a length of 4 bytes and a body. The predecessor sends its
- * snapshot and from then on passes every datagram it still receives; the successor
- * binds the same addresses and says `ready`; the predecessor ends for good and says
- * `go`; only then the successor acts. Whichever side dies before `go`, the other one
- * is the agent alone.
+ * snapshot and from then on forwards every datagram it still receives; the successor
+ * binds the same addresses and sends `ready`; the predecessor shuts down and sends `go`;
+ * only then the successor becomes active. If either side dies before `go`, the other one
+ * is the only agent.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { deserialize, serialize } from 'bson';
@@ -28,7 +28,7 @@
   readonly flowPorts: readonly { readonly caller: Endpoint; readonly port: number }[];
 }
 
-/** All that passes to the successor. */
+/** The state that the successor receives. */
 export interface HandoverState {
   readonly snapshot: AgentSnapshot;
   readonly sockets: SocketState;
@@ -42,13 +42,13 @@
   readonly payload: Buffer;
 }
 
-/** What the predecessor does when asked. */
+/** Actions of the predecessor during a handover. */
 export interface Predecessor {
-  /** Stops acting and returns everything; datagrams from now on go to `pass`. */
-  beginHandover(pass: (datagram: ForwardedDatagram) => void): HandoverState;
-  /** The successor is ready: end for good. Resolves when the addresses are free. */
+  /** Stops the node and returns its state; later datagrams are given to `forward`. */
+  beginHandover(forward: (datagram: ForwardedDatagram) => void): HandoverState;
+  /** Shuts down, as the successor is ready. Resolves when the addresses are free. */
   completeHandover(): Promise<void>;
-  /** The successor is gone: act again. */
+  /** Resumes operation, as the successor has disconnected. */
   resume(): void;
 }
 
@@ -75,7 +75,7 @@
   });
 }
 
-/** Waits for a successor. */
+/** Listens for a successor; one handover at a time. */
 export class HandoverServer {
   private readonly server: Server;
   private busy = false;
@@ -124,7 +124,7 @@
     socket.write(encodeRecord(RecordType.snapshot, Buffer.from(serialize(state))));
   }
 
-  /** Frees this server's own address too, then lets the successor go. */
+  /** Frees this server's own address too, then activates the successor. */
   private async finish(socket: Socket): Promise<void> {
     this.server.close();
     await this.predecessor.completeHandover();
@@ -132,13 +132,13 @@
   }
 }
 
-/** What the successor does with what it receives. */
+/** Actions of the successor on the records it receives. */
 export interface Successor {
   /** Binds the addresses; nothing is sent yet. */
   prepare(state: HandoverState): Promise<void>;
-  /** Begins to act. */
+  /** Becomes the active agent. */
   activate(): void;
-  /** A datagram that the predecessor received. */
+  /** Handles a datagram that the predecessor received. */
   receive(datagram: ForwardedDatagram): void;
 }
 
@@ -154,7 +154,7 @@
     };
     const socket = connect(getEndpointPort(address), getEndpointAddress(address));
     const timer = setTimeout(
-      () => fail('the predecessor did not finish in time'),
+      () => fail(`the predecessor did not finish within ${HANDOVER_TIMEOUT_MS} ms`),
       HANDOVER_TIMEOUT_MS,
     );
     const queued: ForwardedDatagram[] = [];
@@ -163,7 +163,7 @@
     socket.on('close', () => {
       clearTimeout(timer);
       if (!isActive) {
-        fail('the predecessor closed the connection');
+        fail('the predecessor closed the connection before the handover was complete');
       }
     });
     readRecords(socket, (type, body) => {
--- a/src/runtime/agent-process.ts
+++ b/src/runtime/agent-process.ts
@@ -1,4 +1,4 @@
-/** An agent as a process: its sockets, its node, its admin server. */
+/** Agent process: connects the agent node to its sockets and its admin server. */
 import { AgentNode } from '../agent/agent-node';
 import type { AgentNodeSettings } from '../agent/agent-context';
 import { parseEndpoint } from '../core/endpoint';
@@ -37,11 +37,11 @@
   private frames: UdpSocket | undefined;
   private admin: AdminServer | undefined;
   private handover: HandoverServer | undefined;
-  /** Set while a successor takes over: datagrams go there. */
+  /** Set while a successor takes over: received datagrams are forwarded to it. */
   private forwardToSuccessor: ((datagram: ForwardedDatagram) => void) | undefined;
-  /** Set on a successor between binding the addresses and being let go. */
+  /** Set on a successor from binding the addresses until it is activated. */
   private pendingState: HandoverState | undefined;
-  /** Datagrams that came in that time. */
+  /** Datagrams received in that time. */
   private earlyDatagrams: ForwardedDatagram[] = [];
   private resolveHandedOver!: () => void;
   /** Resolves when a successor has taken over. */
@@ -55,7 +55,7 @@
     this.backend = new BackendSockets(parseEndpoint(settings.backend).unwrap());
   }
 
-  /** Starts with nothing. Throws a HallholdError when an address is taken. */
+  /** Starts without previous state. Throws a HallholdError when an address is in use. */
   static async start(settings: AgentSettings): Promise<AgentProcess> {
     const process = new AgentProcess(settings);
     await process.bind(process.createNode(createIncarnation()), undefined);
@@ -65,7 +65,7 @@
     return process;
   }
 
-  /** Takes over from the running agent of this target. Throws error 1403 when there is none. */
+  /** Takes over the state of this target's running agent. Throws error 1403 when there is none. */
   static async startAsSuccessor(settings: AgentSettings): Promise<AgentProcess> {
     const process = new AgentProcess(settings);
     await takeOver(parseEndpoint(settings.handover ?? '').unwrap(), process);
@@ -78,37 +78,37 @@
     return this.currentNode!;
   }
 
-  /** Planned stop: no new work, wait for flows to end, at most `stopAfterSeconds`. */
+  /** Planned stop: accepts no new work and waits at most `stopAfterSeconds` for flows to end. */
   async stop(): Promise<void> {
     this.log.report(Events.processStopping, {});
     this.node.beginStop();
-    const limit = performance.now() + this.settings.stopAfterSeconds * MS_PER_SECOND;
-    while (this.node.isBusy && performance.now() < limit) {
+    const deadline = performance.now() + this.settings.stopAfterSeconds * MS_PER_SECOND;
+    while (this.node.isBusy && performance.now() < deadline) {
       await new Promise((resolve) => setTimeout(resolve, BUSY_CHECK_INTERVAL_MS));
     }
     await this.stopImmediately();
     this.log.report(Events.processStopped, {});
   }
 
-  /** Notes that settings read anew were wrong; the keys in use stay. */
+  /** Reports that reloaded settings are invalid; the current keys stay in use. */
   refuseSettings(error: HallholdError): void {
     this.log.report(Events.settingsRefused, { reason: error.describe() });
   }
 
-  /** Takes other cluster keys from now on. */
+  /** Replaces the cluster keys. */
   replaceKeys(settings: AgentSettings): void {
     this.codec.replaceKeys(createClusterKeys(settings.keys));
     this.log.report(Events.keysReplaced, { keys: settings.keys.map((key) => key.id).join(' ') });
   }
 
-  /** Ends at once; peers are told only that it stopped. */
+  /** Stops at once; only announces to peers that it stopped. */
   async stopImmediately(): Promise<void> {
     this.node.stop();
     await new Promise((resolve) => setImmediate(resolve));
     await this.terminate();
   }
 
-  /** Ends at once, without a word to anyone. */
+  /** Ends at once, without an announcement to peers. */
   async terminate(): Promise<void> {
     this.environment.close();
     this.handover?.stop();
@@ -117,10 +117,10 @@
     await this.admin?.close();
   }
 
-  // Predecessor
+  // Implements Predecessor
 
-  beginHandover(pass: (datagram: ForwardedDatagram) => void): HandoverState {
-    this.forwardToSuccessor = pass;
+  beginHandover(forward: (datagram: ForwardedDatagram) => void): HandoverState {
+    this.forwardToSuccessor = forward;
     return { snapshot: this.node.handOver(), sockets: this.backend.exportState() };
   }
 
@@ -138,7 +138,7 @@
     this.node.start();
   }
 
-  // Successor
+  // Implements Successor
 
   async prepare(state: HandoverState): Promise<void> {
     const node = this.createNode(state.snapshot.incarnation);
--- a/src/runtime/backend-sockets.ts
+++ b/src/runtime/backend-sockets.ts
@@ -11,18 +11,18 @@
   receiveBackendDatagram(caller: Endpoint, payload: Buffer): void;
 }
 
-/** Datagrams of a flow that wait for its socket to be bound. */
+/** Maximum datagrams of a flow that are queued until its socket is bound. */
 const MAXIMUM_QUEUED_DATAGRAMS = 16;
 
 interface FlowSocket {
   socket: UdpSocket | undefined;
   queued: Buffer[];
   closed: boolean;
-  /** Settles when the socket is bound or could not be. */
+  /** Resolves when the socket is bound or binding has failed. */
   bound: Promise<void>;
 }
 
-/** One shared socket for coap services, one a flow for datagram services. */
+/** One shared socket for coap services, one socket per flow for datagram services. */
 export class BackendSockets implements BackendPort {
   private sharedSocket: UdpSocket | undefined;
   private receiver: BackendReceiver | undefined;
@@ -30,7 +30,7 @@
 
   constructor(private readonly backend: Endpoint) {}
 
-  /** Binds the shared socket; with `state`, all the sockets that a predecessor had. */
+  /** Binds the shared socket; with `state`, also the ports of the predecessor's sockets. */
   async open(receiver: BackendReceiver, state?: SocketState): Promise<void> {
     this.receiver = receiver;
     const bound = await UdpSocket.bind(
@@ -117,7 +117,7 @@
     flow.queued = [];
   }
 
-  /** The back end runs on the agent's machine: the same address serves. */
+  /** The back end's own address, since it runs on the agent's machine. */
   private getLocalAddress(): string {
     return getEndpointAddress(this.backend);
   }
--- a/src/runtime/balancer-process.ts
+++ b/src/runtime/balancer-process.ts
@@ -1,4 +1,4 @@
-/** A balancer as a process: its sockets, its node, its admin server. */
+/** Balancer process: connects the balancer node to its sockets and its admin server. */
 import { BalancerNode } from '../balancer/balancer-node';
 import { parseEndpoint } from '../core/endpoint';
 import type { HallholdError } from '../errors/hallhold-error';
@@ -33,7 +33,7 @@
     private admin: AdminServer | undefined,
   ) {}
 
-  /** Binds everything and starts. Throws a HallholdError when an address is taken. */
+  /** Binds all sockets and starts. Throws a HallholdError when an address is in use. */
   static async start(settings: BalancerSettings): Promise<BalancerProcess> {
     const metrics = new Metrics();
     const log = new EventLog(settings.name, settings.log.level, (event) => metrics.count(event));
@@ -71,40 +71,40 @@
     return process;
   }
 
-  /** True when traffic may be sent here. */
+  /** Whether this balancer accepts traffic. */
   get isReady(): boolean {
     return !this.stopping && this.node.isReady;
   }
 
-  /** Planned stop: leaves the fabric by /readyz, forwards until quiet, then ends. */
+  /** Planned stop: fails /readyz, forwards until `quietSeconds` pass without traffic, then ends. */
   async stop(): Promise<void> {
     this.log.report(Events.processStopping, {});
     this.stopping = true;
     this.node.beginStop();
-    const quiet = this.settings.quietSeconds * 1_000;
-    const limit = performance.now() + MAXIMUM_STOP_TIME_MS;
+    const quietTimeMs = this.settings.quietSeconds * 1_000;
+    const deadline = performance.now() + MAXIMUM_STOP_TIME_MS;
     const startedAt = performance.now();
     const isQuiet = (): boolean =>
-      this.node.idleTimeMs >= quiet && performance.now() - startedAt >= quiet;
-    while (!isQuiet() && performance.now() < limit) {
+      this.node.idleTimeMs >= quietTimeMs && performance.now() - startedAt >= quietTimeMs;
+    while (!isQuiet() && performance.now() < deadline) {
       await new Promise((resolve) => setTimeout(resolve, QUIET_CHECK_INTERVAL_MS));
     }
     await this.terminate();
     this.log.report(Events.processStopped, {});
   }
 
-  /** Notes that settings read anew were wrong; the keys in use stay. */
+  /** Reports that reloaded settings are invalid; the current keys stay in use. */
   refuseSettings(error: HallholdError): void {
     this.log.report(Events.settingsRefused, { reason: error.describe() });
   }
 
-  /** Takes other cluster keys from now on. */
+  /** Replaces the cluster keys. */
   replaceKeys(settings: BalancerSettings): void {
     this.codec.replaceKeys(createClusterKeys(settings.keys));
     this.log.report(Events.keysReplaced, { keys: settings.keys.map((key) => key.id).join(' ') });
   }
 
-  /** Ends at once, without a word to anyone. */
+  /** Ends at once, without an announcement to peers. */
   async terminate(): Promise<void> {
     this.node.stop();
     this.environment.close();
--- a/src/runtime/early-sockets.ts
+++ b/src/runtime/early-sockets.ts
@@ -1,23 +1,23 @@
 /**
  * Sockets that are bound before the program is loaded.
  *
- * Loading takes about as long as the start of Node itself. What arrives meanwhile for a socket that
- * is bound waits in the kernel; without it, the sender finds out by its own timer, some hundred
- * milliseconds later. A launcher binds them first; the program takes them when it binds the same
+ * Loading takes about as long as the start of Node itself. Datagrams that arrive meanwhile for a bound
+ * socket are queued in the kernel; otherwise they are lost and the sender retransmits some hundred
+ * milliseconds later. The launcher binds the sockets; the program adopts them when it binds the same
  * addresses, within the same turn of the event loop, so no datagram is read before that.
  */
 import { createSocket, type Socket } from 'node:dgram';
 
-/** The launcher and the program are two bundles of one process: they meet at this name. */
+/** Key of a global: launcher and program are separate bundles in one process and share no module. */
 const REGISTRY_KEY = Symbol.for('hallhold.early-sockets');
 const IPV4_FAMILY = 4;
 
-/** Bytes of datagrams that wait for a process, or to be sent. */
+/** Size of the kernel's receive and send buffers of each socket. */
 export const SOCKET_BUFFER_BYTES = 4 * 1_024 * 1_024;
 
 interface EarlySockets {
   readonly sockets: Map<string, Socket>;
-  /** Milliseconds from the start of the process until the last of them was bound. */
+  /** Time from process start until the last socket was bound. */
   boundAfterMs: number | undefined;
 }
 
@@ -26,12 +26,12 @@
 }
 
 function getRegistry(): EarlySockets {
-  const holder = globalThis as EarlySocketGlobal;
-  holder[REGISTRY_KEY] ??= { sockets: new Map<string, Socket>(), boundAfterMs: undefined };
-  return holder[REGISTRY_KEY];
+  const globalObject = globalThis as EarlySocketGlobal;
+  globalObject[REGISTRY_KEY] ??= { sockets: new Map<string, Socket>(), boundAfterMs: undefined };
+  return globalObject[REGISTRY_KEY];
 }
 
-/** Destinations are addresses already: Node's own look-up would cost a turn of the queue. */
+/** Skips the DNS lookup: destinations are IP addresses, and Node's lookup defers each send by a tick. */
 export function resolveAddress(
   address: string,
   _family: unknown,
@@ -41,9 +41,9 @@
 }
 
 /**
- * Binds a UDP socket for the program to take.
- * @param endpoint of the form a.b.c.d:port. One that cannot be bound is left to the program, which
- *   reports why (error 1402).
+ * Binds a UDP socket for the program to adopt.
+ * @param endpoint of the form a.b.c.d:port. If it cannot be bound, the program tries again and
+ *   reports the reason (error 1402).
  */
 export function bindEarlySocket(endpoint: string): void {
   const [address, port] = endpoint.split(':');
@@ -59,7 +59,7 @@
   });
 }
 
-/** The socket that was bound early for an address, once; undefined for none. */
+/** Removes and returns the socket bound early for an address; undefined when there is none. */
 export function takeEarlySocket(address: string, port: number): Socket | undefined {
   const endpoint = `${address}:${port}`;
   const { sockets } = getRegistry();
@@ -69,7 +69,7 @@
   return socket;
 }
 
-/** Milliseconds from the start of the process until its sockets were bound early; or undefined. */
+/** Milliseconds from process start until the last early socket was bound; undefined without any. */
 export function readEarlyBindTime(): number | undefined {
   return getRegistry().boundAfterMs;
 }
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -1,11 +1,11 @@
-/** Prometheus metrics of one process, through prom-client. */
+/** Prometheus metrics of one process, based on prom-client. */
 import { collectDefaultMetrics, Counter, Gauge, Registry } from 'prom-client';
 import type { EventKind } from '../logging/events';
 
-/** A snapshot of figures by name; numbers and booleans. */
+/** Metric values by name. */
 export type MetricValues = Readonly<Record<string, number | boolean>>;
 
-/** Milliseconds between samples of the event loop's delay; the default of 10 wakes an idle process. */
+/** Interval of event loop delay samples; the default of 10 ms wakes an idle process too often. */
 const EVENT_LOOP_SAMPLE_INTERVAL_MS = 200;
 
 /** Registry of one process. */
@@ -31,7 +31,7 @@
     this.events.inc({ event: event.name });
   }
 
-  /** Exposes every figure of a node as a gauge, read when scraped. */
+  /** Exposes every value of a node as a gauge, read on each scrape. */
   expose(prefix: string, read: () => MetricValues): void {
     for (const name of Object.keys(read())) {
       new Gauge({
--- a/src/runtime/packet-metrics.ts
+++ b/src/runtime/packet-metrics.ts
@@ -1,7 +1,7 @@
 /**
  * The metrics page of a packet process: counters, gauges and latency histograms as text.
  *
- * Loaded only when the settings ask for it, and after the process carries packets.
+ * Loaded only when the settings configure it, after the process has begun to handle packets.
  */
 import { createServer, type Server } from 'node:http';
 import { Histogram } from 'prom-client';
@@ -33,7 +33,7 @@
   private readonly reportAge: Histogram;
   private readonly handlingTime: Histogram;
 
-  /** @param read the process's present figures; names become gauges */
+  /** @param read the process's current values; each name becomes a gauge */
   constructor(read: () => MetricValues) {
     const registers = [this.metrics.registry];
     this.reportAge = new Histogram({
@@ -51,7 +51,7 @@
     this.metrics.expose('packets', read);
   }
 
-  /** Counts an event; the age of a report goes into its histogram. */
+  /** Counts an event; adds the report age of a placed flow to its histogram. */
   observeEvent(event: EventKind, fields: EventFields): void {
     this.metrics.count(event);
     const age = fields['reportAge'];
@@ -60,21 +60,21 @@
     }
   }
 
-  /** Notes how long one packet took. */
+  /** Records the handling time of one packet. */
   observePacket(milliseconds: number): void {
     this.handlingTime.observe(milliseconds);
   }
 
-  /** The page. */
+  /** The page in Prometheus text format. */
   render(): Promise<string> {
     return this.metrics.registry.metrics();
   }
 
-  /** Serves the page at a machine's address. */
+  /** Serves the page at a machine's address; `onError` is called when it cannot listen. */
   serve(machine: Endpoint, location: MetricsLocation, onError: (error: Error) => void): Server {
     const server = createServer((call, response) => {
-      const known = call.url?.split('?')[0] === location.path;
-      if (!known) {
+      const isKnownPath = call.url?.split('?')[0] === location.path;
+      if (!isKnownPath) {
         response.writeHead(404).end();
         return;
       }
--- a/src/runtime/packet-processes.ts
+++ b/src/runtime/packet-processes.ts
@@ -1,4 +1,4 @@
-/** The processes of the packet interface: node classes with real sockets and timers. */
+/** The processes of the packet interface: packet nodes with real sockets and timers. */
 import type { Endpoint } from '../environment';
 import type { AgentRegistryPort, CollectionPort, StoreProbePort } from '../packets/collection-port';
 import type { PacketFormat } from '../packets/flow-packet';
@@ -17,37 +17,37 @@
 import { TcpTargetProbe } from './target-probe';
 import { UdpSocket, type DatagramHandler } from './udp-socket';
 
-/** A balancer that goes has forwarded nothing for so long before it ends. */
+/** Time without packets from clients after which a stopping balancer exits. */
 const QUIET_TIME_MS = 700;
-/** It stays at least so long, since routers let go of it only after some probes. */
+/** Minimum time to exit: routers stop sending to it only after several failed readiness probes. */
 const MINIMUM_STOP_TIME_MS = 1_200;
 const STOP_POLL_INTERVAL_MS = 100;
-/** Milliseconds before an agent exits, in which it repeats that it goes. */
+/** Time before a stopping agent exits, in which it repeats its announcement. */
 const FLUSH_TIME_MS = 20;
 
-/** What a packet process gets from the adapter that starts it. */
+/** Ports that the adapter provides to a packet process. */
 export interface PacketProcessPorts {
   readonly format: PacketFormat;
   readonly registry: AgentRegistryPort;
   readonly routingTables: CollectionPort<RoutingTable>;
   readonly evacuatedZones: CollectionPort<EvacuatedZone>;
   readonly storeProbe: StoreProbePort;
-  /** Where a client receives datagrams. */
+  /** The endpoint at which a client receives datagrams. */
   getClientEndpoint(client: Endpoint, port: number): Endpoint;
 }
 
 /** Receives the time in milliseconds that handling one packet took. */
 export type PacketObserver = (milliseconds: number) => void;
 
-/** What both kinds of packet process offer to the adapter. */
+/** The interface of both kinds of packet process to the adapter. */
 export interface PacketProcess {
-  /** Ends as planned; `done` is called when the process may exit. */
+  /** Begins a planned stop; `done` is called when the process may exit. */
   beginStop(done: () => void): void;
-  /** Puts changed settings in force; seeds are what can change in a running process. */
+  /** Applies changed settings; only the seeds can change in a running process. */
   reload(settings: PacketSettings): void;
-  /** Figures for the metrics page. */
+  /** Values for the metrics page. */
   readonly figures: MetricValues;
-  /** Told how many milliseconds each packet took; set by whoever measures. */
+  /** Called with the handling time of each packet; set by the metrics page. */
   packetObserver: PacketObserver | undefined;
 }
 
@@ -59,7 +59,7 @@
   return bound.val;
 }
 
-/** The value of a setting that this role cannot do without; error 1002 when it is missing. */
+/** The value of a setting that the role requires; error 1002 when it is missing. */
 export function requireSetting<T>(value: T | undefined, key: string): T {
   if (value === undefined) {
     const detail = `${key}: is missing`;
@@ -79,7 +79,7 @@
     private readonly settings: PacketSettings,
   ) {}
 
-  /** Binds everything and starts; throws a {@link HallholdError} when an address is taken. */
+  /** Binds all sockets and starts; throws a {@link HallholdError} when an address is in use. */
   static async start(
     settings: PacketSettings,
     keys: readonly ClusterKey[],
@@ -89,10 +89,10 @@
     const environment = new RealEnvironment(log);
     const started: { process?: PacketBalancerProcess } = {};
     const packetAddress = requireSetting(settings.packetAddress, 'packetAddress');
-    const clients = await bindSocket(packetAddress, (bytes) =>
+    const clientSocket = await bindSocket(packetAddress, (bytes) =>
       started.process?.handleClientDatagram(bytes),
     );
-    const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
+    const frameSocket = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketBalancer(
@@ -100,7 +100,7 @@
       {
         environment,
         codec: new PacketFrameCodec(keys),
-        transport: frames,
+        transport: frameSocket,
         format: ports.format,
         routingTables: ports.routingTables,
         registry: ports.registry,
@@ -108,8 +108,8 @@
         storeProbe: ports.storeProbe,
         snapshots: new HttpSnapshots(),
         sendToClient: (client, packet) =>
-          clients.send(ports.getClientEndpoint(client, settings.clientPort), packet),
-        relay: (to, packet) => clients.send(to, packet),
+          clientSocket.send(ports.getClientEndpoint(client, settings.clientPort), packet),
+        relay: (to, packet) => clientSocket.send(to, packet),
       },
     );
     const running = new PacketBalancerProcess(node, environment, settings);
@@ -119,15 +119,15 @@
     return running;
   }
 
-  /** Serves on until routers have let go of this balancer, or the time for it is over. */
+  /** Forwards packets until routers no longer send any, or `stopTime` has passed. */
   beginStop(done: () => void): void {
     const startedAt = this.environment.now();
-    const end = startedAt + this.settings.stopTime;
+    const deadline = startedAt + this.settings.stopTime;
     this.node.beginStop();
     const poll = (): void => {
       const now = this.environment.now();
-      const quiet = now - Math.max(this.lastPacketAt, startedAt) > QUIET_TIME_MS;
-      if (now >= end || (quiet && now - startedAt > MINIMUM_STOP_TIME_MS)) {
+      const isQuiet = now - Math.max(this.lastPacketAt, startedAt) > QUIET_TIME_MS;
+      if (now >= deadline || (isQuiet && now - startedAt > MINIMUM_STOP_TIME_MS)) {
         this.node.stop();
         done();
         return;
@@ -161,7 +161,7 @@
     private readonly environment: RealEnvironment,
   ) {}
 
-  /** Binds everything and starts; throws a {@link HallholdError} when an address is taken. */
+  /** Binds all sockets and starts; throws a {@link HallholdError} when an address is in use. */
   static async start(
     settings: PacketSettings,
     keys: readonly ClusterKey[],
@@ -173,10 +173,10 @@
     const target = requireSetting(settings.targetAddress, 'targetAddress');
     const outbound = requireSetting(settings.targetOutbound, 'targetOutbound');
     const service = requireSetting(settings.service, 'service');
-    const packets = await bindSocket(outbound, (bytes) =>
+    const targetSocket = await bindSocket(outbound, (bytes) =>
       started.process?.handleTargetDatagram(bytes),
     );
-    const frames = await bindSocket(settings.listenAddress, (bytes, from) =>
+    const frameSocket = await bindSocket(settings.listenAddress, (bytes, from) =>
       started.process?.node.handleFrame(bytes, from),
     );
     const node = new PacketAgent(
@@ -185,13 +185,13 @@
         environment,
         startedAt: environment.startedAt,
         codec: new PacketFrameCodec(keys),
-        transport: frames,
+        transport: frameSocket,
         format: ports.format,
         registry: ports.registry,
         targetProbe: new TcpTargetProbe(target),
         sendToClient: (client, packet) =>
-          packets.send(ports.getClientEndpoint(client, settings.clientPort), packet),
-        sendToTarget: (packet) => packets.send(target, packet),
+          targetSocket.send(ports.getClientEndpoint(client, settings.clientPort), packet),
+        sendToTarget: (packet) => targetSocket.send(target, packet),
       },
     );
     const running = new PacketAgentProcess(node, environment);
@@ -224,7 +224,7 @@
   }
 }
 
-/** A listener that cannot listen ends the process with a numbered error. */
+/** Throws error 1402; called when the snapshot server cannot listen. */
 function throwListenError(error: Error): void {
   throw new HallholdError(ResultCodes.addressInUse, getErrorMessage(error));
 }
--- a/src/runtime/process-identity.ts
+++ b/src/runtime/process-identity.ts
@@ -1,12 +1,12 @@
-/** What identifies one run of a process. */
+/** Incarnation and cluster keys of a process. */
 import type { ClusterKey } from '../wire/frame-codec';
 
-/** Milliseconds since 1970 at start: rises with each start, also on a replaced machine. */
+/** Start time in Unix milliseconds: increases with each start, also on a replaced machine. */
 export function createIncarnation(): number {
   return Date.now();
 }
 
-/** Keys from settings in the form the codec takes. */
+/** Converts keys from the settings to the codec's form. */
 export function createClusterKeys(
   keys: readonly { readonly id: number; readonly secret: string }[],
 ): ClusterKey[] {
--- a/src/runtime/real-environment.ts
+++ b/src/runtime/real-environment.ts
@@ -3,23 +3,23 @@
 import type { EventFields, EventKind } from '../logging/events';
 
 /**
- * Offset from this process's clock to the machine's monotonic clock, which all
- * processes of the machine share: times survive a hand-over to a successor.
+ * Offset from this process's clock to the machine's monotonic clock, which all processes
+ * of the machine share, so that times stay valid after a handover to a successor.
  */
 const MACHINE_CLOCK_OFFSET_MS = Number(process.hrtime.bigint()) / 1e6 - performance.now();
 
-/** Takes numbered events; the log of a process. */
+/** The log of a process, which records numbered events. */
 export interface EventReporter {
   report(event: EventKind, fields: EventFields): void;
 }
 
-/** Environment over Node's own clock and timers. */
+/** Environment based on Node's clock and timers. */
 export class RealEnvironment implements Environment {
   private readonly timers = new Set<NodeJS.Timeout>();
 
   constructor(private readonly log: EventReporter) {}
 
-  /** Time at which this process began. */
+  /** Start time of this process on the machine's clock, in milliseconds. */
   get startedAt(): number {
     return MACHINE_CLOCK_OFFSET_MS;
   }
@@ -50,7 +50,7 @@
     this.log.report(event, fields);
   }
 
-  /** Cancels every timer, so that a stopped node keeps no process alive. */
+  /** Cancels all timers, so that a stopped node does not keep the process alive. */
   close(): void {
     this.timers.forEach((timer) => clearTimeout(timer));
     this.timers.clear();
--- a/src/runtime/snapshot-exchange.ts
+++ b/src/runtime/snapshot-exchange.ts
@@ -1,4 +1,4 @@
-/** Hands a balancer's snapshot to other balancers over HTTP, and fetches theirs. */
+/** Serves a balancer's snapshot to other balancers over HTTP, and fetches theirs. */
 import { createServer, get, type Server, type ServerResponse } from 'node:http';
 import { deflateSync, inflateSync } from 'node:zlib';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
@@ -15,19 +15,19 @@
 } from '../packets/peer-snapshot';
 import type { Result } from 'ts-results';
 
-/** Snapshots in bson, which balancers of an earlier version fetch. */
+/** Snapshots in BSON, for balancers of earlier versions. */
 const BSON_PATH = '/snapshot';
-/** Snapshots as deflated text. */
+/** Snapshots as deflate-compressed text. */
 const TEXT_PATH = '/snapshot/text';
 const FETCH_TIMEOUT_MS = 1_000;
 const MAXIMUM_SNAPSHOT_BYTES = 16 * 1_024 * 1_024;
 /**
- * Milliseconds for which an encoded snapshot is handed out again: balancers that start together
- * fetch it within some tens of milliseconds, and encoding it anew for each takes 20 of them.
+ * Time for which an encoded snapshot is reused: balancers that start together fetch it within some
+ * tens of milliseconds, and each encoding takes 20 ms.
  */
 const REUSE_TIME_MS = 50;
 
-/** The latest snapshot in the form in which it is sent. */
+/** Cache of the encoded snapshot. */
 class EncodedSnapshot {
   private bytes: Buffer | undefined;
   private encodedAt = -Infinity;
@@ -44,7 +44,7 @@
   }
 }
 
-/** Serves snapshots at an address; `failed` is called when it cannot listen. */
+/** Serves snapshots at an address; `onError` is called when it cannot listen. */
 export function serveSnapshots(
   address: Endpoint,
   read: () => PeerSnapshot,
@@ -72,7 +72,7 @@
   response.end(body);
 }
 
-/** Fetches snapshots of other balancers; one of an earlier version has none in this form. */
+/** Fetches snapshots of other balancers as text, which earlier versions do not serve; error 1404. */
 export class HttpSnapshots implements SnapshotPort {
   fetch(peer: Endpoint, answer: ResultCallback<PeerSnapshot>): void {
     let answered = false;
@@ -91,7 +91,7 @@
         chunks.push(chunk);
         length += chunk.length;
         if (length > MAXIMUM_SNAPSHOT_BYTES) {
-          call.destroy(new Error('the snapshot is too long'));
+          call.destroy(new Error(`the snapshot exceeds ${MAXIMUM_SNAPSHOT_BYTES} bytes`));
         }
       });
       response.on('error', fail);
@@ -108,7 +108,7 @@
   }
 }
 
-/** Error 1303 for bytes that are no snapshot, or one beyond the limit. */
+/** Error 1303 for bytes that are no valid snapshot, or exceed the size limit. */
 function inflateSnapshot(bytes: Buffer): Result<PeerSnapshot, HallholdError> {
   let text: string;
   try {
--- a/src/runtime/target-probe.ts
+++ b/src/runtime/target-probe.ts
@@ -1,10 +1,10 @@
-/** Looks whether anybody listens at a target's address, over TCP, without a request. */
+/** Checks by a TCP connection, without a request, whether a process listens at a target's address. */
 import { connect } from 'node:net';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import type { TargetProbePort } from '../packets/startup/target-presence';
 
-/** Milliseconds: on its own machine an answer comes at once; none within this proves nothing. */
+/** The target is on the same machine and answers at once; a time-out does not prove it vacant. */
 const CONNECT_TIMEOUT_MS = 500;
 const CONNECTION_REFUSED = 'ECONNREFUSED';
 
@@ -16,18 +16,18 @@
     const address = { host: getEndpointAddress(this.target), port: getEndpointPort(this.target) };
     const connection = connect({ ...address, timeout: CONNECT_TIMEOUT_MS });
     let answered = false;
-    const end = (isVacant: boolean): void => {
+    const finish = (isVacant: boolean): void => {
       connection.destroy();
       if (!answered) {
         answered = true;
         answer(isVacant);
       }
     };
-    connection.on('connect', () => end(false));
-    // A process that was held up sees its timer before the answer that has come meanwhile.
-    connection.on('timeout', () => setImmediate(() => end(false)));
+    connection.on('connect', () => finish(false));
+    // After a delay of the event loop the timer fires before an answer that has already arrived.
+    connection.on('timeout', () => setImmediate(() => finish(false)));
     connection.on('error', (error: NodeJS.ErrnoException) =>
-      end(error.code === CONNECTION_REFUSED),
+      finish(error.code === CONNECTION_REFUSED),
     );
   }
 }
--- a/src/runtime/udp-socket.ts
+++ b/src/runtime/udp-socket.ts
@@ -1,4 +1,4 @@
-/** A UDP socket that speaks in packed endpoints and never throws on sending. */
+/** A UDP socket with packed endpoints, whose `send` never throws. */
 import { createSocket, type Socket } from 'node:dgram';
 import { Ok, type Result } from 'ts-results';
 import {
@@ -19,7 +19,7 @@
 
 /** A bound socket. */
 export class UdpSocket {
-  /** Dotted forms of endpoints sent to, since formatting costs as much as sending. */
+  /** Cache of formatted destination addresses, since formatting costs as much as sending. */
   private readonly addressCache = new Map<Endpoint, string>();
   private sendErrors = 0;
 
@@ -28,15 +28,15 @@
     readonly endpoint: Endpoint,
   ) {}
 
-  /** Datagrams the kernel would not take. */
+  /** Number of socket errors, such as datagrams rejected by the kernel. */
   get sendErrorCount(): number {
     return this.sendErrors;
   }
 
   /**
-   * Binds an address, or takes the socket that the launcher has bound for it; port 0 takes a free
-   * one. Error 1402 when it is taken.
-   * @param shared lets a successor bind the same address; the latest to bind receives
+   * Binds an address, or adopts the socket that the launcher has bound for it; port 0 selects a free
+   * port. Error 1402 when the address is in use.
+   * @param shared lets a successor bind the same address; the latest socket receives the datagrams
    */
   static bind(
     address: string,
@@ -71,7 +71,7 @@
     return UdpSocket.bind(getEndpointAddress(endpoint), getEndpointPort(endpoint), handler, shared);
   }
 
-  /** Without a callback, which would cost a turn of the queue for each datagram. */
+  /** Sends without a callback, which would cost an event loop tick per datagram. */
   send(to: Endpoint, payload: Buffer): void {
     this.socket.send(payload, getEndpointPort(to), this.getAddress(to));
   }
