--- a/test/integration-processes.test.ts
+++ b/test/integration-processes.test.ts
@@ -1,4 +1,4 @@
-/** Separate processes behind the fault proxy: loss, duplication, reordering, a killed balancer. */
+/** Separate processes behind a fault proxy: loss, duplication, reordering, a killed balancer. */
 import test from 'ava';
 import { parseEndpoint } from '../src/core/endpoint';
 import { UdpSocket } from '../src/runtime/udp-socket';
@@ -19,7 +19,7 @@
   readonly refusedAttempts: readonly string[];
 }
 
-test('requests are answered through faults while a balancer is killed', async (t) => {
+test('requests are answered despite network faults and a killed balancer', async (t) => {
   const cluster = new ProcessCluster(0, FAULTS);
   try {
     await cluster.start(2, 3);
@@ -49,7 +49,7 @@
     t.deepEqual(
       attempts.filter((attempt) => refused.has(attempt)),
       [],
-      'a refusal is true',
+      'no refused attempt was run',
     );
   } finally {
     await cluster.stop();
@@ -109,7 +109,7 @@
   }
 });
 
-test('an agent is restarted as planned while feeds and reports go on', async (t) => {
+test('feeds and reports continue during a planned restart of an agent', async (t) => {
   const cluster = new ProcessCluster(2, {
     loss: 0,
     duplication: 0,
@@ -143,7 +143,7 @@
   }
 });
 
-test('keys are replaced in three steps without a stop; every role answers on its admin address', async (t) => {
+test('keys are replaced in three steps without a restart; every role answers on its admin address', async (t) => {
   const cluster = new ProcessCluster(3, {
     loss: 0,
     duplication: 0,
--- a/test/packet-processes.test.ts
+++ b/test/packet-processes.test.ts
@@ -1,4 +1,4 @@
-/** The processes of the packet interface, killed, stopped and misled from outside. */
+/** Processes of the packet interface under kills, stops, reload signals and invalid settings. */
 import { appendFileSync, writeFileSync } from 'node:fs';
 import test, { type ExecutionContext } from 'ava';
 import { createSocket } from 'node:dgram';
@@ -11,7 +11,7 @@
   waitFor,
 } from './support/packet-cluster';
 
-/** Seconds of strays: 100 lines of about 200 bytes in each, against a pipe of 64 KB. */
+/** Each second logs 100 lines of about 200 bytes, so that the 64 KB buffer of the pipe fills up. */
 const LOG_FLOOD_SECONDS = 5;
 const ROUTE = ['198.18.0.1', 8_443] as const;
 const CONFIGURATION = {
@@ -29,7 +29,7 @@
   readonly agents: readonly string[];
 }
 
-/** Two balancers, two agents with their targets, one client. `net` keeps tests apart. */
+/** Two balancers, two agents with their targets, one client. `net` separates the tests' addresses. */
 async function createHarness(t: ExecutionContext, net: number): Promise<Harness> {
   const base = 21_000 + net * 10;
   const cluster = new PacketCluster(createPorts(base));
@@ -55,7 +55,7 @@
   return { cluster, targets, client, balancers, agents };
 }
 
-test('a flow goes on over another balancer and over the restart of its agent', async (t) => {
+test('a flow continues through another balancer and after a restart of its agent', async (t) => {
   const { cluster, targets, client, balancers, agents } = await createHarness(t, 31);
   t.true(await client.openFlow(balancers[0]!));
   t.is(await client.sendRequest(balancers[0]!, 'one'), 'answer to one');
@@ -66,8 +66,8 @@
   await process.exit;
   cluster.spawn('agent', agents[holder]!, 'map');
   t.is(await client.sendRequest(balancers[0]!, 'three'), 'answer to three');
-  const ran = targets.flatMap(({ requests }) => requests);
-  t.deepEqual([...new Set(ran)].sort(), ['one', 'three', 'two']);
+  const requestsRun = targets.flatMap(({ requests }) => requests);
+  t.deepEqual([...new Set(requestsRun)].sort(), ['one', 'three', 'two']);
   t.is(targets.filter(({ requests }) => requests.length > 0).length, 1);
 });
 
@@ -84,7 +84,7 @@
   t.is(targets[1]!.flows.size, 1);
 });
 
-test('a planned stop says not ready first, serves on, and ends well', async (t) => {
+test('a planned stop reports not ready first, continues to serve, and exits with status 0', async (t) => {
   const { cluster, client, balancers } = await createHarness(t, 34);
   t.true(await client.openFlow(balancers[0]!));
   const stopping = cluster.processes[2]!;
@@ -94,7 +94,7 @@
   t.is(await stopping.exit, 0);
 });
 
-test('a signal to reload, with good or broken settings, ends nothing', async (t) => {
+test('a reload signal with valid or invalid settings does not end the process', async (t) => {
   const { cluster, client, balancers } = await createHarness(t, 35);
   const balancer = cluster.processes[2]!;
   balancer.child.kill('SIGHUP');
@@ -106,17 +106,17 @@
   t.is(balancer.child.exitCode, null);
 });
 
-test('a reader that does not read the log does not stop the packets', async (t) => {
+test('packets are forwarded while nothing reads the log output', async (t) => {
   const { cluster, client, balancers } = await createHarness(t, 36);
   t.true(await client.openFlow(balancers[0]!));
-  // Nobody reads the output. Packets without a route make more lines than a pipe holds.
+  // The output is never read, and packets without a route log more lines than the pipe buffers.
   const socket = createSocket('udp4');
   t.teardown(() => socket.close());
   for (let round = 0; round < LOG_FLOOD_SECONDS; round++) {
     for (let index = 0; index < 100; index++) {
       const source = ['127.36.9.2', 1_000 + index] as const;
-      const stray = encodePacket(source, ['198.18.0.9', 1], 128, 1, 1);
-      socket.send(stray, cluster.ports.packets, balancers[0]!);
+      const packet = encodePacket(source, ['198.18.0.9', 1], 128, 1, 1);
+      socket.send(packet, cluster.ports.packets, balancers[0]!);
     }
     t.is(await client.sendRequest(balancers[0]!, `n${round}`), `answer to n${round}`);
     await new Promise((done) => setTimeout(done, 1_000));
@@ -126,7 +126,7 @@
   t.is(await stopping.exit, 0);
 });
 
-test('wrong settings end a start with a numbered error', async (t) => {
+test('invalid settings end the start with exit status 1', async (t) => {
   const cluster = new PacketCluster({
     frames: 1,
     packets: 1,
--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -1,4 +1,4 @@
-/** The adapter translates the platform's forms and nothing else. */
+/** Tests of the adapter that translates the platform's packets, documents and calls. */
 import { mkdtempSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
@@ -33,7 +33,7 @@
   'hex',
 );
 
-test('a head is read as the protocol page shows it, and answered with its reset', (t) => {
+test('a header is decoded as in the protocol page, and answered with the matching reset', (t) => {
   const packet = packetFormat.decodeFromClient(Buffer.from(SYN))!;
   t.is(formatEndpoint(packet.client), '100.64.0.7:40001');
   t.is(formatEndpoint(packet.destination), '198.18.0.1:443');
@@ -42,19 +42,19 @@
   t.deepEqual(packetFormat.createReset(packet), RESET);
 });
 
-test('token and refusal leave everything that the sum covers as it was', (t) => {
+test('writing the token and the bounce flag changes nothing that the checksum covers', (t) => {
   const bytes = Buffer.from(SYN);
   packetFormat.writeToken(bytes, 0xcafe);
   bytes[30]! |= 8;
-  const returned = packetFormat.decodeFromTarget(bytes)!;
-  t.true(returned.refused);
+  const rejected = packetFormat.decodeFromTarget(bytes)!;
+  t.true(rejected.refused);
   t.is(packetFormat.readToken(bytes), 0xcafe);
-  t.is(returned.flow, packetFormat.decodeFromClient(Buffer.from(SYN))!.flow);
+  t.is(rejected.flow, packetFormat.decodeFromClient(Buffer.from(SYN))!.flow);
   packetFormat.restoreClientForm(bytes);
   t.deepEqual(bytes, SYN);
 });
 
-test('both directions of a flow have one key', (t) => {
+test('both directions of a flow have the same key', (t) => {
   const answer = Buffer.from(SYN);
   SYN.copy(answer, 0, 6, 12);
   SYN.copy(answer, 6, 0, 6);
@@ -65,7 +65,7 @@
   t.is(fromTarget.destination, fromClient.destination);
 });
 
-test('no bytes make the decoder throw, and a wrong length is no packet', (t) => {
+test('the decoder never throws and rejects packets of the wrong length', (t) => {
   const property = fc.property(fc.uint8Array({ maxLength: 80 }), (data) => {
     const bytes = Buffer.from(data);
     const packet = packetFormat.decodeFromClient(bytes);
@@ -77,7 +77,7 @@
   t.is(packetFormat.decodeFromClient(Buffer.concat([SYN, Buffer.from('x')])), undefined);
 });
 
-test('the id of a request is found where its head begins in a packet', (t) => {
+test('a request id is read from the packet in which the request begins', (t) => {
   const data = Buffer.from('GET / HTTP/1.1\r\nHost: h\r\nX-Request-Id: abc-1\r\n\r\n');
   const bytes = Buffer.concat([SYN, data]);
   bytes.writeUInt16BE(data.length, 12);
@@ -85,7 +85,7 @@
   t.is(packetFormat.readRequestId(packetFormat.decodeFromClient(Buffer.from(SYN))!), undefined);
 });
 
-test('a configuration becomes a routing table, with weights', (t) => {
+test('a configuration is translated to a routing table with weights', (t) => {
   const table = readRoutingTable({
     name: 'main',
     revision: 3,
@@ -137,7 +137,7 @@
   t.is(readRoutingTable({ name: 'main', revision: 1, spec: null }), undefined);
 });
 
-test('the zones out of service are the names of their objects, from listing to removal', async (t) => {
+test('evacuated zones are listed by object name until their removal', async (t) => {
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   t.teardown(() => (api.close(), standin.stop()));
@@ -160,24 +160,24 @@
   );
 });
 
-test('a connection that falls silent ends the calls on all of them, and new ones work', async (t) => {
+test('a stalled connection fails the calls on all connections, and new ones work', async (t) => {
   const standin = new ObjectApiStandin();
-  const gate = new StallingProxy(Number((await standin.start()).split(':')[1]));
-  const api = new ObjectApi(parseEndpoint(await gate.start()).unwrap());
-  t.teardown(() => (api.close(), gate.stop(), standin.stop()));
+  const proxy = new StallingProxy(Number((await standin.start()).split(':')[1]));
+  const api = new ObjectApi(parseEndpoint(await proxy.start()).unwrap());
+  t.teardown(() => (api.close(), proxy.stop(), standin.stop()));
   const tables = createRoutingTableCollection(api);
   const waiting = awaitAnswer<Changes<RoutingTable>>((answer) =>
     tables.awaitChanges({ era: 2, revision: 1 }, 10_000, answer),
   );
   await waitForCalls(standin, 1);
   t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
-  gate.stallConnections();
+  proxy.stallConnections();
   const startedAt = performance.now();
   const probe = await awaitAnswer<void>((answer) => api.check(300, answer));
   const ended = await waiting;
   t.is(probe.err && probe.val.resultCode, ResultCodes.storeUnavailable);
   t.is(ended.err && ended.val.resultCode, ResultCodes.storeUnavailable);
-  t.true(performance.now() - startedAt < 5_000, 'far less than the call would have waited');
+  t.true(performance.now() - startedAt < 5_000, 'well before the time-out of the long poll');
   t.true((await awaitAnswer<void>((answer) => api.check(1_000, answer))).ok);
 });
 
@@ -189,7 +189,7 @@
 
 const AGENT = { address: packEndpoint('10.0.0.1', 7_720), service: 'map', zone: 'north' };
 
-test('an agent registers once, is replaced when it differs, and is removed', async (t) => {
+test('an agent is registered once, replaced when it differs, and removed', async (t) => {
   const standin = new ObjectApiStandin();
   const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
   const registry = new AgentObjects(api);
@@ -239,10 +239,10 @@
   ],
 ];
 
-for (const [name, spoiler, expected] of INVALID_ANSWERS) {
-  test(`a bad answer of the store is one numbered error: ${name}`, async (t) => {
+for (const [name, faultInjector, expected] of INVALID_ANSWERS) {
+  test(`an invalid answer of the store gives one numbered error: ${name}`, async (t) => {
     const standin = new ObjectApiStandin();
-    standin.faultInjector = spoiler;
+    standin.faultInjector = faultInjector;
     const api = new ObjectApi(parseEndpoint(await standin.start()).unwrap());
     t.teardown(() => (api.close(), standin.stop()));
     const result = await awaitAnswer((answer: ResultCallback<never>) =>
@@ -254,15 +254,15 @@
 
 const HOST = '127.0.0.1';
 
-test('heartbeats and leaving are acknowledged, anything else is refused', async (t) => {
-  const beats: TargetHeartbeat[] = [];
-  const left: string[] = [];
+test('heartbeats and shutdown notices are acknowledged, other calls are refused', async (t) => {
+  const heartbeats: TargetHeartbeat[] = [];
+  const leaving: string[] = [];
   const server = serveHeartbeats(
     packEndpoint('127.0.0.1', 0),
     {
-      handleHeartbeat: (beat) => beats.push(beat) > 0,
+      handleHeartbeat: (heartbeat) => heartbeats.push(heartbeat) > 0,
       recordRefusedHeartbeat: () => undefined,
-      handleTargetLeaving: (id) => left.push(id),
+      handleTargetLeaving: (id) => leaving.push(id),
     },
     (error) => t.fail(error.message),
   );
@@ -271,11 +271,11 @@
   const { port } = server.address() as AddressInfo;
   const body = { service: 's', slots: 4, state: 'draining', 'cold-left-ms': 5, seq: 2 };
   t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', JSON.stringify(body)), 200);
-  t.deepEqual(beats, [
+  t.deepEqual(heartbeats, [
     { incarnation: 'i-1', service: 's', slots: 4, draining: true, coldLeft: 5, sequence: 2 },
   ]);
   t.is(await fetchStatus(HOST, port, 'DELETE', '/hallhold/instances/i-1'), 200);
-  t.deepEqual(left, ['i-1']);
+  t.deepEqual(leaving, ['i-1']);
   t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":'), 400);
   t.is(
     await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/i-1', '{"service":1,"slots":"x"}'),
@@ -283,10 +283,10 @@
   );
   t.is(await fetchStatus(HOST, port, 'PUT', '/hallhold/instances/%zz', JSON.stringify(body)), 404);
   t.is(await fetchStatus(HOST, port, 'GET', '/'), 404);
-  t.is(beats.length, 1);
+  t.is(heartbeats.length, 1);
 });
 
-test('no heartbeat body makes the reader throw', (t) => {
+test('reading a heartbeat body never throws', (t) => {
   fc.assert(
     fc.property(fc.json(), (body) => {
       readHeartbeat('i', body);
@@ -298,7 +298,7 @@
   t.pass();
 });
 
-test('readiness is answered by status', async (t) => {
+test('readiness is reported by HTTP status', async (t) => {
   let ready = false;
   const server = serveReadiness(
     packEndpoint('127.0.0.1', 0),
@@ -313,7 +313,7 @@
   t.is(await fetchStatus(HOST, port, 'GET', '/hallhold/ready'), 200);
 });
 
-test('wrong settings are refused with every wrong key named', (t) => {
+test('invalid settings are refused with every invalid key named', (t) => {
   const path = join(mkdtempSync(join(tmpdir(), 'hallhold-')), 'settings.json');
   writeFileSync(path, JSON.stringify({ name: 7, zone: 'z', address: 'nowhere', seeds: 'x:1,' }));
   const result = readLocalSettings(path);
@@ -328,13 +328,14 @@
   t.is((readLocalSettings(path).val as HallholdError).resultCode.number, 1001);
 });
 
-test('nothing outside of the adapter knows the platform', (t) => {
+test('no source outside the adapter refers to the platform', (t) => {
   const root = resolve(__dirname, '../..');
-  const names = /hallhold\/(objects|instances|ready)|packet-addr|path-prefix|beat-addr|cold-left/;
+  const names =
+    /hallhold\/(objects|instances|ready)|packet-addr|path-prefix|beat-addr|cold-left/;
   const files = readdirSync(join(root, 'src'), { recursive: true, encoding: 'utf8' });
   for (const file of files.filter((one) => one.endsWith('.ts'))) {
     const text = readFileSync(join(root, 'src', file), 'utf8');
-    t.false(names.test(text), `${file} names something of the platform`);
+    t.false(names.test(text), `${file} contains a name of the platform`);
     t.false(/from '(\.\.\/)+platform\//.test(text), `${file} imports the adapter`);
   }
 });
--- a/test/support/object-api-standin.ts
+++ b/test/support/object-api-standin.ts
@@ -1,4 +1,4 @@
-/** A small stand-in of the platform's object API over HTTP, with answers that can be spoilt. */
+/** A small stand-in of the platform's object API over HTTP, with fault injection. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
@@ -16,10 +16,10 @@
 
 type SendAnswer = (status: number, body: unknown) => void;
 
-/** Spoils an answer; returns true when it has answered itself. */
+/** Injects a fault into a call; returns true when it has handled the call itself. */
 export type FaultInjector = (call: IncomingMessage, response: ServerResponse) => boolean;
 
-/** What the store held at some time. */
+/** A backup of the store's objects. */
 export interface StoreBackup {
   readonly revision: number;
   readonly objects: ReadonlyMap<string, ReadonlyMap<string, Stored>>;
@@ -44,7 +44,7 @@
     return this.address;
   }
 
-  /** Where it listens. */
+  /** The address on which it listens. */
   get address(): string {
     return `127.0.0.1:${(this.server!.address() as AddressInfo).port}`;
   }
@@ -57,32 +57,32 @@
   /** Writes an object as its owner. */
   put(kind: string, name: string, spec: unknown): void {
     const object = { meta: { name, rev: ++this.revision }, spec };
-    this.kind(kind).set(name, object);
+    this.getKind(kind).set(name, object);
     this.publish({ kind, rev: this.revision, object, gone: false });
   }
 
-  /** Another program leaves something under a name, whatever it is. */
+  /** Stores any value under a name, as another program may do. */
   putRaw(kind: string, name: string, object: unknown): void {
     this.revision++;
-    this.kind(kind).set(name, object as Stored);
+    this.getKind(kind).set(name, object as Stored);
     this.publish({ kind, rev: this.revision, object: object as Stored, gone: false });
   }
 
-  /** Removes an object that is there. */
+  /** Removes an existing object. */
   remove(kind: string, name: string): void {
-    const object = this.kind(kind).get(name)!;
-    this.kind(kind).delete(name);
+    const object = this.getKind(kind).get(name)!;
+    this.getKind(kind).delete(name);
     this.publish({ kind, rev: ++this.revision, object, gone: true });
   }
 
   get(kind: string, name: string): unknown {
-    return this.kind(kind).get(name)?.spec;
+    return this.getKind(kind).get(name)?.spec;
   }
 
-  private kind(kind: string): Map<string, Stored> {
-    const known = this.objects.get(kind) ?? new Map<string, Stored>();
-    this.objects.set(kind, known);
-    return known;
+  private getKind(kind: string): Map<string, Stored> {
+    const objects = this.objects.get(kind) ?? new Map<string, Stored>();
+    this.objects.set(kind, objects);
+    return objects;
   }
 
   private publish(event: Event): void {
@@ -90,35 +90,35 @@
     this.watches.forEach((wake) => wake());
   }
 
-  /** Forgets its history: watches of earlier revisions get 410 from now on. */
+  /** Compacts the history: watches of earlier revisions get 410 from now on. */
   compactHistory(): void {
     this.compactedThrough = this.revision;
     this.watches.forEach((wake) => wake());
   }
 
-  /** A copy of all that the store holds now. */
+  /** A backup of all objects. */
   createBackup(): StoreBackup {
-    const objects = new Map([...this.objects].map(([kind, known]) => [kind, new Map(known)]));
+    const objects = new Map([...this.objects].map(([kind, stored]) => [kind, new Map(stored)]));
     return { revision: this.revision, objects };
   }
 
-  /** Comes back from a copy: what was written since is gone, and its revisions are given out again. */
+  /** Restores a backup: later writes are lost, and their revisions are issued again. */
   restoreFrom({ revision, objects }: StoreBackup): void {
     this.era++;
     this.revision = this.compactedThrough = revision;
     this.events.length = 0;
     this.objects.clear();
-    objects.forEach((known, kind) => this.objects.set(kind, new Map(known)));
+    objects.forEach((stored, kind) => this.objects.set(kind, new Map(stored)));
     this.server?.closeAllConnections();
     this.watches.forEach((wake) => wake());
   }
 
-  /** Writes of others, so that the revision passes one that it had before. */
+  /** Advances the revision, as writes of other programs do. */
   advance(revisions: number): void {
     this.revision += revisions;
   }
 
-  /** The era alone rises: connections and waiting calls notice nothing. */
+  /** Increments only the era; open connections and pending watches are not affected. */
   raiseEra(): void {
     this.era++;
   }
@@ -160,11 +160,11 @@
     if (watch !== null) {
       this.watch(kind, Number(watch), Number(query.get('wait-ms')), send);
     } else if (name === undefined) {
-      const items = [...this.kind(kind).values()];
+      const items = [...this.getKind(kind).values()];
       send(200, { items, more: false, at: this.revision });
     } else {
-      const known = this.kind(kind).get(name);
-      send(known ? 200 : 404, known ?? {});
+      const existing = this.getKind(kind).get(name);
+      send(existing ? 200 : 404, existing ?? {});
     }
   }
 
@@ -180,13 +180,13 @@
       spec?: unknown;
     };
     const target = name ?? body.meta?.name ?? '';
-    const known = this.kind(kind).get(target);
-    if (method === 'POST' && known) {
-      send(409, known);
-    } else if (method === 'POST' || (method === 'PUT' && known)) {
+    const existing = this.getKind(kind).get(target);
+    if (method === 'POST' && existing) {
+      send(409, existing);
+    } else if (method === 'POST' || (method === 'PUT' && existing)) {
       this.put(kind, target, body.spec);
-      send(200, this.kind(kind).get(target));
-    } else if (method === 'DELETE' && known) {
+      send(200, this.getKind(kind).get(target));
+    } else if (method === 'DELETE' && existing) {
       this.remove(kind, target);
       send(200, {});
     } else {
@@ -199,8 +199,8 @@
       clearTimeout(timer);
       this.watches.delete(wake);
       const events = this.listChanges(kind, after);
-      const isForgotten = this.isCompacted(after);
-      send(isForgotten ? 410 : 200, isForgotten ? {} : { events, at: this.revision });
+      const isHistoryGone = this.isCompacted(after);
+      send(isHistoryGone ? 410 : 200, isHistoryGone ? {} : { events, at: this.revision });
     };
     const wake = (): void => {
       if (this.listChanges(kind, after).length > 0 || this.isCompacted(after)) {
@@ -213,7 +213,7 @@
     wake();
   }
 
-  /** Whether the history after a revision is not to be had. */
+  /** Whether the history after a revision is not available. */
   private isCompacted(after: number): boolean {
     return after < this.compactedThrough || after > this.revision;
   }
--- a/test/support/packet-cluster.ts
+++ b/test/support/packet-cluster.ts
@@ -1,4 +1,4 @@
-/** Real processes of the packet interface on loopback, with stand-ins for all around them. */
+/** Real processes of the packet interface on loopback, with stand-ins for their surroundings. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createSocket, type Socket } from 'node:dgram';
 import { mkdtempSync, writeFileSync } from 'node:fs';
@@ -8,10 +8,10 @@
 import { fetchStatus } from './fetch-status';
 import { ObjectApiStandin } from './object-api-standin';
 
-/** Bytes of a packet's head; its data follows. */
+/** Size of a packet's header; the payload follows. */
 export const HEADER_BYTES = 31;
 const MAIN_PATH = resolve(__dirname, '../../platform/main.js');
-/** Flags of a head. */
+/** Flags of a header. */
 export const Flag = { fin: 1, rst: 4, bounced: 8, syn: 16, ack: 128 } as const;
 
 /** Ports of one cluster; alike on all of its machines. */
@@ -24,7 +24,7 @@
   readonly control: number;
 }
 
-/** Six ports in a row, for a cluster of its own. */
+/** Six consecutive ports from `first`; each cluster uses its own. */
 export function createPorts(first: number): ClusterPorts {
   return {
     frames: first,
@@ -36,7 +36,7 @@
   };
 }
 
-/** A head with data; the sum is left empty, since only the ends read it. */
+/** A packet with data; the checksum stays empty, since only client and target check it. */
 export function encodePacket(
   source: readonly [string, number],
   destination: readonly [string, number],
@@ -46,9 +46,9 @@
   data = '',
 ): Buffer {
   const bytes = Buffer.alloc(HEADER_BYTES + Buffer.byteLength(data));
-  const writeEndpoint = (at: number, [address, port]: readonly [string, number]): void => {
-    bytes.writeUInt16BE(port, at);
-    Buffer.from(address.split('.').map(Number)).copy(bytes, at + 2);
+  const writeEndpoint = (offset: number, [address, port]: readonly [string, number]): void => {
+    bytes.writeUInt16BE(port, offset);
+    Buffer.from(address.split('.').map(Number)).copy(bytes, offset + 2);
   };
   writeEndpoint(0, source);
   writeEndpoint(6, destination);
@@ -65,7 +65,7 @@
   return new Promise((done) => socket.bind(port, address, () => done(socket)));
 }
 
-/** A target: opens flows, answers each request, returns packets of flows it does not hold. */
+/** A target: accepts flows, answers each request, rejects packets of flows it does not hold. */
 export class PacketTarget {
   readonly flows = new Set<string>();
   readonly requests: string[] = [];
@@ -95,7 +95,7 @@
     return this.sendHeartbeat();
   }
 
-  /** Sends a heartbeat; answers the status, 0 when nobody took it. */
+  /** Sends a heartbeat; resolves to the HTTP status, 0 without an answer. */
   sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       service: this.service,
@@ -162,10 +162,10 @@
     this.socket.close();
   }
 
-  /** Opens the flow through a balancer; true when a target answered. */
+  /** Opens the flow through a balancer; true when a target accepted it. */
   async openFlow(balancer: string): Promise<boolean> {
-    for (let copy = 0; copy < 3; copy++) {
-      this.send(balancer, Flag.syn, copy, '');
+    for (let attempt = 0; attempt < 3; attempt++) {
+      this.send(balancer, Flag.syn, attempt, '');
       if (await this.waitForPacket((flags) => (flags & (Flag.syn | Flag.rst)) !== 0, 600)) {
         return (this.received.at(-1)![30]! & Flag.syn) !== 0;
       }
@@ -173,11 +173,11 @@
     return false;
   }
 
-  /** Sends a request through a balancer, again and again, until its answer or a reset comes. */
+  /** Sends a request through a balancer and retransmits it until its answer or a reset arrives. */
   async sendRequest(balancer: string, text: string, milliseconds = 8_000): Promise<string> {
     this.sequence++;
-    const end = Date.now() + milliseconds;
-    while (Date.now() < end) {
+    const deadline = Date.now() + milliseconds;
+    while (Date.now() < deadline) {
       this.send(balancer, Flag.ack, 100, text);
       const found = await this.waitForPacket(
         (flags, data) => (flags & Flag.rst) !== 0 || data === `answer to ${text}`,
@@ -192,19 +192,19 @@
   }
 
   private send(balancer: string, flags: number, acknowledgement: number, data: string): void {
-    const own = [this.machine, this.port] as const;
-    const bytes = encodePacket(own, this.route, flags, this.sequence, acknowledgement, data);
+    const source = [this.machine, this.port] as const;
+    const bytes = encodePacket(source, this.route, flags, this.sequence, acknowledgement, data);
     this.socket.send(bytes, this.packetPort, balancer);
   }
 
   private async waitForPacket(
-    wanted: (flags: number, data: string) => boolean,
+    matches: (flags: number, data: string) => boolean,
     milliseconds: number,
   ): Promise<boolean> {
-    const end = Date.now() + milliseconds;
-    while (Date.now() < end) {
+    const deadline = Date.now() + milliseconds;
+    while (Date.now() < deadline) {
       const last = this.received.at(-1);
-      if (last && wanted(last[30]!, last.toString('utf8', HEADER_BYTES))) {
+      if (last && matches(last[30]!, last.toString('utf8', HEADER_BYTES))) {
         return true;
       }
       await pause(10);
@@ -232,7 +232,7 @@
     this.storeAddress = await this.store.start();
   }
 
-  /** Starts a role on a machine; its output is never read. */
+  /** Starts a role on a machine; nothing reads its output. */
   spawn(role: 'balancer' | 'agent', machine: string, service?: string): ClusterProcess {
     const { frames, packets, outbound, application, ready, control } = this.ports;
     const settings = {
@@ -271,7 +271,7 @@
     return fetchStatus(machine, this.ports.ready, 'GET', '/hallhold/ready');
   }
 
-  /** Waits until a balancer says that it is ready. */
+  /** Waits until a balancer reports that it is ready. */
   async waitUntilReady(machine: string): Promise<void> {
     await waitFor(async () => (await this.fetchReadiness(machine)) === 200);
   }
@@ -279,10 +279,10 @@
 
 /** Waits for a condition; throws after 20 seconds. */
 export async function waitFor(condition: () => Promise<boolean> | boolean): Promise<void> {
-  const end = Date.now() + 20_000;
+  const deadline = Date.now() + 20_000;
   while (!(await condition())) {
-    if (Date.now() > end) {
-      throw new Error('the condition did not come true');
+    if (Date.now() > deadline) {
+      throw new Error('the condition did not hold within 20 s');
     }
     await pause(30);
   }
--- a/test/support/process-cluster.ts
+++ b/test/support/process-cluster.ts
@@ -1,4 +1,4 @@
-/** Real processes, one a role, for integration tests; every address is this test process's own. */
+/** Real processes, one per role, for integration tests; addresses are unique to this test process. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,12 +20,15 @@
   readonly ended: Promise<number | null>;
 }
 
-/** Waits until a condition holds; fails after half a minute. */
-export async function waitFor(what: string, condition: () => Promise<boolean>): Promise<void> {
-  const limit = performance.now() + WAIT_TIMEOUT_MS;
+/** Waits until a condition holds; throws after 30 seconds. */
+export async function waitFor(
+  description: string,
+  condition: () => Promise<boolean>,
+): Promise<void> {
+  const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!(await condition().catch(() => false))) {
-    if (performance.now() > limit) {
-      throw new Error(`gave up waiting until ${what}`);
+    if (performance.now() > deadline) {
+      throw new Error(`timed out after ${WAIT_TIMEOUT_MS} ms waiting until ${description}`);
     }
     await new Promise((done) => setTimeout(done, 50));
   }
@@ -48,7 +51,7 @@
   private keyReplacements = 0;
   private readonly folder = mkdtempSync(join(tmpdir(), 'hallhold-test-'));
 
-  /** @param group keeps addresses of clusters in one test process apart */
+  /** @param group separates the addresses of clusters in one test process */
   constructor(
     private readonly group: number,
     private readonly faults: DatagramFaults,
@@ -108,15 +111,15 @@
   }
 
   /** Runs a hallhold command; resolves when it ends. */
-  async run(...words: string[]): Promise<{ code: number | null; stdout: string; stderr: string }> {
-    const child = this.spawn(`command-${this.children.size}`, words);
+  async run(...args: string[]): Promise<{ code: number | null; stdout: string; stderr: string }> {
+    const child = this.spawn(`command-${this.children.size}`, args);
     const code = await child.ended;
     return { code, stdout: child.stdout(), stderr: child.stderr() };
   }
 
   /** Starts a hallhold command and leaves it running. */
-  spawn(name: string, words: readonly string[]): Child {
-    const child = spawn(process.execPath, [PROGRAM_PATH, ...words], { stdio: 'pipe' });
+  spawn(name: string, args: readonly string[]): Child {
+    const child = spawn(process.execPath, [PROGRAM_PATH, ...args], { stdio: 'pipe' });
     let stdout = '';
     let stderr = '';
     child.stdout.on('data', (data: Buffer) => (stdout += data.toString()));
@@ -138,7 +141,7 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Waits until the agents host at least so many flows together. */
+  /** Waits until the agents host at least `count` flows in total. */
   async waitForFlows(count: number): Promise<void> {
     await waitFor(`${count} flows are hosted`, async () => {
       const all = this.getRunningIndexes('agent').map((index) =>
@@ -151,7 +154,7 @@
     });
   }
 
-  /** Gives every balancer and agent other keys, as an operator does; waits until all have them. */
+  /** Replaces the keys of all balancers and agents by SIGHUP, as an operator does, and waits for it. */
   async replaceKeys(
     keys: readonly { readonly id: number; readonly secret: string }[],
   ): Promise<void> {
@@ -175,7 +178,7 @@
     }
   }
 
-  /** Indexes from 0 of the processes of a role. */
+  /** Zero-based indexes of the processes of a role. */
   private getRunningIndexes(role: 'balancer' | 'agent'): number[] {
     const names = [...this.children.keys()].filter((name) => name.startsWith(`${role}-`));
     return names.map((name) => Number(name.slice(role.length + 1)) - 1);
@@ -205,15 +208,22 @@
     }
   }
 
-  /** A store that takes long leaves the outcome unknown: then it is asked for, as operators are to. */
+  /** A slow store leaves the outcome unknown; polls the write's status, as operators have to. */
   private async waitForAcceptance(refusal: string): Promise<void> {
     const writeId = /error 1104 .*\n +write id (\S+)/.exec(refusal)?.[1];
     if (writeId === undefined) {
       throw new Error(`table put failed: ${refusal}`);
     }
     await waitFor('the table is accepted', async () => {
-      const asked = ['table', 'status', '--write', writeId, '--api', this.getBalancerUrl(0)];
-      return (await this.run(...asked)).stdout.includes('"state":"accepted"');
+      const statusCommand = [
+        'table',
+        'status',
+        '--write',
+        writeId,
+        '--api',
+        this.getBalancerUrl(0),
+      ];
+      return (await this.run(...statusCommand)).stdout.includes('"state":"accepted"');
     });
   }
 
@@ -234,7 +244,7 @@
     });
   }
 
-  /** Balancer `index`: behind a proxy for its frames and one for callers' datagrams. */
+  /** Starts balancer `index` behind a fault proxy for its frames. */
   async startBalancer(index: number, balancers: number): Promise<void> {
     const ipAddress = this.getAddress(10 + index);
     const file = this.writeFile(
@@ -289,12 +299,12 @@
   }
 
   private async startFabric(balancers: number): Promise<void> {
-    const words = ['standin', 'fabric', '--listen', this.serviceAddress];
+    const args = ['standin', 'fabric', '--listen', this.serviceAddress];
     for (let index = 0; index < balancers; index++) {
       const ipAddress = this.getAddress(10 + index);
-      words.push('--balancer', `${ipAddress}:5683=${this.getBalancerUrl(index)}/readyz`);
+      args.push('--balancer', `${ipAddress}:5683=${this.getBalancerUrl(index)}/readyz`);
     }
-    this.spawn('fabric', words);
+    this.spawn('fabric', args);
   }
 
   private async startProxy(listen: string, target: string): Promise<void> {
--- a/test/support/stalling-proxy.ts
+++ b/test/support/stalling-proxy.ts
@@ -1,19 +1,19 @@
-/** A TCP relay on loopback whose open connections can fall silent without a reset. */
+/** A TCP proxy on loopback whose open connections can stall without a reset. */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 
 const LOOPBACK = '127.0.0.1';
 
-/** The relay before one server. */
+/** The proxy in front of one server. */
 export class StallingProxy {
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
-  /** @param port where the server listens on loopback */
+  /** @param port the server's port on loopback */
   constructor(private readonly port: number) {
     this.server = createServer((client) => this.forwardConnection(client));
   }
 
-  /** Listens; answers the address as text. */
+  /** Listens on a free port; resolves to the address as text. */
   async start(): Promise<string> {
     await new Promise<void>((done) => this.server.listen(0, LOOPBACK, done));
     return `${LOOPBACK}:${(this.server.address() as AddressInfo).port}`;
@@ -24,7 +24,7 @@
     this.server.close();
   }
 
-  /** From now on nothing passes on the connections that are open; new ones work. */
+  /** Stops forwarding on the connections that are open now; new ones work. */
   stallConnections(): void {
     for (const socket of this.sockets) {
       socket.unpipe();
