--- a/test/platform-adapter.test.ts
+++ b/test/platform-adapter.test.ts
@@ -330,8 +330,7 @@
 
 test('no source outside the adapter refers to the platform', (t) => {
   const root = resolve(__dirname, '../..');
-  const names =
-    /hallhold\/(objects|instances|ready)|packet-addr|path-prefix|beat-addr|cold-left/;
+  const names = /hallhold\/(objects|instances|ready)|packet-addr|path-prefix|beat-addr|cold-left/;
   const files = readdirSync(join(root, 'src'), { recursive: true, encoding: 'utf8' });
   for (const file of files.filter((one) => one.endsWith('.ts'))) {
     const text = readFileSync(join(root, 'src', file), 'utf8');
