--- a/src/runtime/compiler-settings.ts
+++ b/src/runtime/compiler-settings.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8';
 
 /**
- * Bytes of bytecode that a function executes before it is optimized, about fifteen times Node's default.
+ * Bytes of bytecode that a function runs before it is optimized, about fifteen times Node's default.
  * On a small CPU share the optimizing compiler would delay the packets already queued when the
  * process starts (measurements in docs/DECISIONS.md).
  */
--- a/src/runtime/early-sockets.ts
+++ b/src/runtime/early-sockets.ts
@@ -31,7 +31,7 @@
   return globalObject[REGISTRY_KEY];
 }
 
-/** Skips the DNS lookup: destinations are IP addresses, and Node's lookup defers each send by a tick. */
+/** Skips the lookup: destinations are IP addresses, and Node's lookup delays each send by a tick. */
 export function resolveAddress(
   address: string,
   _family: unknown,
