--- a/src/simulation/packets/model-client.ts
+++ b/src/simulation/packets/model-client.ts
@@ -1,6 +1,6 @@
 /**
- * A client in the simulation: opens one flow, sends requests over it one after the other,
- * repeats what is not answered, and notes how the flow ends.
+ * Model of a client: opens one flow, sends requests over it one after the other,
+ * retransmits unanswered ones and records how the flow ends.
  */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket } from '../../packets/flow-packet';
@@ -18,10 +18,10 @@
 const INITIAL_RETRANSMISSION_TIMEOUT_MS = 200;
 const MAXIMUM_RETRANSMISSION_TIMEOUT_MS = 1_600;
 
-/** How a client's flow stands. */
+/** State of a client's flow. */
 export type ClientState = 'opening' | 'open' | 'failed' | 'reset' | 'done';
 
-/** What a client does. */
+/** Parameters of a client. */
 export interface ModelClientPlan {
   readonly client: Endpoint;
   readonly destination: Endpoint;
@@ -30,10 +30,10 @@
   readonly pause: number;
 }
 
-/** What a client shows to the world. */
+/** Receives the events of a client. */
 export interface ModelClientObserver {
   onReset(client: ModelClient, packet: FlowPacket): void;
-  /** An answer came to a request: the text expected and the text that came. */
+  /** An answer to a request was received, with the expected and the received text. */
   onAnswer(expected: string, answered: string): void;
 }
 
@@ -41,12 +41,12 @@
 export class ModelClient {
   state: ClientState = 'opening';
   answers = 0;
-  /** Time at which each answer came. */
+  /** Times at which answers were received. */
   readonly answeredAt: number[] = [];
-  /** Time of its first opening packet. */
+  /** Time of the first opening packet. */
   startedAt = 0;
   private sequence = 1;
-  /** All that the target sent before it has come. */
+  /** All of the target's data before this sequence number has been received. */
   private acknowledged = 0;
 
   constructor(
@@ -58,10 +58,10 @@
 
   start(): void {
     this.startedAt = this.clock.now;
-    OPENING_RETRANSMISSIONS_MS.forEach((delay, copy) => {
+    OPENING_RETRANSMISSIONS_MS.forEach((delay, retransmission) => {
       this.clock.schedule(delay, () => {
         if (this.state === 'opening') {
-          this.sendPacket(ModelFlag.opens, this.sequence, copy, '');
+          this.sendPacket(ModelFlag.opens, this.sequence, retransmission, '');
         }
       });
     });
@@ -72,7 +72,7 @@
     });
   }
 
-  /** A datagram of the system for this client. */
+  /** Handles a datagram for this client. */
   receive(bytes: Buffer): void {
     const packet = modelPacketFormat.decodeFromTarget(bytes);
     if (!packet || this.state === 'done' || this.state === 'failed') {
@@ -98,7 +98,7 @@
     this.sendNextRequest();
   }
 
-  /** An answer that has come before is only acknowledged again. */
+  /** Handles an answer; a duplicate is only acknowledged again. */
   private handleAnswer(packet: FlowPacket): void {
     if (packet.sequence !== this.acknowledged) {
       this.sendPacket(0, this.sequence, this.acknowledged, '');
--- a/src/simulation/packets/model-packet-format.ts
+++ b/src/simulation/packets/model-packet-format.ts
@@ -1,4 +1,4 @@
-/** A packet form for the simulation: the fields of {@link FlowPacket} at fixed places. */
+/** Packet format of the simulation: the fields of {@link FlowPacket} at fixed offsets. */
 import type { Endpoint } from '../../environment';
 import type { FlowPacket, PacketFormat } from '../../packets/flow-packet';
 
@@ -13,13 +13,13 @@
 } as const;
 const ENDPOINT_BYTES = 6;
 
-/** How an answer begins that says that its request failed. */
+/** Prefix of answers to failed requests. */
 export const FAILED_ANSWER_PREFIX = 'failed: ';
 
 /** Flags of a model packet. */
 export const ModelFlag = { opens: 1, ends: 2, resets: 4, refused: 8 } as const;
 
-/** What a model packet is made of. */
+/** Fields of a model packet. */
 export interface ModelPacketFields {
   readonly client: Endpoint;
   readonly destination: Endpoint;
@@ -29,7 +29,7 @@
   readonly payload?: string;
 }
 
-/** Encodes a packet. */
+/** Encodes a model packet. */
 export function encodeModelPacket(fields: ModelPacketFields): Buffer {
   const payload = Buffer.from(fields.payload ?? '');
   const bytes = Buffer.alloc(Offset.payload + payload.length);
@@ -42,7 +42,7 @@
   return bytes;
 }
 
-/** The data of a packet as text. */
+/** Decodes the payload of a packet as text. */
 export function decodePayload(packet: FlowPacket): string {
   return packet.bytes.toString('utf8', Offset.payload);
 }
@@ -71,7 +71,7 @@
   };
 }
 
-/** The simulation's packet form. */
+/** The simulation's packet format. */
 export const modelPacketFormat: PacketFormat = {
   decodeFromClient: decode,
   decodeFromTarget: decode,
--- a/src/simulation/packets/model-store.ts
+++ b/src/simulation/packets/model-store.ts
@@ -1,4 +1,4 @@
-/** The store of the packet interface in the simulation, with its faults. */
+/** Model of the packet interface's store, with its faults. */
 import { Ok, type Result } from 'ts-results';
 import { createFailure, type HallholdError } from '../../errors/hallhold-error';
 import { ResultCodes } from '../../errors/result-codes';
@@ -26,14 +26,14 @@
   notify(): void;
 }
 
-/** One collection with its history. */
+/** A collection with its change history. */
 class ModelCollection<T> {
   readonly items = new Map<string, Change<T>>();
   history: Change<T>[] = [];
   oldestRevision = 0;
   watchers: Watcher[] = [];
 
-  /** Holds what a copy holds; calls that wait are cut. */
+  /** Restores the items of a backup; open long polls end. */
   restore(items: readonly Change<T>[], revision: number): void {
     this.items.clear();
     items.forEach((item) => this.items.set(item.name, item));
@@ -43,7 +43,7 @@
   }
 }
 
-/** What the store held at some time. */
+/** Backup of the store's contents. */
 export interface ModelStoreBackup {
   readonly revision: number;
   readonly routing: readonly Change<RoutingTable>[];
@@ -51,40 +51,40 @@
   readonly evacuations: readonly Change<EvacuatedZone>[];
 }
 
-/** All collections under one revision counter. */
+/** All collections, with one common revision counter. */
 export class ModelStore {
   readonly routing = new ModelCollection<RoutingTable>();
   readonly agents = new ModelCollection<AgentRecord>();
   readonly evacuations = new ModelCollection<EvacuatedZone>();
-  /** The store answers nobody. */
+  /** Calls are not answered. */
   isDown = false;
-  /** Milliseconds from a call to its answer. */
+  /** Delay of an answer, in milliseconds. */
   answerTime = DEFAULT_ANSWER_TIME_MS;
-  /** Calls that have come, answered or not. */
+  /** Number of calls received, answered or not. */
   calls = 0;
-  /** Machines whose calls are refused at once. */
+  /** Names of processes whose calls are refused. */
   readonly refusedProcesses = new Set<string>();
   private revision = 1;
   private era = 1;
 
   constructor(private readonly clock: VirtualClock) {}
 
-  /** The operator writes a routing table. */
+  /** Writes a routing table, as the operator does. */
   writeRouting(table: RoutingTable): void {
     this.applyChange(this.routing, 'main', table, false);
   }
 
-  /** The operator takes a zone out of service. */
+  /** Evacuates a zone, as the operator does. */
   evacuate(zone: string): void {
     this.applyChange(this.evacuations, zone, { zone }, false);
   }
 
-  /** The operator puts a zone back into service. */
+  /** Ends the evacuation of a zone, as the operator does. */
   cancelEvacuation(zone: string): void {
     this.applyChange(this.evacuations, zone, { zone }, true);
   }
 
-  /** An agent's entry is lost, though its owner lives. */
+  /** Removes an agent's entry while the agent still runs. */
   removeAgentEntry(name: string): void {
     const known = this.agents.items.get(name);
     if (known) {
@@ -92,7 +92,7 @@
     }
   }
 
-  /** A copy of all that the store holds now. */
+  /** Creates a backup of the current contents. */
   createBackup(): ModelStoreBackup {
     return {
       revision: this.revision,
@@ -102,7 +102,7 @@
     };
   }
 
-  /** Comes back from a copy: what was written since is gone, and its revisions are given out again. */
+  /** Restores a backup: later writes are lost and their revision numbers are assigned again. */
   restoreFrom(backup: ModelStoreBackup): void {
     this.revision = backup.revision;
     this.era++;
@@ -111,12 +111,12 @@
     this.evacuations.restore(backup.evacuations, backup.revision);
   }
 
-  /** Writes of others, so that the revision passes one that it had before. */
+  /** Advances the revision as unrelated writes do, so that it can pass an earlier one. */
   advanceRevision(revisions: number): void {
     this.revision += revisions;
   }
 
-  /** Forgets all history. */
+  /** Drops the change history of all collections. */
   compactHistory(): void {
     for (const collection of [this.routing, this.agents, this.evacuations]) {
       collection.history = [];
@@ -124,17 +124,17 @@
     }
   }
 
-  /** The routing collection as one process reaches it. */
+  /** Creates a process's port to the routing collection. */
   createRoutingPort(process: SimulatedProcess): CollectionPort<RoutingTable> {
     return this.createPort(this.routing, process);
   }
 
-  /** The evacuated zones as one process reaches them. */
+  /** Creates a process's port to the evacuated zones. */
   createEvacuationsPort(process: SimulatedProcess): CollectionPort<EvacuatedZone> {
     return this.createPort(this.evacuations, process);
   }
 
-  /** The registry as one process reaches it. */
+  /** Creates a process's port to the agent registry. */
   createRegistryPort(process: SimulatedProcess): AgentRegistryPort {
     return {
       ...this.createPort(this.agents, process),
@@ -151,7 +151,7 @@
           const known = this.agents.items.get(String(agent.address));
           const isOther = entered?.era !== this.era || known?.revision !== entered.revision;
           if (known && entered !== undefined && isOther) {
-            return createFailure(ResultCodes.storeConflict, 'another revision');
+            return createFailure(ResultCodes.storeConflict, 'the entry has another revision');
           }
           if (known) {
             this.applyChange(this.agents, known.name, known.item, true);
@@ -161,7 +161,7 @@
     };
   }
 
-  /** The probe of one process's connections, which never fall silent here. */
+  /** Creates a process's store probe; connections never stall in this model. */
   createProbePort(process: SimulatedProcess): StoreProbePort {
     return {
       check: (_timeout, answer) => this.call(process, answer, () => new Ok(undefined)),
@@ -217,16 +217,19 @@
     after: StorePosition,
   ): Result<Changes<T>, HallholdError> {
     if (after.era !== this.era) {
-      return createFailure(ResultCodes.storeEraChanged, 'another era');
+      return createFailure(ResultCodes.storeEraChanged, 'the store was restored from a backup');
     }
     if (this.isHistoryUnavailable(collection, after)) {
-      return createFailure(ResultCodes.storeWatchExpired, 'history gone');
+      return createFailure(
+        ResultCodes.storeWatchExpired,
+        'the history after this revision is no longer available',
+      );
     }
     const changes = collection.history.filter(({ revision }) => revision > after.revision);
     return new Ok({ changes, skipped: 0, era: this.era, revision: this.revision });
   }
 
-  /** Whether the history after a moment is not to be had. */
+  /** Whether the history after a store position is unavailable. */
   private isHistoryUnavailable<T>(
     { oldestRevision: oldest }: ModelCollection<T>,
     { era, revision }: StorePosition,
@@ -254,25 +257,26 @@
     return !this.isDown && !this.refusedProcesses.has(process.name);
   }
 
-  /** Runs a call after the store's answer time; `act` answers undefined to say nothing yet. */
+  /** Runs a call after the store's answer time; no answer is sent if `act` returns undefined. */
   private call<T>(
     process: SimulatedProcess,
     answer: ResultCallback<T>,
     act: () => Result<T, HallholdError> | undefined,
   ): void {
     this.calls++;
-    const respond = (result: Result<T, HallholdError>): void => process.run(() => answer(result));
+    const sendResult = (result: Result<T, HallholdError>): void =>
+      process.run(() => answer(result));
     if (this.refusedProcesses.has(process.name)) {
       const refusal = createFailure(ResultCodes.storeUnavailable, 'refused');
-      this.clock.schedule(this.answerTime, () => respond(refusal));
+      this.clock.schedule(this.answerTime, () => sendResult(refusal));
     } else if (this.isDown) {
       const timeout = createFailure(ResultCodes.storeUnavailable, 'no answer in time');
-      this.clock.schedule(CALL_TIMEOUT_MS, () => respond(timeout));
+      this.clock.schedule(CALL_TIMEOUT_MS, () => sendResult(timeout));
     } else {
       this.clock.schedule(this.answerTime, () => {
         const result = act();
         if (result) {
-          respond(result);
+          sendResult(result);
         }
       });
     }
--- a/src/simulation/packets/model-target.ts
+++ b/src/simulation/packets/model-target.ts
@@ -1,6 +1,6 @@
 /**
- * A target in the simulation: opens flows, answers requests, and returns every packet of
- * a flow that it does not hold. It forgets its flows when it is replaced.
+ * Model of a target: opens flows, answers requests and rejects packets of flows that it
+ * does not hold. Its flows are lost when it is replaced.
  */
 import type { FlowKey, FlowPacket } from '../../packets/flow-packet';
 import type { VirtualClock } from '../virtual-clock';
@@ -12,24 +12,24 @@
   decodePayload,
 } from './model-packet-format';
 
-/** What a target shows to the world. */
+/** Receives the events of a target. */
 export interface ModelTargetObserver {
-  /** A flow opened: the client's next packet has come. */
+  /** A flow opened: the client's first packet after the opening packet was received. */
   onFlowOpened(target: ModelTarget, packet: FlowPacket): void;
-  /** A request began to run. */
+  /** A request started to run. */
   onRequestStarted(target: ModelTarget, request: string): void;
 }
 
-/** Where a target's packets go. */
+/** Sends a target's packets. */
 export type TargetOutput = (packet: Buffer) => void;
 
 interface ModelFlow {
-  /** The target's own first sequence number. */
+  /** Initial sequence number of the target. */
   readonly sequence: number;
-  /** Sequence number of its next answer. */
+  /** Sequence number of the next answer. */
   nextSequence: number;
   open: boolean;
-  /** By the sequence number of the request; undefined while it works on it. */
+  /** Answers by sequence number of the request; undefined while the request runs. */
   readonly answered: Map<number, ModelAnswer | undefined>;
 }
 
@@ -38,35 +38,35 @@
   readonly text: string;
 }
 
-/** How one start of a target is told from others. */
+/** Identity of one incarnation of a target. */
 export interface ModelTargetIdentity {
-  /** Differs from start to start. */
+  /** Unique for each start. */
   readonly incarnation: string;
-  /** What the target calls itself, which it may keep. */
+  /** Identifier that the target reports; may stay the same across restarts. */
   readonly id: string;
-  /** When it started, by its own word. */
+  /** Start time reported by the target. */
   readonly startTime: number;
 }
 
-/** One start of one target. */
+/** One incarnation of a target. */
 export class ModelTarget {
   readonly flows = new Map<FlowKey, ModelFlow>();
-  /** Requests run, repeats not counted. */
+  /** Requests run, retransmissions not counted. */
   requestsRun = 0;
   alive = true;
-  /** Time until which it is slow. */
+  /** End of the cold-start period. */
   coldUntil = 0;
   draining = false;
-  /** Answers every request with a failure, at once. */
+  /** Answers every request with a failure immediately. */
   isFailing = false;
-  /** Stands still: takes and sends nothing, and goes on later with what has come meanwhile. */
+  /** Datagrams received while stalled, handled when the stall ends; undefined if not stalled. */
   private postponed: Buffer[] | undefined;
-  /** Refuses new flows, as one whose queue is full. */
+  /** Rejects new flows, like a target with a full queue. */
   isFull = false;
 
   /**
-   * @param nextSequence the first sequence number of the target's own; differs by target
-   * @param serviceTime milliseconds for a request
+   * @param nextSequence initial sequence number; differs by target
+   * @param serviceTime service time of a request in milliseconds
    */
   constructor(
     readonly identity: ModelTargetIdentity,
@@ -82,17 +82,17 @@
     return this.identity.incarnation;
   }
 
-  /** Milliseconds for which it is still slow. */
+  /** Remaining cold-start time in milliseconds. */
   computeColdLeft(now: number): number {
     return Math.max(0, this.coldUntil - now);
   }
 
-  /** Whether the target holds a flow that is open. */
+  /** Whether the target holds an open flow. */
   holds(flow: FlowKey): boolean {
     return this.alive && this.flows.get(flow)?.open === true;
   }
 
-  /** Stands still for so many milliseconds. */
+  /** Stops receiving and sending for a time in milliseconds. */
   stall(milliseconds: number): void {
     this.postponed = [];
     this.clock.schedule(milliseconds, () => {
@@ -102,7 +102,7 @@
     });
   }
 
-  /** A datagram from the target's agent. */
+  /** Handles a datagram from the target's agent. */
   receive(bytes: Buffer): void {
     if (this.postponed) {
       this.postponed.push(Buffer.from(bytes));
@@ -117,7 +117,7 @@
   private handlePacket(packet: FlowPacket): void {
     const flow = this.flows.get(packet.flow);
     if (packet.opens) {
-      this.open(packet, flow);
+      this.handleOpening(packet, flow);
     } else if (!flow || (!flow.open && packet.acknowledgement !== flow.sequence + 1)) {
       this.rejectPacket(packet);
     } else if (packet.resets || packet.ends) {
@@ -131,7 +131,7 @@
     }
   }
 
-  private open(packet: FlowPacket, known: ModelFlow | undefined): void {
+  private handleOpening(packet: FlowPacket, known: ModelFlow | undefined): void {
     if (this.isFull && !known) {
       this.rejectPacket(packet);
       return;
@@ -151,7 +151,7 @@
       return;
     }
     if (flow.answered.has(packet.sequence)) {
-      this.answer(packet, flow);
+      this.sendAnswer(packet, flow);
       return;
     }
     const request = decodePayload(packet);
@@ -162,21 +162,21 @@
     this.clock.schedule(this.isFailing ? 0 : this.serviceTime, () => {
       flow.answered.set(packet.sequence, { sequence: flow.nextSequence, text });
       flow.nextSequence += Buffer.byteLength(text);
-      this.answer(packet, flow);
+      this.sendAnswer(packet, flow);
     });
   }
 
-  private answer(packet: FlowPacket, flow: ModelFlow): void {
-    const known = flow.answered.get(packet.sequence);
+  private sendAnswer(packet: FlowPacket, flow: ModelFlow): void {
+    const answer = flow.answered.get(packet.sequence);
     if (this.postponed) {
-      this.clock.schedule(this.serviceTime, () => this.answer(packet, flow));
+      this.clock.schedule(this.serviceTime, () => this.sendAnswer(packet, flow));
       return;
     }
-    if (!this.alive || known === undefined) {
+    if (!this.alive || answer === undefined) {
       return;
     }
     const flags = this.draining ? ModelFlag.ends : 0;
-    this.send(packet, flags, known.sequence, packet.sequence, known.text);
+    this.send(packet, flags, answer.sequence, packet.sequence, answer.text);
     if (this.draining) {
       this.flows.delete(packet.flow);
     }
--- a/src/simulation/packets/packet-invariant-checker.ts
+++ b/src/simulation/packets/packet-invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Judges what clients and targets of the packet interface see, as it happens. It knows
- * nothing of how they run: the simulation and the soak of real processes share it.
+ * Checks invariants on what clients and targets of the packet interface observe, as it
+ * happens. Independent of how they run: shared by the simulation and the soak of processes.
  */
 import type { Endpoint } from '../../environment';
 import type { FlowKey } from '../../packets/flow-packet';
@@ -8,55 +8,55 @@
 const MINIMUM_STRAY_PACKETS = 3;
 const MINIMUM_STRAY_TIME_MS = 2_000;
 const FAULT_GRACE_MS = 4_000;
-/** Milliseconds after its acknowledgement in which a configuration must be in force. */
+/** A configuration must be active within this time after its acknowledgement. */
 const APPLY_TIME_MS = 3_000;
-/** Milliseconds after an acknowledged drain in which openings may still arrive. */
+/** Opening packets may still arrive for this long after an acknowledged drain. */
 const DRAIN_TIME_MS = 3_000;
 
-/** Promises that a run has seen broken. */
+/** Violations found in a run, by invariant. */
 export interface InvariantViolations {
   /** A client's open flow was reset while its target held it. */
   flowsReset: string[];
-  /** For two seconds only other targets got the packets of a flow whose target held it. */
+  /** For two seconds, packets of a flow reached only targets other than its holder. */
   strayed: string[];
   /** A request ran more than once. */
   doubled: string[];
-  /** A request ran at a service that its route does not name. */
+  /** A request ran at a service that is not in its route. */
   misrouted: string[];
-  /** A client got an answer that belongs to another request. */
+  /** A client received the answer to another request. */
   mixed: string[];
-  /** A target got an opening packet long after its drain was acknowledged. */
+  /** A target received an opening packet too long after its drain was acknowledged. */
   drained: string[];
-  /** A flow was opened as only a configuration allows that was replaced long before. */
+  /** A flow was opened by a route of a configuration replaced too long ago. */
   outdated: string[];
 }
 
-/** What the judge asks of the time. */
+/** Clock of the checker. */
 export interface CheckerClock {
-  /** Milliseconds, steady. */
+  /** Monotonic time in milliseconds. */
   readonly now: number;
 }
 
-/** One start of a target, as the judge sees it. */
+/** One incarnation of a target, as observed by the checker. */
 export interface ObservedTarget {
   readonly incarnation: string;
   readonly service: string;
 }
 
-/** A client with its flow, as the judge sees it. */
+/** A client with its flow, as observed by the checker. */
 export interface ObservedClient {
   readonly state: string;
   readonly plan: { readonly client: Endpoint; readonly destination: Endpoint };
 }
 
-/** The target that holds a flow, and the processes that its packets pass. */
+/** The target that holds a flow, and the processes on the path of its packets. */
 export interface FlowHolder {
   readonly target: ObservedTarget;
   /** Names of the agent and of every balancer. */
   readonly processes: readonly string[];
 }
 
-/** Services by destination. */
+/** Service names by destination. */
 export type ObservedRoutes = ReadonlyMap<Endpoint, readonly string[]>;
 
 interface ObservedConfiguration {
@@ -64,7 +64,7 @@
   readonly routes: ObservedRoutes;
 }
 
-/** The judge of one world. */
+/** Invariant checker of one run. */
 export class PacketInvariantChecker {
   readonly violations: InvariantViolations = {
     flowsReset: [],
@@ -86,7 +86,7 @@
 
   constructor(private readonly clock: CheckerClock) {}
 
-  /** A configuration was acknowledged; its routes replace those before. */
+  /** Records an acknowledged configuration; its routes replace the previous ones. */
   recordConfiguration(routes: ObservedRoutes): void {
     this.configurations.push({ since: this.clock.now, routes });
     routes.forEach((services, destination) => {
@@ -96,22 +96,22 @@
     });
   }
 
-  /** An unplanned fault begins or ends at a process. */
+  /** Records the start or end of an unplanned fault of a process. */
   recordFault(name: string): void {
     this.lastFaultAt.set(name, this.clock.now);
   }
 
-  /** A process is restarted as planned: that excuses late openings, but no harm to a flow. */
+  /** Records a planned restart: it excuses late openings, but no violation on an open flow. */
   recordRestart(name: string): void {
     this.lastRestartAt.set(name, this.clock.now);
   }
 
-  /** A target's announcement that it drains was acknowledged. */
+  /** Records that a target's drain was acknowledged. */
   recordDrainAcknowledged(target: ObservedTarget): void {
     this.drainingSince.set(target.incarnation, this.clock.now);
   }
 
-  /** An opening packet reaches a target through its agent. */
+  /** Checks an opening packet that reached a target through its agent. */
   checkOpening(target: ObservedTarget, agent: string): void {
     const since = this.drainingSince.get(target.incarnation) ?? Infinity;
     const late = this.clock.now - since;
@@ -121,7 +121,7 @@
     }
   }
 
-  /** A packet of an open flow reaches a target. */
+  /** Checks that packets of an open flow reach its holder. */
   checkPacket(target: ObservedTarget, flow: FlowKey, holder: FlowHolder | undefined): void {
     if (
       !holder ||
@@ -140,7 +140,7 @@
     }
   }
 
-  /** A target begins to run a client's request. */
+  /** Checks a request that a target starts to run. */
   checkRequest(target: ObservedTarget, request: string, client: ObservedClient | undefined): void {
     const before = this.ranAt.get(request);
     if (before !== undefined) {
@@ -154,8 +154,8 @@
   }
 
   /**
-   * A flow whose opening packet was first sent at a time has opened.
-   * @param processes the agent and every balancer that may have passed the packet
+   * Checks a flow that has opened; `sentAt` is the time of its first opening packet.
+   * @param processes the agent and every balancer that may have forwarded the packet
    */
   checkOpenedFlow(
     destination: Endpoint,
@@ -171,14 +171,14 @@
     }
   }
 
-  /** A client got an answer to a request of its own, or of somebody else. */
+  /** Checks that an answer belongs to the client's request. */
   checkAnswer(request: string, answered: string): void {
     if (request !== answered) {
       this.violations.mixed.push(`${request} was answered with ${answered}`);
     }
   }
 
-  /** A client is told that its flow is dead. */
+  /** Checks a reset that a client received. */
   checkReset(client: ObservedClient, isHeld: boolean, processes: readonly string[] = []): void {
     const { destination } = client.plan;
     const wasDropped = this.listActiveSince(this.clock.now - APPLY_TIME_MS).some(
@@ -189,7 +189,7 @@
     }
   }
 
-  /** The configurations that were in force at some time since then. */
+  /** Lists the configurations that were active at any time since `time`. */
   private listActiveSince(time: number): readonly ObservedConfiguration[] {
     const firstLater = this.configurations.findIndex(({ since }) => since > time);
     return firstLater < 0
@@ -202,7 +202,7 @@
     return (this.lastRestartAt.get(name) ?? -Infinity) > recent;
   }
 
-  /** Unplanned faults excuse strays and resets for a while; planned work does not. */
+  /** Unplanned faults excuse misdirected packets and resets for a while; restarts do not. */
   private hasRecentFault(processes: readonly string[]): boolean {
     const recent = this.clock.now - FAULT_GRACE_MS;
     return processes.some((name) => (this.lastFaultAt.get(name) ?? -Infinity) > recent);
--- a/src/simulation/packets/packet-simulation.ts
+++ b/src/simulation/packets/packet-simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Balancers, agents, targets, routers, clients and the store of the packet interface in
- * virtual time, with the real node classes. Faults act on it; what clients and targets
- * see is judged as it happens.
+ * Simulates balancers, agents, targets, routers, clients and the store of the packet
+ * interface in virtual time, with the real node classes. Invariants are checked on what
+ * clients and targets observe, while faults are injected.
  */
 import { packEndpoint } from '../../core/endpoint';
 import { computeRendezvousScore } from '../../core/hashing';
@@ -42,20 +42,20 @@
 const TRANSFER_COST = 400;
 const SERVICE_TIME_MS = 20;
 const SLOTS = 5;
-/** No more than the rates of a routing table, and nothing without them. */
+/** At most the cold rate of the routing table plus the slack; no limit without a rate. */
 const COLD_LIMIT = { overshoot: 1, slack: 2 };
 const COLD_TIME_MS = 2_000;
 const SEQUENCE_RANGE = 2 ** 31;
 const KEY = { id: 1, secret: Buffer.from('simulation-cluster-key') };
 
-/** A balancer of the world. */
+/** A balancer of the simulation. */
 export interface PacketSimulationBalancer {
   readonly name: string;
   readonly zone: string;
   readonly capacity: number;
-  /** Megabits a second. */
+  /** Megabits per second. */
   readonly linkSpeed: number;
-  /** Takes effect with its next start. */
+  /** Takes effect at the next start. */
   locality: boolean;
   readonly address: Endpoint;
   node: PacketBalancer;
@@ -63,7 +63,7 @@
   misses: number;
 }
 
-/** An agent of the world, with the target beside it. */
+/** An agent of the simulation with its target. */
 export interface PacketSimulationAgent {
   readonly name: string;
   readonly zone: string;
@@ -73,11 +73,11 @@
   process: SimulatedProcess;
   target: ModelTarget;
   heartbeats: boolean;
-  /** Times at which opening packets have reached its targets. */
+  /** Times at which opening packets reached its targets. */
   readonly openings: number[];
 }
 
-/** One deployment in virtual time. */
+/** A deployment in virtual time. */
 export class PacketSimulation {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -87,15 +87,15 @@
   readonly agents: PacketSimulationAgent[] = [];
   readonly clients: ModelClient[] = [];
   readonly checker = new PacketInvariantChecker(this.clock);
-  /** Seeds that starting processes are given; by default the first two balancers. */
+  /** Seeds passed to starting processes; the first two balancers by default. */
   seeds: Endpoint[] | undefined;
-  /** Whether balancers that start from now on shorten their start. */
+  /** Whether balancers and agents started from now on use the early start. */
   earlyStart = true;
-  /** Milliseconds for which targets that start from now on are slow. */
+  /** Cold-start time in milliseconds of targets started from now on. */
   coldTime = COLD_TIME_MS;
-  /** Whether processes that start from now on repair losses between balancer and agent. */
+  /** Whether processes started from now on repair losses between balancer and agent. */
   repairHops = true;
-  /** Whether agents that start from now on repeat lost answers. */
+  /** Whether agents started from now on retransmit lost answers. */
   repairAnswers = true;
   private readonly codec = new PacketFrameCodec([KEY]);
   private nextAddress = 1;
@@ -112,7 +112,7 @@
     this.probeBalancers();
   }
 
-  /** Puts a routing table into the store: service names by destination. */
+  /** Writes a routing table to the store; `routes` maps destinations to service names. */
   configure(
     version: number,
     routes: ReadonlyMap<Endpoint, readonly string[]>,
@@ -146,8 +146,8 @@
   }
 
   /**
-   * @param capacity processors that it may use
-   * @param linkSpeed megabits a second that its link carries
+   * @param capacity number of processors that it may use
+   * @param linkSpeed capacity of its link in megabits per second
    */
   addBalancer(zone: string, capacity = 1, linkSpeed = 1_000): PacketSimulationBalancer {
     const address = this.createAddress(FRAME_PORT);
@@ -184,7 +184,7 @@
     return agent;
   }
 
-  /** Starts a balancer's process with nothing in it. */
+  /** Starts a balancer's process without state. */
   startBalancer(balancer: PacketSimulationBalancer): void {
     balancer.process?.kill();
     const { name, zone, address } = balancer;
@@ -229,7 +229,7 @@
     node.start();
   }
 
-  /** Starts an agent's process with nothing in it; the target goes on. */
+  /** Starts an agent's process without state; its target keeps running. */
   startAgent(agent: PacketSimulationAgent): void {
     agent.process?.kill();
     const { name, zone, address, service } = agent;
@@ -271,7 +271,7 @@
     node.start();
   }
 
-  /** All machines lose power for so many milliseconds; all starts again with nothing in it. */
+  /** Power failure of all machines for a time in milliseconds; all processes lose their state. */
   restartAll(milliseconds: number): void {
     [...this.balancers, ...this.agents].forEach(({ process }) => process.kill());
     this.agents.forEach(({ target }) => (target.alive = false));
@@ -284,8 +284,8 @@
   }
 
   /**
-   * Starts a new life of the target beside an agent; its flows are gone.
-   * @param id what it calls itself: another name by default
+   * Starts a new incarnation of an agent's target; the flows of the previous one are lost.
+   * @param id identifier that the target reports: a new one by default
    */
   startTarget(
     agent: PacketSimulationAgent,
@@ -318,7 +318,7 @@
     return target;
   }
 
-  /** The target says that it drains; the agent acknowledges at once. */
+  /** The target announces that it drains; a running agent acknowledges at once. */
   drain(agent: PacketSimulationAgent): void {
     agent.target.draining = true;
     this.sendHeartbeat(agent, agent.target, 1_000_000);
@@ -327,12 +327,12 @@
     }
   }
 
-  /** Promises that this run has seen broken. */
+  /** Violations found in this run. */
   get violations(): InvariantViolations {
     return this.checker.violations;
   }
 
-  /** Opens a flow through the routers. */
+  /** Opens a client's flow through the routers. */
   openFlow(destination: Endpoint, requests: number, pause: number): ModelClient {
     const client = packEndpoint('10.200.0.1', CLIENT_PORT + this.nextClient++);
     const process = this.createProcess(`client-${client}`, CALLER_ZONE);
@@ -356,7 +356,7 @@
     return this.agents.find(({ target }) => target.holds(createFlowKey(client)));
   }
 
-  /** Routers send to a balancer of their choice that they hold for ready. */
+  /** Sends to a balancer chosen by hash among those that answered the readiness probes. */
   private sendThroughRouter(process: SimulatedProcess, client: Endpoint, packet: Buffer): void {
     const inUse = this.balancers.filter(({ misses }) => misses < UNREADY_PROBE_COUNT);
     const pool = inUse.length > 0 ? inUse : this.balancers;
@@ -394,9 +394,17 @@
 
   private sendHeartbeat(agent: PacketSimulationAgent, target: ModelTarget, sequence: number): void {
     const { service, draining } = target;
-    const { id: incarnation, startTime: born } = target.identity;
+    const { id: incarnation, startTime } = target.identity;
     const coldLeft = target.computeColdLeft(this.clock.now);
-    const heartbeat = { incarnation, born, service, draining, slots: SLOTS, coldLeft, sequence };
+    const heartbeat = {
+      incarnation,
+      born: startTime,
+      service,
+      draining,
+      slots: SLOTS,
+      coldLeft,
+      sequence,
+    };
     agent.process.run(() => agent.node.handleHeartbeat(heartbeat));
   }
 
@@ -446,7 +454,7 @@
         answer(
           reachable
             ? decodeSnapshot(encodeSnapshot(balancer.node.snapshot))
-            : createFailure(ResultCodes.peerUnreachable, 'cut'),
+            : createFailure(ResultCodes.peerUnreachable, 'the peer does not run or is cut off'),
         ),
       ),
     );
--- a/src/simulation/packets/random-faults.ts
+++ b/src/simulation/packets/random-faults.ts
@@ -1,4 +1,4 @@
-/** Random faults in a {@link PacketSimulation}: the scenario of the soak on the packet interface. */
+/** Random faults in a {@link PacketSimulation}: scenario of the packet interface's soak. */
 import { packEndpoint } from '../../core/endpoint';
 import type { Endpoint } from '../../environment';
 import {
@@ -11,7 +11,7 @@
 export const MAP_DESTINATION = packEndpoint('198.18.0.1', 8_443);
 /** Destination of the tile service's route. */
 export const TILE_DESTINATION = packEndpoint('198.18.0.2', 8_443);
-/** The routes of the model deployment: services by destination. */
+/** Routes of the model deployment: service names by destination. */
 export const MODEL_ROUTES: ReadonlyMap<Endpoint, readonly string[]> = new Map([
   [MAP_DESTINATION, ['map']],
   [TILE_DESTINATION, ['tiles']],
@@ -30,7 +30,7 @@
 const MINIMUM_FAULT_LENGTH_MS = 200;
 const MAXIMUM_FAULT_LENGTH_MS = 2_500;
 
-/** A running deployment: balancers in three zones, four map targets, two tile targets. */
+/** Starts a deployment: balancers in three zones, four map targets, two tile targets. */
 export function startModelDeployment(simulation: PacketSimulation, balancers = 3): void {
   simulation.configure(1, MODEL_ROUTES);
   for (let index = 0; index < balancers; index++) {
@@ -56,43 +56,43 @@
   }
 }
 
-/** One fault; it is undone after `length` milliseconds. */
+/** Injects a fault, which ends after `length` milliseconds. */
 type Fault = (
-  world: PacketSimulation,
+  simulation: PacketSimulation,
   balancer: PacketSimulationBalancer,
   agent: PacketSimulationAgent,
   length: number,
 ) => void;
 
 const FAULTS: readonly Fault[] = [
-  (world, balancer, _agent, length) => {
+  (simulation, balancer, _agent, length) => {
     balancer.process.kill();
-    world.clock.schedule(length, () => world.startBalancer(balancer));
+    simulation.clock.schedule(length, () => simulation.startBalancer(balancer));
   },
-  (world, _balancer, agent, length) => {
+  (simulation, _balancer, agent, length) => {
     agent.process.kill();
-    world.clock.schedule(length, () => world.startAgent(agent));
+    simulation.clock.schedule(length, () => simulation.startAgent(agent));
   },
-  (world, balancer, _agent, length) => {
+  (simulation, balancer, _agent, length) => {
     balancer.process.freeze();
-    world.clock.schedule(length, () => balancer.process.resume());
+    simulation.clock.schedule(length, () => balancer.process.resume());
   },
-  (world, balancer, agent, length) => {
+  (simulation, balancer, agent, length) => {
     const cut = { from: agent.name, to: balancer.name };
-    world.network.cut(cut);
-    world.clock.schedule(length, () => world.network.heal(cut));
+    simulation.network.cut(cut);
+    simulation.clock.schedule(length, () => simulation.network.heal(cut));
   },
-  (world, _balancer, _agent, length) => {
-    world.store.isDown = true;
-    world.clock.schedule(length, () => (world.store.isDown = false));
+  (simulation, _balancer, _agent, length) => {
+    simulation.store.isDown = true;
+    simulation.clock.schedule(length, () => (simulation.store.isDown = false));
   },
-  (world) => world.store.compactHistory(),
-  (world, balancer, _agent, length) => {
-    world.store.evacuate(balancer.zone);
-    world.clock.schedule(length, () => world.store.cancelEvacuation(balancer.zone));
+  (simulation) => simulation.store.compactHistory(),
+  (simulation, balancer, _agent, length) => {
+    simulation.store.evacuate(balancer.zone);
+    simulation.clock.schedule(length, () => simulation.store.cancelEvacuation(balancer.zone));
   },
-  (world, _balancer, agent) => void world.startTarget(agent),
-  (world) => world.configure(Math.ceil(world.clock.now), MODEL_ROUTES),
+  (simulation, _balancer, agent) => void simulation.startTarget(agent),
+  (simulation) => simulation.configure(Math.ceil(simulation.clock.now), MODEL_ROUTES),
 ];
 
 function injectFault(simulation: PacketSimulation): void {
@@ -108,7 +108,7 @@
   fault(simulation, balancer, agent, length);
 }
 
-/** Runs the scenario with one seed and returns the world as it ended. */
+/** Runs the scenario with a seed and returns the simulation at its end. */
 export function runRandomFaults(seed: number): PacketSimulation {
   const simulation = new PacketSimulation(seed);
   startModelDeployment(simulation);
@@ -122,7 +122,7 @@
   return simulation;
 }
 
-/** Number of promises that a run has seen broken. */
+/** Counts the violations found in a run. */
 export function countViolations({ violations }: PacketSimulation): number {
   return Object.values(violations).reduce((sum, list: string[]) => sum + list.length, 0);
 }
--- a/test/support/violations.ts
+++ b/test/support/violations.ts
@@ -1,4 +1,4 @@
-/** What the judge of a world has noted when no promise was broken. */
+/** Violations of a packet simulation in which no invariant was violated. */
 import type { InvariantViolations } from '../../src/simulation/packets/packet-invariant-checker';
 
 export const NO_VIOLATIONS: InvariantViolations = {
