--- a/src/simulation/baselines.ts
+++ b/src/simulation/baselines.ts
@@ -1,7 +1,7 @@
 /**
- * The ways of routing that hallhold is compared with: a stateless consistent hash,
- * and the same with a connection table in each balancer. In both, any agent hosts
- * whatever flow reaches it.
+ * Routing designs that hallhold is compared with: a stateless consistent hash, and the
+ * same hash with a connection table in each balancer. In both, an agent hosts every
+ * flow that reaches it.
  */
 import type { RoutingFactory } from '../balancer/balancer-node';
 import type { FlowRouting } from '../balancer/flow-routing';
@@ -11,13 +11,13 @@
 import type { ServiceTable } from '../core/table';
 import type { Endpoint } from '../environment';
 
-/** Ways of routing and placing that a simulation can run. */
+/** Routing and placement designs that a simulation can run. */
 export const DESIGNS = ['hallhold', 'hash', 'hash-and-table', 'oracle'] as const;
 export type Design = (typeof DESIGNS)[number];
 
 const SCORE_RANGE = 2 ** 32;
 
-/** Weighted rendezvous hashing of each flow over the targets that serve. */
+/** Weighted rendezvous hashing of flows over the serving targets. */
 class HashRouting implements FlowRouting {
   protected hosts: readonly (FlowHost & { readonly share: number })[] = [];
 
@@ -45,7 +45,7 @@
   }
 
   recordHost(): void {
-    // A stateless hash learns nothing.
+    // Stateless: hosts are computed, not recorded.
   }
 
   invalidate(table: ServiceTable | undefined): void {
@@ -55,7 +55,7 @@
   }
 }
 
-/** The hash, but a balancer keeps what it once chose for a flow. */
+/** The same hash, but a balancer stores its first choice for each flow. */
 class HashAndTableRouting extends HashRouting {
   private readonly table = new Map<Endpoint, FlowHost>();
 
@@ -76,7 +76,7 @@
   }
 }
 
-/** The routing of a design; undefined for hallhold's own. */
+/** Returns the routing factory of a design; undefined for hallhold's own routing. */
 export function createRoutingFactory(design: Design): RoutingFactory | undefined {
   switch (design) {
     case 'hash':
@@ -88,7 +88,7 @@
   }
 }
 
-/** True for designs in which an agent hosts whatever reaches it. */
+/** Whether agents of a design host every flow that reaches them. */
 export function hostsAnyFlow(design: Design): boolean {
   return design === 'hash' || design === 'hash-and-table';
 }
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -1,11 +1,11 @@
-/** What can befall a simulated world. Each fault is an action now, with its end scheduled. */
+/** Faults of a simulation. Each one takes effect at once and schedules its own end. */
 import type { TableRow } from '../core/table';
 import { CALLER_ZONE, type NetworkCut } from './simulated-network';
 import type { SimulatedBalancer } from './simulated-balancer';
 import type { SimulatedTarget } from './simulated-target';
 import type { Simulation } from './simulation';
 
-/** Names of faults, as reports count them. */
+/** Names of faults, as counted in reports. */
 export type FaultName =
   | 'balancer-kill'
   | 'balancer-freeze'
@@ -34,14 +34,14 @@
 
 const PLANNED_STOP_DELAY_MS = 1_000;
 
-/** Faults acting on one world, counted. */
+/** Injects faults into one simulation and counts them. */
 export class FaultInjector {
   readonly counts = new Map<FaultName, number>();
   private writeCount = 0;
 
   constructor(private readonly simulation: Simulation) {}
 
-  /** Applies a fault now; `duration` in milliseconds for those that end. */
+  /** Injects a fault now; `duration` is in milliseconds, ignored by faults without an end. */
   apply(name: FaultName, duration: number): void {
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
     FAULT_ACTIONS[name](this, duration);
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Leaves the fabric, forwards until quiet, ends; a fresh one takes its place. */
+  /** Withdraws from the fabric, forwards for a while, stops; a new balancer replaces it. */
   restartBalancerGracefully(duration: number): void {
     const balancer = this.pickBalancer();
     if (!balancer) {
@@ -138,7 +138,7 @@
     });
   }
 
-  /** Hands everything over to a successor in one step. */
+  /** Hands all state over to a successor in one step. */
   restartAgentGracefully(): void {
     const target = this.pickTarget();
     if (target) {
@@ -197,7 +197,7 @@
     });
   }
 
-  /** Acts once the store has answered for the reaction time without a break. */
+  /** Runs the action once the store has been up for the reaction time without interruption. */
   private runWhenStoreReadable(readableFor: number, action: () => void): void {
     if (readableFor >= MACHINE_LIST_REACTION_TIME_MS) {
       action();
@@ -234,10 +234,10 @@
     const others = zones.filter((zone) => zone !== from);
     const outbound = others.map((to) => ({ from, to }));
     const inbound = bothWays ? others.map((to) => ({ from: to, to: from })) : [];
-    this.cut([...outbound, ...inbound], duration);
+    this.cutNetwork([...outbound, ...inbound], duration);
   }
 
-  /** Cuts one target's machine off from everything, callers included. */
+  /** Cuts one target's machine off from all zones and from callers. */
   cutTarget(duration: number): void {
     const target = this.pickTarget();
     if (!target) {
@@ -266,7 +266,7 @@
     this.schedule(duration, () => (this.simulation.store.faults.slowness = 0));
   }
 
-  /** Writes take effect while their answers are lost; one is made at once. */
+  /** Store writes take effect but their answers are lost; submits one edit at once. */
   dropStoreAnswers(duration: number): void {
     this.simulation.store.faults.lostAnswers = 1;
     this.editShare(this.simulation.random.pick([1, 2, 3]));
@@ -296,7 +296,7 @@
     });
   }
 
-  /** Takes a target's row out of the table and puts it back later. */
+  /** Removes a target's row from the table and restores it after `duration`. */
   removeRow(duration: number): void {
     const target = this.pickTarget();
     const acceptor = this.pickBalancer();
@@ -336,7 +336,7 @@
     }
   }
 
-  /** A table is accepted, and its acceptor and the store die in the next moment. */
+  /** Stops the acceptor and the store immediately after a table is accepted. */
   killAcceptorAndStore(duration: number): void {
     const target = this.pickTarget();
     const acceptor = this.pickBalancer();
@@ -363,7 +363,7 @@
     this.simulation.editTable(target.service.name, changeRows, acceptor, this.createWriteId());
   }
 
-  private cut(cuts: readonly NetworkCut[], duration: number): void {
+  private cutNetwork(cuts: readonly NetworkCut[], duration: number): void {
     this.simulation.monitor.recordNetworkFault();
     cuts.forEach((cut) => this.simulation.network.cut(cut));
     this.schedule(duration, () => {
@@ -394,7 +394,7 @@
   }
 }
 
-/** The machine list lags, is polled, and its notice must reach the agent. */
+/** Covers the lag of the machine list, its polling interval and the notice to the agent. */
 const MACHINE_LIST_REACTION_TIME_MS = 5_500;
 const STORE_CHECK_INTERVAL_MS = 100;
 
@@ -427,10 +427,10 @@
   'acceptor-and-store-die': (faults, duration) => faults.killAcceptorAndStore(duration),
 };
 
-/** Every fault there is. */
+/** Names of all faults. */
 export const FAULT_NAMES = Object.keys(FAULT_ACTIONS) as FaultName[];
 
-/** Changes that operators and platform make on purpose. */
+/** Planned changes by operators and the platform. */
 export const PLANNED_CHANGES: readonly FaultName[] = [
   'balancer-planned-restart',
   'agent-planned-restart',
--- a/src/simulation/invariant-checkers.ts
+++ b/src/simulation/invariant-checkers.ts
@@ -1,6 +1,6 @@
-/** The users' eight promises as checkers; each counts what it judged and what broke. */
+/** Checkers of the eight invariants guaranteed to users; each counts checks and violations. */
 
-/** Names of the checkers, as reports carry them. */
+/** Names of the invariants, as printed in reports. */
 export const CHECKER_NAMES = [
   'established-flow-survives-planned-change',
   'right-service-only',
@@ -16,42 +16,42 @@
 
 const MAXIMUM_EXAMPLES = 5;
 
-/** Outcome of one checker. */
+/** Result of one checker. */
 export interface CheckerOutcome {
   readonly judged: number;
   readonly violations: number;
-  /** The first few violations, in words. */
+  /** Descriptions of the first few violations. */
   readonly examples: readonly string[];
 }
 
-/** Collects judgements. */
+/** Collects checks and violations by invariant. */
 export class InvariantCheckers {
-  private readonly judged = new Map<CheckerName, number>();
+  private readonly checked = new Map<CheckerName, number>();
   private readonly violations = new Map<CheckerName, string[]>();
 
-  /** Notes cases that a checker judged. */
+  /** Records a number of checked cases. */
   recordChecks(name: CheckerName, cases = 1): void {
-    this.judged.set(name, (this.judged.get(name) ?? 0) + cases);
+    this.checked.set(name, (this.checked.get(name) ?? 0) + cases);
   }
 
-  /** Notes a violation. */
+  /** Records a violation. */
   recordViolation(name: CheckerName, description: string): void {
     const descriptions = this.violations.get(name) ?? [];
     descriptions.push(description);
     this.violations.set(name, descriptions);
   }
 
-  /** Violations of all checkers. */
+  /** Number of violations of all invariants. */
   get totalViolations(): number {
     return [...this.violations.values()].reduce((sum, list) => sum + list.length, 0);
   }
 
-  /** Every checker's outcome, those that judged nothing too. */
+  /** Returns the result of every checker, including those that checked nothing. */
   listOutcomes(): Record<CheckerName, CheckerOutcome> {
     const entries = CHECKER_NAMES.map((name) => {
       const violations = this.violations.get(name) ?? [];
       const outcome = {
-        judged: this.judged.get(name) ?? 0,
+        judged: this.checked.get(name) ?? 0,
         violations: violations.length,
         examples: violations.slice(0, MAXIMUM_EXAMPLES),
       };
--- a/src/simulation/run-simulation.ts
+++ b/src/simulation/run-simulation.ts
@@ -1,4 +1,4 @@
-/** Runs one scenario in one world and reports what was judged. */
+/** Runs one scenario in one simulation and reports the results of its invariant checks. */
 import type { SafeguardName } from '../agent/safeguards';
 import { withBeacon, type Deployment } from '../standins/deployments';
 import type { Design } from './baselines';
@@ -8,10 +8,10 @@
 import { Simulation } from './simulation';
 import type { ImbalanceSummary } from './simulation-monitor';
 
-/** Time for requests under way to end, after the last fault. */
+/** Time after the end of the scenario for requests in flight to finish. */
 const SETTLING_TIME_MS = 5_000;
 
-/** What to run. */
+/** Parameters of one simulation run. */
 export interface SimulationRequest {
   readonly scenario: Scenario;
   readonly deployment: Deployment;
@@ -21,7 +21,7 @@
   readonly trace?: (line: string) => void;
 }
 
-/** The report; the shape of the JSON line. */
+/** Report of one run; also the shape of the JSON line. */
 export interface SimulationReport {
   readonly scenario: string;
   readonly deployment: string;
@@ -49,7 +49,7 @@
   readonly digest: string;
 }
 
-/** Runs a simulation to its end. */
+/** Runs a simulation to its end and returns the report. */
 export function runSimulation(request: SimulationRequest): SimulationReport {
   const { scenario, deployment, seed, design, without, trace } = request;
   const simulation = new Simulation({
@@ -75,7 +75,7 @@
   return createReport(request, simulation, faults, digest);
 }
 
-/** Violations of all checkers in a report. */
+/** Sums the violations of all checkers in a report. */
 export function countViolations(report: SimulationReport): number {
   return Object.values(report.violations).reduce((sum, count) => sum + count, 0);
 }
@@ -86,8 +86,8 @@
   faults: FaultInjector,
   digest: string,
 ): SimulationReport {
-  const { statistics, record, monitor: watcher } = simulation;
-  const outcomes = Object.entries<CheckerOutcome>(watcher.checkers.listOutcomes());
+  const { statistics, record, monitor } = simulation;
+  const outcomes = Object.entries<CheckerOutcome>(monitor.checkers.listOutcomes());
   return {
     scenario: request.scenario.name,
     deployment: request.deployment.name,
@@ -95,13 +95,15 @@
     design: request.design,
     without: request.without,
     faults: Object.fromEntries(faults.counts),
-    violations: Object.fromEntries(outcomes.map(([name, one]) => [name, one.violations])),
-    checked: Object.fromEntries(outcomes.map(([name, one]) => [name, one.judged])),
-    examples: outcomes.flatMap(([name, one]) => one.examples.map((text) => `${name}: ${text}`)),
+    violations: Object.fromEntries(outcomes.map(([name, outcome]) => [name, outcome.violations])),
+    checked: Object.fromEntries(outcomes.map(([name, outcome]) => [name, outcome.judged])),
+    examples: outcomes.flatMap(([name, outcome]) =>
+      outcome.examples.map((text) => `${name}: ${text}`),
+    ),
     flowsOpened: statistics.flowsOpened,
     flowsBroken: statistics.flowsBroken,
-    imbalance: watcher.summarizeImbalance(),
-    busyImbalance: watcher.summarizeBusyImbalance(),
+    imbalance: monitor.summarizeImbalance(),
+    busyImbalance: monitor.summarizeBusyImbalance(),
     requestsSent: statistics.requestsSent,
     answersWhole: statistics.answersWhole,
     refusedNotRun: statistics.refusedNotRun,
@@ -109,8 +111,8 @@
     unanswered: statistics.unanswered,
     doubled: record.doubled().length,
     latencyMs: statistics.latencies(),
-    controlBytesPerNodePerSecond: watcher.computeControlBytesPerNodePerSecond(),
-    tableSecondsToAll: watcher.computeTableSecondsToAll(),
+    controlBytesPerNodePerSecond: monitor.computeControlBytesPerNodePerSecond(),
+    tableSecondsToAll: monitor.computeTableSecondsToAll(),
     virtualSeconds: simulation.clock.now / 1_000,
     digest,
   };
--- a/src/simulation/scenarios.ts
+++ b/src/simulation/scenarios.ts
@@ -1,19 +1,19 @@
-/** Named scenarios: which faults come when. */
+/** Named scenarios: schedules of faults. */
 import { FAULT_NAMES, PLANNED_CHANGES, type FaultName } from './faults';
 import type { SeededRandom } from './seeded-random';
 
-/** One fault of a schedule; milliseconds after the callers started. */
+/** One fault of a schedule; times in milliseconds, `at` counted from the start of the callers. */
 export interface ScheduledFault {
   readonly at: number;
   readonly name: FaultName;
   readonly duration: number;
 }
 
-/** A scenario draws its schedule from the seed. */
+/** A named scenario; its schedule is drawn from the seed. */
 export interface Scenario {
   readonly name: string;
   readonly description: string;
-  /** Milliseconds that callers run. */
+  /** Run time of the callers, in milliseconds. */
   readonly length: number;
   drawSchedule(random: SeededRandom): ScheduledFault[];
 }
@@ -62,7 +62,7 @@
 
 const EVERYTHING: Scenario = {
   name: 'everything',
-  description: 'faults at random, together and twice',
+  description: 'random faults that may overlap, one of them injected twice',
   length: SCENARIO_LENGTH_MS,
   drawSchedule: (random) => {
     const drawn = drawFaults(random, FAULT_NAMES, EVERYTHING_FAULT_COUNT);
@@ -71,7 +71,7 @@
   },
 };
 
-/** Every scenario. */
+/** All scenarios. */
 export const SCENARIOS: readonly Scenario[] = [
   QUIET,
   PLANNED,
@@ -79,7 +79,7 @@
   ...FAULT_NAMES.map(createSingleFaultScenario),
 ];
 
-/** A scenario by name. */
+/** Finds a scenario by name. */
 export function findScenario(name: string): Scenario | undefined {
   return SCENARIOS.find((scenario) => scenario.name === name);
 }
--- a/src/simulation/simulation-monitor.ts
+++ b/src/simulation/simulation-monitor.ts
@@ -1,4 +1,4 @@
-/** Watches a simulated world and judges it by the users' promises. */
+/** Observes a simulation and checks the invariants guaranteed to users. */
 import type { TableRow } from '../core/table';
 import { isTransferContinuation, isRequest, parseCoap, getUriPath } from '../coap/coap-message';
 import type { CallerObserver } from '../standins/caller-statistics';
@@ -8,13 +8,13 @@
 import type { Simulation } from './simulation';
 
 const SAMPLE_INTERVAL_MS = 100;
-/** A leaving back end may get new work for so long: "a few seconds". */
+/** A leaving back end may get new work for this long: "a few seconds" in the guarantee. */
 const LEAVING_GRACE_MS = 4_000;
-/** An accepted table must be in force everywhere within this. */
+/** An accepted table must be active on all balancers within this time. */
 const TABLE_ACTIVATION_LIMIT_MS = 4_000;
-/** A balancer that started, thawed or was cut off within this is not judged on a table. */
+/** Tables are not checked on balancers that started, resumed or were cut off within this time. */
 const BALANCER_GRACE_MS = 8_000;
-/** An unplanned fault may still show in what callers see after this long. */
+/** Callers may see effects of an unplanned fault for this long. */
 const FAULT_GRACE_MS = 45_000;
 
 interface AcceptedTable {
@@ -22,7 +22,7 @@
   readonly revision: number;
   readonly acceptedAt: number;
   isChecked: boolean;
-  /** Milliseconds from acceptance until every judged balancer had it. */
+  /** Milliseconds from acceptance until every checked balancer had it. */
   propagationTime: number | undefined;
 }
 
@@ -32,13 +32,13 @@
   readonly p99: number;
 }
 
-/** The watcher of one world. */
+/** Monitor of one simulation. */
 export class SimulationMonitor implements CallerObserver {
   readonly checkers = new InvariantCheckers();
   private readonly acceptedTables: AcceptedTable[] = [];
   private readonly imbalances = new Map<string, number[]>();
   private readonly busyImbalances = new Map<string, number[]>();
-  /** Since when a target is leaving. */
+  /** Time at which a target began to leave, by label. */
   private readonly leavingSince = new Map<string, number>();
   private readonly highestRevisions = new Map<string, number>();
   private readonly lastFaultAt = new Map<string, number>();
@@ -49,14 +49,14 @@
 
   constructor(private readonly simulation: Simulation) {}
 
-  /** Begins to sample. */
+  /** Starts periodic sampling. */
   start(): void {
     this.startedAt = this.simulation.clock.now;
     this.controlBytesAtStart = this.simulation.countControlBytes();
     this.sample();
   }
 
-  /** An unplanned fault begins or ends; `target` or `balancer` is what it touches, if one. */
+  /** Records the start or end of an unplanned fault and the target or balancer it affects. */
   recordUnplannedFault(affected?: SimulatedTarget | SimulatedBalancer): void {
     this.lastUnplannedFaultAt = this.simulation.clock.now;
     if (affected) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Every balancer is disturbed, as by a cut between zones. */
+  /** Records a fault that affects all balancers and targets, such as a zone partition. */
   recordNetworkFault(): void {
     this.lastUnplannedFaultAt = this.simulation.clock.now;
     this.simulation.balancers.forEach((balancer) =>
@@ -76,19 +76,19 @@
     this.simulation.targets.forEach((target) => (target.lastFaultAt = this.simulation.clock.now));
   }
 
-  /** A target shows a sign of leaving. */
+  /** Records that a target begins to leave. */
   recordLeaving(target: SimulatedTarget): void {
     if (!this.leavingSince.has(target.label)) {
       this.leavingSince.set(target.label, this.simulation.clock.now);
     }
   }
 
-  /** A target no longer leaves. */
+  /** Records that a target is no longer leaving. */
   recordReturn(target: SimulatedTarget): void {
     this.leavingSince.delete(target.label);
   }
 
-  /** A datagram reached a back end. */
+  /** Checks a datagram that reached a back end. */
   recordBackendDatagram(target: SimulatedTarget, datagram: Buffer): void {
     const parsed = parseCoap(datagram);
     if (target.service.protocol !== 'coap' || parsed.none || !isRequest(parsed.val)) {
@@ -107,19 +107,19 @@
     if (late > LEAVING_GRACE_MS && !this.hasRecentFault(target)) {
       this.checkers.recordViolation(
         'leaving-gets-no-new-work',
-        `${target.label} got ${path} ${late.toFixed(0)} ms after its sign of leaving`,
+        `${target.label} got ${path} ${late.toFixed(0)} ms after it began to leave`,
       );
     }
   }
 
-  /** Calls back once, in the moment in which the next table is accepted. */
+  /** Calls back once, at the time the next table is accepted. */
   onNextAcceptance(action: () => void): void {
     this.nextAcceptanceAction = action;
   }
 
   /**
-   * An edit is submitted: from now on it may be in force, so targets that it brings
-   * back are no longer judged as leaving. Returns the way to undo that for a refused edit.
+   * Records a submitted edit: it may be active from now on, so targets that it restores
+   * no longer count as leaving. Returns a function that undoes this for a refused edit.
    */
   recordTableSubmitted(service: string, rows: readonly TableRow[]): () => void {
     const before = new Map(this.leavingSince);
@@ -131,7 +131,7 @@
     return () => this.restoreLeaving(service, before);
   }
 
-  /** After a refused edit: targets that the store's table does not serve are leaving as before. */
+  /** After a refused edit, marks targets without a share in the stored table as leaving again. */
   private restoreLeaving(service: string, before: ReadonlyMap<string, number>): void {
     const rows = this.simulation.store.read(service)?.table.rows ?? [];
     for (const target of this.simulation.listTargets(service)) {
@@ -186,12 +186,12 @@
     this.checkers.recordViolation('whole-answer-to-own-request', what);
   }
 
-  /** A planned stop begins. */
+  /** Records the start of a planned stop. */
   recordPlannedStop(): void {
     this.checkers.recordChecks('planned-stop-cuts-nothing');
   }
 
-  /** Judges what can only be judged at the end. */
+  /** Runs the checks that need the whole run. */
   runFinalChecks(): void {
     const { statistics, record } = this.simulation;
     this.checkers.recordChecks('established-flow-survives-planned-change', statistics.flowsOpened);
@@ -229,7 +229,7 @@
     return (this.simulation.countControlBytes() - this.controlBytesAtStart) / nodes / seconds;
   }
 
-  /** Longest time an accepted table took to reach every judged balancer, in seconds. */
+  /** Maximum time for an accepted table to reach every checked balancer, in seconds. */
   computeTableSecondsToAll(): number {
     const later = this.acceptedTables.filter((table) => table.acceptedAt > this.startedAt);
     const times = later.map((table) => table.propagationTime ?? 0);
@@ -244,7 +244,7 @@
     this.simulation.clock.schedule(SAMPLE_INTERVAL_MS, () => this.sample());
   }
 
-  /** Each target that has been leaving beyond the grace is one case. */
+  /** Counts one case for each target whose grace period has just ended. */
   private checkLeaving(): void {
     for (const since of this.leavingSince.values()) {
       const beyond = this.simulation.clock.now - since - LEAVING_GRACE_MS;
@@ -305,14 +305,17 @@
       });
   }
 
-  /** No balancer's table ever goes back while it runs. */
+  /** Checks that table revisions never decrease while a balancer runs. */
   private checkRevisions(): void {
     for (const balancer of this.simulation.listRunningBalancers()) {
       for (const table of balancer.node.distribution.cache.listTables()) {
         const key = `${balancer.name}@${balancer.startedAt}/${table.service}`;
         const seen = this.highestRevisions.get(key) ?? 0;
         if (table.revision < seen) {
-          this.checkers.recordViolation('accepted-table-in-force', `${key} went back from ${seen}`);
+          this.checkers.recordViolation(
+            'accepted-table-in-force',
+            `${key} went back from revision ${seen}`,
+          );
         }
         this.highestRevisions.set(key, table.revision);
       }
@@ -343,7 +346,7 @@
     }
   }
 
-  /** Balancers that run undisturbed. */
+  /** Running balancers without a recent start or fault. */
   private listCheckedBalancers(): SimulatedBalancer[] {
     const { now } = this.simulation.clock;
     return this.simulation.listRunningBalancers().filter((balancer) => {
@@ -365,7 +368,7 @@
   }
 }
 
-/** Largest over mean of amount per weight; undefined when there is nothing. */
+/** Maximum over mean of amount per weight; undefined when either sum is 0. */
 function computeLargestOverMean(loads: readonly (readonly [number, number])[]): number | undefined {
   const amount = loads.reduce((sum, [value]) => sum + value, 0);
   const weight = loads.reduce((sum, [, each]) => sum + each, 0);
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment in virtual time: store, balancers, targets, fabric, callers,
- * with the real node classes. Faults act on it; checkers watch it.
+ * Simulates a deployment in virtual time with the real node classes: store, balancers,
+ * targets, fabric and callers. Faults are injected; a monitor checks the invariants.
  */
 import { createHash } from 'node:crypto';
 import { chooseTarget, type PlacementCandidate } from '../core/placement';
@@ -30,7 +30,7 @@
 
 const CALLER_PORT = 40_000;
 const MACHINE_LIST_LAG_MS = 3_000;
-/** The fabric goes on spraying at a balancer that died for so long. */
+/** The fabric still sends to a dead balancer for this long. */
 const FABRIC_LAG_MS = 1_500;
 const FEED_TIMEOUT_MS = 20_000;
 const REPORT_INTERVAL_MS = 2_000;
@@ -39,25 +39,25 @@
 const FLOW_IDLE_TIMEOUT_MS = 30_000;
 const ARRIVALS_PER_SECOND = 3;
 const MEAN_SHORT_FLOW_LENGTH_MS = 10_000;
-/** Part of the new callers that come from the address of one that has ended. */
+/** Fraction of new callers that reuse the address of a caller that has ended. */
 const REUSED_ADDRESS_FRACTION = 0.2;
-/** Pareto shape of flow lengths: below 2, a few flows are very long. */
+/** Pareto shape of flow lengths; below 2 the variance is infinite, so a few are very long. */
 const FLOW_LENGTH_SHAPE = 1.5;
 const FIRST_INCARNATION = 1_000;
-/** The key of all simulated nodes; tests forge frames with it. */
+/** Key of all simulated nodes; exported for tests that forge frames. */
 export const SIMULATION_KEY = { id: 1, secret: Buffer.from('simulation-cluster-key') };
 
-/** What a world is made of. */
+/** Options of a simulation. */
 export interface SimulationOptions {
   readonly deployment: Deployment;
   readonly seed: number;
   readonly design: Design;
   readonly without: readonly SafeguardName[];
-  /** Receives one line for each event and delivery; absent for no trace. */
+  /** Receives one line per event; no trace if absent. */
   readonly trace?: (line: string) => void;
 }
 
-/** The simulated deployment. */
+/** A simulated deployment. */
 export class Simulation {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -73,12 +73,12 @@
   private readonly callers = new Set<Caller>();
   private readonly callerProcess: SimulatedProcess;
   private readonly targetDependencies: SimulatedTargetDependencies;
-  /** Balancers that the fabric sprays over. */
+  /** Names of the balancers among which the fabric distributes datagrams. */
   private readonly activeBalancers = new Set<string>();
   private lastIncarnation = FIRST_INCARNATION;
   private callerCount = 0;
   private isFinished = false;
-  /** Endpoints of callers that have ended, free to be used again. */
+  /** Endpoints of callers that have ended, free for reuse. */
   private readonly freeEndpoints: Endpoint[] = [];
 
   constructor(readonly options: SimulationOptions) {
@@ -94,7 +94,7 @@
     this.callerProcess = this.createProcess(CALLER_ZONE, CALLER_ZONE, CALLER_ZONE);
   }
 
-  /** Starts balancers, targets and the first tables; runs until flows can be admitted. */
+  /** Starts balancers and targets, writes the initial tables, runs until flows are admitted. */
   start(): void {
     this.createBalancers();
     this.createTargets();
@@ -131,9 +131,9 @@
   }
 
   /**
-   * Opens feeds at random for as long as the world runs, each for a skewed length.
+   * Opens feeds with exponential inter-arrival times and Pareto lengths until the end.
    * @param perSecond new flows a second
-   * @param meanLength mean milliseconds of a flow
+   * @param meanLength mean length of a flow in milliseconds
    */
   startArrivals(service: DeployedService, perSecond: number, meanLength: number): void {
     const wait = this.random.exponential(1_000 / perSecond);
@@ -145,7 +145,7 @@
     });
   }
 
-  /** Adds one caller of a service, on a new endpoint unless one is given. */
+  /** Adds a caller of a service, on a new endpoint by default. */
   addCaller(
     service: string,
     create: (surroundings: CallerSurroundings) => Caller,
@@ -163,25 +163,25 @@
     return caller;
   }
 
-  /** Runs until a time; stops nothing. */
+  /** Advances virtual time to `time`, in milliseconds; stops nothing. */
   runUntil(time: number): void {
     this.clock.runUntil(time);
   }
 
-  /** Stops the callers and lets what is under way end. */
+  /** Stops the callers and returns the digest of all deliveries. */
   finish(): string {
     this.isFinished = true;
     this.callers.forEach((caller) => caller.stop());
     return this.digest.digest('hex');
   }
 
-  /** Starts a balancer; the fabric sprays at it once it is ready. */
+  /** Starts a balancer; the fabric sends to it once it is ready. */
   startBalancer(balancer: SimulatedBalancer): void {
     balancer.start();
     this.activateWhenReady(balancer);
   }
 
-  /** Takes a balancer out of the fabric: at once when planned, after a lag when it died. */
+  /** Withdraws a balancer from the fabric: at once when planned, else after the fabric's lag. */
   withdraw(balancer: SimulatedBalancer, planned: boolean): void {
     this.clock.schedule(planned ? 0 : FABRIC_LAG_MS, () => {
       if (planned || !balancer.isRunning) {
@@ -190,7 +190,7 @@
     });
   }
 
-  /** Puts a balancer that woke back into the fabric. */
+  /** Returns a resumed balancer to the fabric. */
   readmit(balancer: SimulatedBalancer): void {
     this.activateWhenReady(balancer);
   }
@@ -205,7 +205,7 @@
     }
   }
 
-  /** An operator edits a service's rows through a balancer. */
+  /** Submits an operator's edit of a service's rows to a balancer. */
   editTable(
     service: string,
     change: (rows: readonly TableRow[]) => TableRow[],
@@ -235,7 +235,7 @@
     return this.balancers.filter((balancer) => balancer.isRunning);
   }
 
-  /** Control bytes sent by all nodes that run now. */
+  /** Control bytes sent by the current incarnations of all nodes. */
   countControlBytes(): number {
     const balancers = this.balancers.map((one) => one.node.statistics.controlBytesSent);
     const agents = this.targets.map((one) => one.agent.statistics.controlBytesSent);
@@ -254,7 +254,7 @@
     );
   }
 
-  /** Writes a line to the trace, if there is one. */
+  /** Writes a line with the virtual time to the trace, if enabled. */
   writeTrace(line: string): void {
     this.options.trace?.(`${this.clock.now.toFixed(3)} ${line}`);
   }
@@ -280,7 +280,7 @@
     }
   }
 
-  /** Adds a target on a machine; it is not started. */
+  /** Adds a target on a machine without starting it. */
   createTarget(
     service: DeployedService,
     name: string,
@@ -320,7 +320,7 @@
     });
   }
 
-  /** Places on the fewest flows per share with every count known at once: the limit. */
+  /** Placement by flows per share with exact, current counts: the upper bound. */
   private createOracle(): PlacementPolicy {
     return (candidates, _owners, tieBreak) => {
       const exact = candidates.map((candidate) => this.replaceWithExactCount(candidate));
