--- a/src/simulation/seeded-random.ts
+++ b/src/simulation/seeded-random.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers, through pure-rand; the same seed gives the same sequence everywhere. */
+/** Seeded random numbers from pure-rand; a seed gives the same sequence on every platform. */
 import { xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 
 const UNSIGNED_RANGE = 2 ** 32;
@@ -26,7 +26,7 @@
     return -Math.log(1 - this.next()) * mean;
   }
 
-  /** One of the items, which must not be empty. */
+  /** Picks one item uniformly; `items` must not be empty. */
   pick<T>(items: readonly T[]): T {
     return items[Math.floor(this.next() * items.length)]!;
   }
--- a/src/simulation/simulated-balancer.ts
+++ b/src/simulation/simulated-balancer.ts
@@ -1,4 +1,4 @@
-/** One balancer in the simulation. */
+/** A balancer in the simulation. */
 import { BalancerNode, type RoutingFactory } from '../balancer/balancer-node';
 import { packEndpoint } from '../core/endpoint';
 import type { Endpoint } from '../environment';
@@ -11,7 +11,7 @@
 const FIRST_SERVICE_PORT = 5_683;
 const MAXIMUM_LEARNT_FLOWS = 10_000;
 
-/** What all balancers of a simulation share. */
+/** Dependencies shared by all balancers of a simulation. */
 export interface SimulatedBalancerDependencies {
   readonly network: SimulatedNetwork;
   readonly codec: FrameCodec;
@@ -23,13 +23,13 @@
   createIncarnation(): number;
 }
 
-/** A balancer and its process. */
+/** A balancer node with its simulated process. */
 export class SimulatedBalancer {
   readonly endpoint: Endpoint;
   node!: BalancerNode;
   process!: SimulatedProcess;
   startedAt = 0;
-  /** A planned stop is under way. */
+  /** A planned stop is in progress. */
   isStopping = false;
 
   constructor(
@@ -45,13 +45,13 @@
     return this.process.isRunning;
   }
 
-  /** Where this balancer receives a service's datagrams. */
+  /** Endpoint at which this balancer receives a service's datagrams. */
   getServiceEndpoint(service: string): Endpoint {
     const index = this.dependencies.serviceNames.indexOf(service);
     return packEndpoint(this.address, FIRST_SERVICE_PORT + index);
   }
 
-  /** Starts a fresh balancer with nothing in it. */
+  /** Starts a new balancer without state; kills the previous process. */
   start(): void {
     this.process?.kill();
     const { network, codec, store, routing, serviceNames } = this.dependencies;
--- a/src/simulation/simulated-network.ts
+++ b/src/simulation/simulated-network.ts
@@ -1,4 +1,4 @@
-/** The network of the simulation: delay by zone, loss, duplication, reordering, cuts. */
+/** Simulated network: delays by zone, loss, duplication, reordering and partitions. */
 import type { Endpoint } from '../environment';
 import type { SimulatedProcess } from './simulated-process';
 import type { SeededRandom } from './seeded-random';
@@ -8,25 +8,25 @@
 const SAME_ZONE_DELAY_MS = 0.2;
 const JITTER_FRACTION = 0.1;
 
-/** Zone name of callers. */
+/** Zone name used for callers. */
 export const CALLER_ZONE = 'callers';
 
-/** Disturbances that hold for all datagrams between machines; probabilities 0 to 1. */
+/** Impairments of all datagrams between machines; probabilities from 0 to 1. */
 export interface NetworkQuality {
   loss: number;
   duplication: number;
   reordering: number;
-  /** Milliseconds by which a reordered datagram is late, at most. */
+  /** Maximum additional delay of a reordered datagram, in milliseconds. */
   reorderDelay: number;
 }
 
-/** A direction in which nothing passes. Names are those of processes, machines or zones. */
+/** One-way partition. Ends are names of processes, machines or zones. */
 export interface NetworkCut {
   readonly from: string;
   readonly to: string;
 }
 
-/** One-way delays between places, in milliseconds. */
+/** One-way delays, in milliseconds. */
 export interface NetworkDelays {
   readonly zoneDelay: number;
   readonly callerDelay: number;
@@ -37,10 +37,10 @@
   readonly handler: (payload: Buffer, from: Endpoint) => void;
 }
 
-/** Told of every datagram delivered, for the digest and traces. */
+/** Called for every delivered datagram, for the digest and traces. */
 export type DeliveryObserver = (from: Endpoint, to: Endpoint, payload: Buffer) => void;
 
-/** Carries datagrams between bound endpoints. */
+/** Delivers datagrams between bound endpoints. */
 export class SimulatedNetwork {
   readonly quality: NetworkQuality = { loss: 0, duplication: 0, reordering: 0, reorderDelay: 0 };
   private readonly bindings = new Map<Endpoint, Binding>();
@@ -53,7 +53,7 @@
     private readonly onDelivery: DeliveryObserver,
   ) {}
 
-  /** Binds an endpoint; the last binding wins, as with an address that is given away. */
+  /** Binds an endpoint; the last binding wins, as when an address is reassigned. */
   bind(
     endpoint: Endpoint,
     process: SimulatedProcess,
@@ -62,7 +62,7 @@
     this.bindings.set(endpoint, { process, handler });
   }
 
-  /** Begins a cut; end it with {@link heal}. */
+  /** Starts a partition; {@link heal} ends it. */
   cut(cut: NetworkCut): void {
     this.cuts.add(cut);
   }
@@ -75,7 +75,7 @@
     return this.cuts.size > 0;
   }
 
-  /** Sends a datagram; what becomes of it is drawn here. */
+  /** Sends a datagram; loss, duplication and delay are drawn here. */
   send(sender: SimulatedProcess, from: Endpoint, to: Endpoint, payload: Buffer): void {
     const receiver = this.bindings.get(to)?.process;
     if (!receiver || this.isCut(sender, receiver)) {
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Whether a cut lies between two processes in this direction. */
+  /** Whether a partition blocks datagrams from sender to receiver. */
   isCut(sender: SimulatedProcess, receiver: SimulatedProcess): boolean {
     for (const { from, to } of this.cuts) {
       if (isLocatedAt(from, sender) && isLocatedAt(to, receiver)) {
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -1,19 +1,19 @@
-/** A process of the simulation: its environment, and what can befall it. */
+/** A simulated process: the environment of a node, which can be frozen or killed. */
 import type { Endpoint, Environment, TimerHandle } from '../environment';
 import type { EventFields, EventKind } from '../logging/events';
 import type { SeededRandom } from './seeded-random';
 import type { VirtualClock } from './virtual-clock';
 
-/** Datagrams that the socket of a frozen process holds. */
+/** A frozen process with this many postponed actions drops datagrams, as a full socket does. */
 const MAXIMUM_POSTPONED_ACTIONS = 512;
 
-/** Receives events of all processes. */
+/** Receives the log events of all processes. */
 export type EventSink = (process: string, event: EventKind, fields: EventFields) => void;
 
-/** One process; killed for good, or frozen for a while. */
+/** A process that can be killed permanently or frozen temporarily. */
 export class SimulatedProcess implements Environment {
   private state: 'running' | 'frozen' | 'dead' = 'running';
-  /** What came due while frozen, in order. */
+  /** Actions that came due while frozen, in order. */
   private postponed: (() => void)[] = [];
 
   constructor(
@@ -57,7 +57,7 @@
     this.eventSink(this.name, event, fields);
   }
 
-  /** Runs something now, or when the process wakes; never when it is dead. */
+  /** Runs an action now, or on resume if frozen; drops it if dead. */
   run(action: () => void): void {
     if (this.state === 'running') {
       action();
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Hands a datagram over; a frozen process keeps a bounded number for later. */
+  /** Delivers a datagram; a frozen process postpones it unless its queue is full. */
   deliver(
     handler: (payload: Buffer, from: Endpoint) => void,
     payload: Buffer,
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Wakes and does everything that came due meanwhile. */
+  /** Resumes and runs all postponed actions. */
   resume(): void {
     if (this.state !== 'frozen') {
       return;
@@ -95,7 +95,7 @@
     due.forEach((action) => this.run(action));
   }
 
-  /** Wakes after a delay and does `first` before anything that came due meanwhile. */
+  /** Resumes after a delay in milliseconds and runs `first` before all postponed actions. */
   resumeAfter(delay: number, first: () => void): void {
     this.postponed.unshift(first);
     this.clock.schedule(delay, () => this.resume());
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store in the simulation, with the faults of the brief. */
+/** Simulated platform store with outages, slow calls and lost answers. */
 import { Err, Ok } from 'ts-results';
 import type { TableDelta } from '../core/table-cache';
 import { HallholdError } from '../errors/hallhold-error';
@@ -24,23 +24,23 @@
 
 const CALL_TIMEOUT_MS = 2_000;
 const NORMAL_DELAY_MS = 5;
-/** A lost write takes effect up to so much later. */
+/** A write whose answer is lost takes effect up to this much later. */
 const MAXIMUM_LATE_WRITE_DELAY_MS = 1_500;
 
-/** What is wrong with the store now. */
+/** Active faults of the store. */
 export interface StoreFaults {
   down: boolean;
   /** Milliseconds added to every call. */
   slowness: number;
-  /** Part of the writes that take effect while their answer is lost. */
+  /** Fraction of writes that take effect but whose answer is lost, 0 to 1. */
   lostAnswers: number;
 }
 
-/** The store and its machine list. */
+/** The store with its machine list. */
 export class SimulatedStore {
   readonly objects = new ObjectStore();
   readonly faults: StoreFaults = { down: false, slowness: 0, lostAnswers: 0 };
-  /** Watches open now, by the name of the watching process. */
+  /** Closes an open watch, by name of the watching process. */
   readonly watchers = new Map<string, () => void>();
   private readonly machines = new Map<string, MachineRecord>();
 
@@ -50,7 +50,7 @@
     private readonly machineLag: number,
   ) {}
 
-  /** The port of one process. */
+  /** Creates the store port of one process. */
   createPort(process: SimulatedProcess): StorePort {
     return {
       list: (answer) => this.call(process, answer, () => this.list()),
@@ -61,7 +61,7 @@
     };
   }
 
-  /** Takes the store down, which breaks every watch, or brings it back. */
+  /** Stops the store, which closes every watch, or starts it again. */
   setDown(down: boolean): void {
     this.faults.down = down;
     if (down) {
@@ -69,12 +69,12 @@
     }
   }
 
-  /** Sets a machine's entry; the list shows it after its lag. */
+  /** Sets a machine's entry; it appears in the list after the list's lag. */
   setMachine(machine: MachineRecord): void {
     this.clock.schedule(this.machineLag, () => this.machines.set(machine.address, machine));
   }
 
-  /** A table as the store has it. */
+  /** Returns a service's table as stored. */
   read(service: string): StoredTable | undefined {
     const object = this.objects.get(service);
     return object && convertToStoredTable(tableResource.parse(object));
@@ -85,13 +85,13 @@
     return { fromRevision: 0, throughRevision: this.objects.revision, tables };
   }
 
-  private delay(): number {
+  private drawDelay(): number {
     return (NORMAL_DELAY_MS + this.faults.slowness) * (0.5 + this.random.next());
   }
 
-  /** Runs a read at the store and answers; a store that is down or slow answers by time-out. */
+  /** Runs a read and answers; the call times out when the store is down or too slow. */
   private call<T>(process: SimulatedProcess, answer: ResultCallback<T>, read: () => T): void {
-    const delay = this.delay();
+    const delay = this.drawDelay();
     if (this.faults.down || delay > CALL_TIMEOUT_MS) {
       this.timeOut(process, answer);
       return;
@@ -120,7 +120,7 @@
       return;
     }
     const delay =
-      this.delay() + (isAnswerLost ? this.random.next() * MAXIMUM_LATE_WRITE_DELAY_MS : 0);
+      this.drawDelay() + (isAnswerLost ? this.random.next() * MAXIMUM_LATE_WRITE_DELAY_MS : 0);
     if (isAnswerLost || delay > CALL_TIMEOUT_MS) {
       this.timeOut(process, answer);
       this.clock.schedule(delay, () => this.apply(write, expected));
@@ -138,7 +138,7 @@
     });
   }
 
-  /** The read and compare-and-set that the HTTP client does in two calls. */
+  /** Reads and compares-and-sets in one step; the HTTP client needs two calls for this. */
   private apply(write: TableWrite, expected: number): number | undefined {
     const current = this.read(write.service);
     if ((current?.table.revision ?? 0) !== expected) {
@@ -186,7 +186,9 @@
     };
     const breakWatch = (): void => {
       close();
-      process.run(() => ended(new HallholdError(ResultCodes.storeUnavailable, 'watch broken')));
+      process.run(() =>
+        ended(new HallholdError(ResultCodes.storeUnavailable, 'watch connection closed')),
+      );
     };
     const forwardEvent = (event: StoreEvent): void => {
       if (process.isDead) {
@@ -199,7 +201,7 @@
         tables: [convertToTable(tableResource.parse(event.object))],
       };
       lastRevision = event.revision;
-      // One delay for all keeps the stream in order.
+      // The same delay for all events keeps the stream in order.
       this.clock.schedule(NORMAL_DELAY_MS + this.faults.slowness, () => {
         process.run(() => isOpen && changed(delta));
       });
--- a/src/simulation/simulated-target.ts
+++ b/src/simulation/simulated-target.ts
@@ -1,4 +1,4 @@
-/** One target in the simulation: a machine with an agent and a back end beside it. */
+/** A target in the simulation: a machine that runs an agent and a back end. */
 import { AgentNode } from '../agent/agent-node';
 import { decodeSnapshot, encodeSnapshot } from '../agent/agent-snapshot';
 import type { AgentNodeSettings, PlacementPolicy } from '../agent/agent-context';
@@ -19,10 +19,10 @@
 const FLOW_PORT_COUNT = 40_000;
 const FEED_INTERVAL_MS = 1_000;
 const REQUEST_DEADLINE_MS = 5_000;
-/** Milliseconds that a hand-over takes. */
+/** Time from the predecessor's end until the successor resumes. */
 const HANDOVER_TIME_MS = 30;
 
-/** What all targets of a simulation share. */
+/** Dependencies shared by all targets of a simulation. */
 export interface SimulatedTargetDependencies {
   readonly network: SimulatedNetwork;
   readonly codec: FrameCodec;
@@ -32,22 +32,22 @@
   readonly hostsAnyFlow: boolean;
   readonly flowIdle: number;
   listBalancerEndpoints(): Endpoint[];
-  /** Creates a process on a machine. */
+  /** Creates a simulated process on a machine. */
   createProcess(name: string, zone: string, machine: string): SimulatedProcess;
-  /** A number that rises with every start. */
+  /** Returns a number that increases with every start. */
   createIncarnation(): number;
-  /** A request or flow begins at a back end. */
+  /** Called for every datagram that reaches a back end. */
   onBackendDatagram(target: SimulatedTarget, datagram: Buffer): void;
 }
 
-/** A target and its two processes. */
+/** A target with its agent and back-end processes. */
 export class SimulatedTarget {
   readonly endpoint: Endpoint;
   agent!: AgentNode;
   agentProcess!: SimulatedProcess;
   backend!: BackendStandin;
   backendProcess!: SimulatedProcess;
-  /** Time of the last unplanned fault that touched this target; -Infinity for none. */
+  /** Time of the last unplanned fault that affected this target; -Infinity for none. */
   lastFaultAt = -Infinity;
   private readonly backendEndpoint: Endpoint;
   private readonly agentBackendEndpoint: Endpoint;
@@ -76,7 +76,7 @@
     return this.agentProcess.isRunning && this.backendProcess.isRunning;
   }
 
-  /** Starts a fresh back end, and whatever ran there is gone. */
+  /** Starts a new back end; requests and flows of the previous one are lost. */
   startBackend(): void {
     this.backendProcess?.kill();
     this.backend?.stop();
@@ -108,14 +108,14 @@
     this.backendProcess = process;
   }
 
-  /** Starts a fresh agent with nothing in it. */
+  /** Starts a new agent without state. */
   startAgent(): void {
     this.agentProcess?.kill();
     this.createAgent(this.dependencies.createIncarnation());
     this.agent.start();
   }
 
-  /** Planned restart: a successor takes everything over; datagrams wait meanwhile. */
+  /** Planned restart: a successor takes over all state; datagrams are queued until it resumes. */
   handOver(): void {
     const predecessor = this.agentProcess;
     const snapshot = decodeSnapshot(encodeSnapshot(this.agent.handOver()));
--- a/src/simulation/virtual-clock.ts
+++ b/src/simulation/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: events run in order of time, then of scheduling. */
+/** Virtual time: events run in order of due time, then of scheduling. */
 import { Heap } from 'heap-js';
 import type { TimerHandle } from '../environment';
 
@@ -12,7 +12,7 @@
   return a.at - b.at || a.order - b.order;
 }
 
-/** The clock and event queue of one simulation; milliseconds. */
+/** Clock and event queue of one simulation; times in milliseconds. */
 export class VirtualClock {
   private readonly queue = new Heap<ScheduledEvent>(compareEvents);
   private currentTime = 0;
@@ -33,7 +33,7 @@
     return { cancel: () => (event.action = undefined) };
   }
 
-  /** Runs everything that is due until `time`, which becomes the present. */
+  /** Runs all events due up to `time` and advances the clock to it. */
   runUntil(time: number): void {
     for (let next = this.queue.peek(); next && next.at <= time; next = this.queue.peek()) {
       this.queue.pop();
