--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,4 +1,4 @@
-/** Scenarios on fixed seeds: no promise breaks, and what breaks without the design. */
+/** Scenarios on fixed seeds: no violations with the design, and violations without parts of it. */
 import test from 'ava';
 import type { SafeguardName } from '../src/agent/safeguards';
 import type { Design } from '../src/simulation/baselines';
@@ -11,7 +11,7 @@
 import { findScenario } from '../src/simulation/scenarios';
 import { DEPLOYMENTS } from '../src/standins/deployments';
 
-/** Lets ava hear of the tests before: each of these takes seconds without a pause. */
+/** Lets ava report earlier tests: each simulation blocks the event loop for seconds. */
 function yieldToRunner(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
@@ -26,62 +26,62 @@
 
 function simulate({
   scenario,
-  deployment: office,
+  deployment,
   seed,
   design,
   without,
 }: SimulationCase): SimulationReport {
   return runSimulation({
     scenario: findScenario(scenario)!,
-    deployment: DEPLOYMENTS[office],
+    deployment: DEPLOYMENTS[deployment],
     seed,
     design: design ?? 'hallhold',
     without: without ?? [],
   });
 }
 
-/** Seeds that once broke a promise, with what broke; each was mended at its cause. */
-const REGRESSIONS: readonly (SimulationCase & { readonly once: string })[] = [
+/** Seeds that once violated an invariant, with the failure; each was fixed at its cause. */
+const REGRESSIONS: readonly (SimulationCase & { readonly failure: string })[] = [
   {
     scenario: 'everything',
     deployment: 'map',
     seed: 21,
-    once: 'a refused POST ran from a frozen balancer',
+    failure: 'a refused POST ran from a frozen balancer',
   },
   {
     scenario: 'everything',
     deployment: 'map',
     seed: 5,
-    once: 'two hosts of one flow traded permits',
+    failure: 'two hosts of one flow traded permits',
   },
   {
     scenario: 'everything',
     deployment: 'porting',
     seed: 41,
-    once: 'balancers joined as two islands',
+    failure: 'balancers joined as two separate groups',
   },
   {
     scenario: 'everything',
     deployment: 'porting',
     seed: 37,
-    once: 'a thawed agent hosted a stale placement',
+    failure: 'a resumed agent hosted a stale placement',
   },
   {
     scenario: 'everything',
     deployment: 'porting',
     seed: 30,
-    once: 'a feed was given up after 5 s',
+    failure: 'a feed timed out after 5 s',
   },
   {
     scenario: 'everything',
     deployment: 'porting',
     seed: 99_120_457,
-    once: 'the checker judged a sign of leaving in a store that was down',
+    failure: 'the checker counted a target as leaving while the store was down',
   },
 ];
 
-for (const { once, ...run } of REGRESSIONS) {
-  test(`${run.scenario}, ${run.deployment} seed ${run.seed}: ${once}`, async (t) => {
+for (const { failure, ...run } of REGRESSIONS) {
+  test(`${run.scenario}, ${run.deployment} seed ${run.seed}: ${failure}`, async (t) => {
     await yieldToRunner();
     const report = simulate(run);
     t.is(countViolations(report), 0, report.examples.join('\n'));
@@ -89,10 +89,10 @@
   });
 }
 
-for (const office of ['map', 'porting'] as const) {
-  test(`planned changes break no flow and cut no request, ${office}`, async (t) => {
+for (const deployment of ['map', 'porting'] as const) {
+  test(`planned changes break no flow and cut no request, ${deployment}`, async (t) => {
     await yieldToRunner();
-    const report = simulate({ scenario: 'planned', deployment: office, seed: 1 });
+    const report = simulate({ scenario: 'planned', deployment, seed: 1 });
     t.is(countViolations(report), 0, report.examples.join('\n'));
     t.is(report.flowsBroken, 0);
     t.true(report.flowsOpened > 200);
@@ -102,7 +102,7 @@
   });
 }
 
-test('the same seed gives the same history, another seed another', async (t) => {
+test('the same seed gives the same run, another seed another', async (t) => {
   await yieldToRunner();
   const first = simulate({ scenario: 'everything', deployment: 'map', seed: 3 });
   const second = simulate({ scenario: 'everything', deployment: 'map', seed: 3 });
