--- a/src/bench/balance-cluster.ts
+++ b/src/bench/balance-cluster.ts
@@ -17,14 +17,14 @@
 import { SILENT_STORE } from './silent-store';
 import { MemberState, MessageType, type MemberRecord } from '../wire/messages';
 
-const REGIONS = 3;
-const ZONES = 8;
-const ZONE_DELAY = 5;
+const REGION_COUNT = 3;
+const ZONE_COUNT = 8;
+const ZONE_DELAY_MS = 5;
 const FRAME_PORT = 7_000;
 const LEARNT_FLOWS = 50_000;
 /** Flows end when they are told to. */
-const FLOW_IDLE = 1e9;
-const SEEDS_NAMED = 5;
+const FLOW_IDLE_MS = 1e9;
+const SEED_PEER_COUNT = 5;
 const KEY = { id: 1, secret: Buffer.from('balance-cluster-secret') };
 
 /** A node with its place. */
@@ -77,7 +77,7 @@
     seed: number,
   ) {
     this.random = new SeededRandom(seed);
-    const delays = { zoneDelay: ZONE_DELAY, callerDelay: 1 };
+    const delays = { zoneDelay: ZONE_DELAY_MS, callerDelay: 1 };
     this.network = new SimulatedNetwork(this.clock, this.random, delays, () => undefined);
   }
 
@@ -89,7 +89,7 @@
     this.agents.forEach((agent) => this.startAgent(agent));
   }
 
-  run(seconds: number): void {
+  runFor(seconds: number): void {
     this.clock.runUntil(this.clock.now + seconds * 1_000);
   }
 
@@ -131,12 +131,12 @@
   }
 
   /** Number of the region of a zone. */
-  regionOf(zone: string): number {
-    return Number(zone.slice('zone-'.length)) % REGIONS;
+  getRegion(zone: string): number {
+    return Number(zone.slice('zone-'.length)) % REGION_COUNT;
   }
 
   get zones(): string[] {
-    return Array.from({ length: ZONES }, (_, index) => `zone-${index}`);
+    return Array.from({ length: ZONE_COUNT }, (_, index) => `zone-${index}`);
   }
 
   /** Services get six or seven targets each, spread over the zones of one region. */
@@ -146,7 +146,7 @@
       const service = `service-${index % services}`;
       const number = Math.floor(index / services);
       const zones = this.zones.filter(
-        (zone) => this.regionOf(zone) === (index % services) % REGIONS,
+        (zone) => this.getRegion(zone) === (index % services) % REGION_COUNT,
       );
       const zone = zones[number % zones.length]!;
       const endpoint = packEndpoint(
@@ -158,18 +158,18 @@
       this.agents.push({ name, endpoint, zone, service, target } as BenchAgent);
     }
     for (let index = 0; index < services; index++) {
-      this.tables.push(this.firstTable(`service-${index}`));
+      this.tables.push(this.createFirstTable(`service-${index}`));
     }
   }
 
-  private firstTable(service: string): ServiceTable {
+  private createFirstTable(service: string): ServiceTable {
     this.revision++;
     const rows = this.agents
       .filter((agent) => agent.service === service)
       .map(({ target, endpoint }) => ({
         target,
         address: endpoint,
-        share: this.shape.shareOf?.(targetNumber(target)) ?? 1,
+        share: this.shape.shareOf?.(parseTargetNumber(target)) ?? 1,
         slots: 5,
         connections: 10_000,
       }));
@@ -179,7 +179,7 @@
   private createBalancers(): void {
     for (let index = 0; index < this.shape.balancers; index++) {
       const name = `balancer-${index}`;
-      const zone = `zone-${index % ZONES}`;
+      const zone = `zone-${index % ZONE_COUNT}`;
       const endpoint = packEndpoint(`10.1.${index >> 8}.${index & 255}`, FRAME_PORT);
       this.balancers.push({ name, endpoint, zone } as BenchBalancer);
     }
@@ -194,7 +194,7 @@
         name: balancer.name,
         zone: balancer.zone,
         endpoint: balancer.endpoint,
-        peers: this.balancers.slice(0, SEEDS_NAMED).map((seed) => seed.endpoint),
+        peers: this.balancers.slice(0, SEED_PEER_COUNT).map((seed) => seed.endpoint),
         incarnation: this.incarnation++,
         learntFlows: LEARNT_FLOWS,
       },
@@ -212,11 +212,11 @@
     this.network.bind(balancer.endpoint, process, (frame, from) =>
       balancer.node.receiveFrame(frame, from),
     );
-    this.settle(balancer.node);
+    this.applyInitialState(balancer.node);
     balancer.node.start();
   }
 
-  private settle(node: BalancerNode): void {
+  private applyInitialState(node: BalancerNode): void {
     const members: MemberRecord[] = this.balancers.map(({ name, endpoint, zone }, index) => ({
       name,
       endpoint,
@@ -239,11 +239,11 @@
         target: agent.target,
         endpoint: agent.endpoint,
         balancers: Array.from(
-          { length: SEEDS_NAMED },
+          { length: SEED_PEER_COUNT },
           () => this.random.pick(this.balancers).endpoint,
         ),
         incarnation: this.incarnation++,
-        flowIdle: FLOW_IDLE,
+        flowIdle: FLOW_IDLE_MS,
         requestDeadline: 10_000,
         loadPath: '',
       },
@@ -274,6 +274,6 @@
   }
 }
 
-function targetNumber(target: string): number {
+function parseTargetNumber(target: string): number {
   return Number(target.slice('target-'.length));
 }
--- a/src/bench/balance.ts
+++ b/src/bench/balance.ts
@@ -9,17 +9,17 @@
 import { SeededRandom } from '../simulation/seeded-random';
 import { BalanceCluster, type BenchAgent, type BenchShape } from './balance-cluster';
 
-const BALANCERS = 3;
-const FLOW_LENGTH = 3_600;
-const LENGTH_SHAPE = 1.5;
-const FLOWS_AT_ONCE = 900;
+const BALANCER_COUNT = 3;
+const MEAN_FLOW_SECONDS = 3_600;
+const PARETO_SHAPE = 1.5;
+const CONCURRENT_FLOWS = 900;
 const WARM_UP_HOURS = 1;
-const BURST_EVERY = 600;
+const BURST_INTERVAL_SECONDS = 600;
 const BURST_FLOWS = 60;
-const SECOND = 1_000;
-const STEP = 1;
+const SECOND_MS = 1_000;
+const STEP_SECONDS = 1;
 /** Milliseconds that a placed datagram is on its way, about one zone's delay. */
-const UNDER_WAY = 5.2;
+const IN_FLIGHT_MS = 5.2;
 
 /** Ways of placing that are compared. */
 export const BALANCE_DESIGNS = ['hash', 'hash-and-table', 'fewest', 'hallhold', 'oracle'] as const;
@@ -29,7 +29,7 @@
 export type ArrivalPattern = 'steady' | 'bursts';
 
 /** What one design gave; largest over mean of flows per share, over time. */
-export interface BalanceFigures {
+export interface BalanceResult {
   readonly design: BalanceDesign;
   readonly pattern: ArrivalPattern;
   readonly mean: number;
@@ -40,7 +40,7 @@
 }
 
 /** Options of one run. */
-export interface BalanceOrder {
+export interface BalanceOptions {
   readonly targets: number;
   /** Hours of virtual time, after an hour of warming up. */
   readonly hours: number;
@@ -49,14 +49,14 @@
 
 /** Runs every design on both patterns. */
 export function benchBalance(
-  order: BalanceOrder,
-  progress: (line: string) => void,
-): BalanceFigures[] {
+  options: BalanceOptions,
+  reportProgress: (line: string) => void,
+): BalanceResult[] {
   const patterns: readonly ArrivalPattern[] = ['steady', 'bursts'];
   return patterns.flatMap((pattern) =>
     BALANCE_DESIGNS.map((design) => {
-      progress(`${pattern}, ${design}`);
-      return new BalanceRun(order, design, pattern).execute();
+      reportProgress(`${pattern}, ${design}`);
+      return new BalanceRun(options, design, pattern).execute();
     }),
   );
 }
@@ -67,29 +67,29 @@
   /** Its own stream, so that every design meets the same arrivals and lengths. */
   private readonly arrivals: SeededRandom;
   /** The oracle's placements whose first datagram has not arrived yet. */
-  private underWay: { readonly endpoint: Endpoint; readonly until: number }[] = [];
+  private inFlight: { readonly endpoint: Endpoint; readonly until: number }[] = [];
   private opened = 0;
   private moved = 0;
 
   constructor(
-    private readonly order: BalanceOrder,
+    private readonly options: BalanceOptions,
     private readonly design: BalanceDesign,
     private readonly pattern: ArrivalPattern,
   ) {
-    this.cluster = new BalanceCluster(this.shape(), order.seed);
-    this.arrivals = new SeededRandom(order.seed + 1);
+    this.cluster = new BalanceCluster(this.createShape(), options.seed);
+    this.arrivals = new SeededRandom(options.seed + 1);
   }
 
-  execute(): BalanceFigures {
+  execute(): BalanceResult {
     this.cluster.start();
-    this.cluster.run(10);
-    const end = (WARM_UP_HOURS + this.order.hours) * 3_600;
+    this.cluster.runFor(10);
+    const end = (WARM_UP_HOURS + this.options.hours) * 3_600;
     this.scheduleArrivals();
-    for (let second = 0; second < end; second += STEP) {
-      this.cluster.run(STEP);
-      this.changeOnTheWay(second, end);
+    for (let second = 0; second < end; second += STEP_SECONDS) {
+      this.cluster.runFor(STEP_SECONDS);
+      this.changeShareIfDue(second, end);
       if (second > WARM_UP_HOURS * 3_600) {
-        this.samples.push(this.imbalance());
+        this.samples.push(this.computeImbalance());
       }
     }
     const sorted = [...this.samples].sort((a, b) => a - b);
@@ -103,14 +103,14 @@
     };
   }
 
-  private shape(): BenchShape {
+  private createShape(): BenchShape {
     const baseline: Design =
       this.design === 'hash' || this.design === 'hash-and-table' ? this.design : 'hallhold';
     const routing = createRoutingFactory(baseline);
-    const place = this.placement();
+    const place = this.createPlacement();
     return {
-      balancers: BALANCERS,
-      targets: this.order.targets,
+      balancers: BALANCER_COUNT,
+      targets: this.options.targets,
       services: 1,
       shareOf: (number) => 1 + (number % 2),
       hostsAnyFlow: hostsAnyFlow(baseline),
@@ -119,7 +119,7 @@
     };
   }
 
-  private placement(): BenchShape['place'] {
+  private createPlacement(): BenchShape['place'] {
     if (this.design === 'fewest') {
       return (candidates, _owners, tieBreak) => chooseTarget(candidates, 1, tieBreak);
     }
@@ -135,42 +135,45 @@
     tieBreak: number,
   ): PlacementCandidate | undefined {
     const chosen = chooseTarget(
-      candidates.map((one) => this.exact(one)),
+      candidates.map((one) => this.toExactCandidate(one)),
       1,
       tieBreak,
     );
     if (chosen) {
-      this.underWay.push({ endpoint: chosen.address, until: this.cluster.clock.now + UNDER_WAY });
+      this.inFlight.push({
+        endpoint: chosen.address,
+        until: this.cluster.clock.now + IN_FLIGHT_MS,
+      });
     }
     return chosen;
   }
 
-  private underWayTo(agent: BenchAgent): number {
+  private countInFlight(agent: BenchAgent): number {
     const { now } = this.cluster.clock;
-    this.underWay = this.underWay.filter((one) => one.until > now);
-    return this.underWay.filter((one) => one.endpoint === agent.endpoint).length;
+    this.inFlight = this.inFlight.filter((one) => one.until > now);
+    return this.inFlight.filter((one) => one.endpoint === agent.endpoint).length;
   }
 
-  private exact(candidate: PlacementCandidate): PlacementCandidate {
+  private toExactCandidate(candidate: PlacementCandidate): PlacementCandidate {
     const agent = this.cluster.agents.find((one) => one.endpoint === candidate.address)!;
-    const reportedFlows = agent.node.statistics.flows + this.underWayTo(agent);
+    const reportedFlows = agent.node.statistics.flows + this.countInFlight(agent);
     return { ...candidate, reportedFlows, placedSince: 0, reportedLoad: 0, warmth: 1 };
   }
 
   private scheduleArrivals(): void {
-    const burstPart = this.pattern === 'bursts' ? BURST_FLOWS / BURST_EVERY : 0;
-    const steadyRate = Math.max(0, FLOWS_AT_ONCE / FLOW_LENGTH - burstPart);
+    const burstRate = this.pattern === 'bursts' ? BURST_FLOWS / BURST_INTERVAL_SECONDS : 0;
+    const steadyRate = Math.max(0, CONCURRENT_FLOWS / MEAN_FLOW_SECONDS - burstRate);
     const arrive = (): void => {
       this.openFlow();
-      this.cluster.clock.schedule(this.arrivals.exponential(SECOND / steadyRate), arrive);
+      this.cluster.clock.schedule(this.arrivals.exponential(SECOND_MS / steadyRate), arrive);
     };
     this.cluster.clock.schedule(0, arrive);
     if (this.pattern === 'bursts') {
       const burst = (): void => {
         Array.from({ length: BURST_FLOWS }, () => this.openFlow());
-        this.cluster.clock.schedule(BURST_EVERY * SECOND, burst);
+        this.cluster.clock.schedule(BURST_INTERVAL_SECONDS * SECOND_MS, burst);
       };
-      this.cluster.clock.schedule(BURST_EVERY * SECOND, burst);
+      this.cluster.clock.schedule(BURST_INTERVAL_SECONDS * SECOND_MS, burst);
     }
   }
 
@@ -178,16 +181,16 @@
     this.opened++;
     const caller = packEndpoint('172.16.0.0', 0) + this.opened;
     this.cluster.sendDatagram('service-0', caller);
-    const scale = (FLOW_LENGTH * (LENGTH_SHAPE - 1)) / LENGTH_SHAPE;
-    const length = scale / (1 - this.arrivals.next()) ** (1 / LENGTH_SHAPE);
-    this.cluster.clock.schedule(length * SECOND, () => this.endFlow(caller));
+    const scale = (MEAN_FLOW_SECONDS * (PARETO_SHAPE - 1)) / PARETO_SHAPE;
+    const length = scale / (1 - this.arrivals.next()) ** (1 / PARETO_SHAPE);
+    this.cluster.clock.schedule(length * SECOND_MS, () => this.endFlow(caller));
   }
 
   /** Probes where the flow is now, then ends it there. */
   private endFlow(caller: Endpoint): void {
     const began = this.cluster.deliveredAt.get(caller);
     this.cluster.sendDatagram('service-0', caller);
-    this.cluster.clock.schedule(SECOND, () => {
+    this.cluster.clock.schedule(SECOND_MS, () => {
       const now = this.cluster.deliveredAt.get(caller);
       this.moved += began !== undefined && now !== began ? 1 : 0;
       this.cluster.endFlow(caller);
@@ -199,7 +202,7 @@
   }
 
   /** A target drains at one third of the measured time and returns at two thirds. */
-  private changeOnTheWay(second: number, end: number): void {
+  private changeShareIfDue(second: number, end: number): void {
     const measured = end - WARM_UP_HOURS * 3_600;
     const drainAt = WARM_UP_HOURS * 3_600 + Math.floor(measured / 3);
     const returnAt = WARM_UP_HOURS * 3_600 + Math.floor((2 * measured) / 3);
@@ -210,7 +213,7 @@
     }
   }
 
-  private imbalance(): number {
+  private computeImbalance(): number {
     const { rows } = this.cluster.tables[0]!;
     const loads = rows
       .filter((row) => row.share > 0)
--- a/src/bench/collect-garbage.ts
+++ b/src/bench/collect-garbage.ts
@@ -3,12 +3,12 @@
 import { runInNewContext } from 'node:vm';
 
 setFlagsFromString('--expose-gc');
-const collect = runInNewContext('gc') as () => void;
+const collectGarbage = runInNewContext('gc') as () => void;
 
 /** Bytes in use after full collections: heap, and memory of buffers outside of it. */
-export function bytesInUse(): number {
-  collect();
-  collect();
+export function measureBytesInUse(): number {
+  collectGarbage();
+  collectGarbage();
   const { heapUsed, external } = process.memoryUsage();
   return heapUsed + external;
 }
--- a/src/bench/datapath-load.ts
+++ b/src/bench/datapath-load.ts
@@ -8,12 +8,13 @@
 import { UdpSocket } from '../runtime/udp-socket';
 
 const PAYLOAD_BYTES = 64;
-const MICROSECONDS = 1_000;
-const LOST_AFTER = 200;
-const WARM_UP = 500;
+const MICROSECONDS_PER_MS = 1_000;
+const MS_PER_SECOND = 1_000;
+const LOSS_TIMEOUT_MS = 200;
+const WARM_UP_MS = 500;
 
 /** What the thread is told. */
-export interface LoadOrder {
+export interface LoadOptions {
   /** Where callers send. */
   readonly to: Endpoint;
   readonly address: string;
@@ -45,17 +46,17 @@
   send(): void {
     if (!this.run.isOver) {
       this.sentAt = performance.now();
-      this.socket.send(this.run.order.to, this.run.payload);
+      this.socket.send(this.run.options.to, this.run.payload);
       this.timer = setTimeout(() => {
-        this.run.noteLost();
+        this.run.recordLoss();
         this.send();
-      }, LOST_AFTER);
+      }, LOSS_TIMEOUT_MS);
     }
   }
 
   receive(): void {
     clearTimeout(this.timer);
-    this.run.note(performance.now() - this.sentAt);
+    this.run.recordRoundTrip(performance.now() - this.sentAt);
     this.send();
   }
 
@@ -73,34 +74,34 @@
   private roundTrips = 0;
   private lost = 0;
 
-  constructor(readonly order: LoadOrder) {}
+  constructor(readonly options: LoadOptions) {}
 
-  note(milliseconds: number): void {
-    if (performance.now() - this.startedAt > WARM_UP) {
+  recordRoundTrip(milliseconds: number): void {
+    if (performance.now() - this.startedAt > WARM_UP_MS) {
       this.roundTrips++;
-      this.histogram.recordValue(Math.round(milliseconds * MICROSECONDS));
+      this.histogram.recordValue(Math.round(milliseconds * MICROSECONDS_PER_MS));
     }
   }
 
-  noteLost(): void {
+  recordLoss(): void {
     this.lost++;
   }
 
   async execute(): Promise<LoadResult> {
     const callers: LoadCaller[] = [];
-    for (let index = 0; index < this.order.window; index++) {
-      const bound = await UdpSocket.bind(this.order.address, 0, () => caller.receive());
+    for (let index = 0; index < this.options.window; index++) {
+      const bound = await UdpSocket.bind(this.options.address, 0, () => caller.receive());
       const caller = new LoadCaller(this, bound.unwrap());
       callers.push(caller);
     }
     callers.forEach((caller) => caller.send());
-    await new Promise((resolve) => setTimeout(resolve, this.order.milliseconds + WARM_UP));
+    await new Promise((resolve) => setTimeout(resolve, this.options.milliseconds + WARM_UP_MS));
     this.isOver = true;
     callers.forEach((caller) => caller.close());
     return {
       roundTrips: this.roundTrips,
       lost: this.lost,
-      seconds: this.order.milliseconds / MICROSECONDS,
+      seconds: this.options.milliseconds / MS_PER_SECOND,
       p50: this.histogram.getValueAtPercentile(50),
       p99: this.histogram.getValueAtPercentile(99),
     };
@@ -111,8 +112,8 @@
   const { address } = workerData as { address: string };
   const bound = await UdpSocket.bind(address, 0, (payload, from) => echo.send(from, payload));
   const echo = bound.unwrap();
-  parentPort!.on('message', (order: LoadOrder) => {
-    void new LoadRun(order).execute().then((result) => parentPort!.postMessage(result));
+  parentPort!.on('message', (options: LoadOptions) => {
+    void new LoadRun(options).execute().then((result) => parentPort!.postMessage(result));
   });
   parentPort!.postMessage({ backend: echo.endpoint });
 }
--- a/src/bench/datapath.ts
+++ b/src/bench/datapath.ts
@@ -15,28 +15,28 @@
 import { UdpSocket } from '../runtime/udp-socket';
 import { FrameCodec } from '../wire/frame-codec';
 import { SILENT_STORE } from './silent-store';
-import { bytesInUse } from './collect-garbage';
-import type { LoadOrder, LoadResult } from './datapath-load';
+import { measureBytesInUse } from './collect-garbage';
+import type { LoadOptions, LoadResult } from './datapath-load';
 import { UdpRelay } from './udp-relay';
 
 const ADDRESS = '127.0.0.1';
 const SERVICE = 'bench';
 const TARGET = 'target-1';
 const WINDOW = 64;
-const MEASURE_FOR = 2_000;
+const MEASURE_TIME_MS = 2_000;
 const ROUNDS = 3;
 const FLOWS_HELD = 300_000;
 const NEW_FLOW_BATCH = 200;
 const NEW_FLOW_SECONDS = 3;
-const FLOW_IDLE = 3_600_000;
-const SETTLE = 1_500;
+const FLOW_IDLE_MS = 3_600_000;
+const SETTLE_TIME_MS = 1_500;
 const KEY = { id: 1, secret: Buffer.from('bench-cluster-secret') };
 const MICROSECONDS_PER_SECOND = 1e6;
 
 /** The report; the shape of the JSON line. */
 export interface DatapathReport {
-  readonly relay: PathFigures;
-  readonly hallhold: PathFigures;
+  readonly relay: PathResult;
+  readonly hallhold: PathResult;
   /** Packets a second of hallhold over those of the relay. */
   readonly throughputRatio: number;
   /** Microseconds that hallhold adds to the relay's round trip, one datagram at a time. */
@@ -47,7 +47,7 @@
 }
 
 /** Figures of one path: medians over the rounds. */
-export interface PathFigures {
+export interface PathResult {
   /** Datagrams a second through the path, both directions. */
   readonly packetsPerSecond: number;
   /** Round trip of one datagram at a time, in microseconds. */
@@ -95,8 +95,8 @@
   private balancerFrames!: UdpSocket;
   private agentFrames!: UdpSocket;
 
-  /** @param answered counts replies to callers instead of sending them, when given */
-  async start(backend: BackendPort, answered?: (caller: Endpoint) => void): Promise<void> {
+  /** @param onAnswer counts replies to callers instead of sending them, when given */
+  async start(backend: BackendPort, onAnswer?: (caller: Endpoint) => void): Promise<void> {
     const bind = async (handler: (payload: Buffer, from: Endpoint) => void): Promise<UdpSocket> =>
       (await UdpSocket.bind(ADDRESS, 0, handler)).unwrap();
     this.balancerFrames = await bind((frame, from) => this.balancer.receiveFrame(frame, from));
@@ -104,11 +104,11 @@
     this.callerSocket = await bind((payload, caller) =>
       this.balancer.receiveDatagram(SERVICE, caller, payload),
     );
-    this.createNodes(backend, answered);
+    this.createNodes(backend, onAnswer);
     this.balancer.start();
     this.agent.start();
-    this.putTable();
-    await new Promise((resolve) => setTimeout(resolve, SETTLE));
+    this.applyTable();
+    await new Promise((resolve) => setTimeout(resolve, SETTLE_TIME_MS));
   }
 
   stop(): void {
@@ -116,7 +116,7 @@
     [this.balancerFrames, this.agentFrames, this.callerSocket].forEach((socket) => socket.close());
   }
 
-  private createNodes(backend: BackendPort, answered?: (caller: Endpoint) => void): void {
+  private createNodes(backend: BackendPort, onAnswer?: (caller: Endpoint) => void): void {
     const { environment } = this;
     const codec = new FrameCodec([KEY]);
     this.balancer = new BalancerNode(
@@ -135,7 +135,7 @@
         transport: { send: (to, frame) => this.balancerFrames.send(to, frame) },
         callers: {
           send: (_service, caller, payload) =>
-            answered ? answered(caller) : this.callerSocket.send(caller, payload),
+            onAnswer ? onAnswer(caller) : this.callerSocket.send(caller, payload),
         },
       },
     );
@@ -147,7 +147,7 @@
         endpoint: this.agentFrames.endpoint,
         balancers: [this.balancerFrames.endpoint],
         incarnation: 1,
-        flowIdle: FLOW_IDLE,
+        flowIdle: FLOW_IDLE_MS,
         requestDeadline: 10_000,
         loadPath: '',
       },
@@ -160,7 +160,7 @@
     );
   }
 
-  private putTable(): void {
+  private applyTable(): void {
     const rows = [
       {
         target: TARGET,
@@ -179,10 +179,10 @@
 }
 
 /** A back end in memory: answers at once on the same flow. */
-function echoInMemory(agent: () => AgentNode): BackendPort {
+function createEchoBackend(getAgent: () => AgentNode): BackendPort {
   return {
     sendMessage: () => undefined,
-    sendDatagram: (caller, payload) => agent().receiveBackendDatagram(caller, payload),
+    sendDatagram: (caller, payload) => getAgent().receiveBackendDatagram(caller, payload),
     closeFlow: () => undefined,
   };
 }
@@ -205,14 +205,14 @@
   }
 
   load(to: Endpoint, window: number): Promise<LoadResult> {
-    const order: LoadOrder = {
+    const options: LoadOptions = {
       to,
       address: ADDRESS,
       callers: window,
       window,
-      milliseconds: MEASURE_FOR,
+      milliseconds: MEASURE_TIME_MS,
     };
-    this.worker.postMessage(order);
+    this.worker.postMessage(options);
     return new Promise((resolve) => this.worker.once('message', resolve));
   }
 
@@ -222,11 +222,13 @@
 }
 
 /** Runs the bench. */
-export async function benchDatapath(progress: (line: string) => void): Promise<DatapathReport> {
-  const { relay, hallhold } = await comparePaths(progress);
-  progress('new flows a second');
-  const newFlowsPerSecond = await measureNewFlows();
-  progress(`memory of ${FLOWS_HELD} flows`);
+export async function benchDatapath(
+  reportProgress: (line: string) => void,
+): Promise<DatapathReport> {
+  const { relay, hallhold } = await comparePaths(reportProgress);
+  reportProgress('new flows a second');
+  const newFlowsPerSecond = await measureNewFlowRate();
+  reportProgress(`memory of ${FLOWS_HELD} flows`);
   const bytesPerFlow = await measureBytesPerFlow();
   return {
     relay,
@@ -241,8 +243,8 @@
 
 /** Rounds of both paths in turn, so that a change of the machine's load meets both. */
 async function comparePaths(
-  progress: (line: string) => void,
-): Promise<{ relay: PathFigures; hallhold: PathFigures }> {
+  reportProgress: (line: string) => void,
+): Promise<{ relay: PathResult; hallhold: PathResult }> {
   const thread = await LoadThread.start();
   const relay = new UdpRelay(ADDRESS);
   await relay.start(thread.backend);
@@ -250,10 +252,10 @@
   const sockets = new BackendSockets(thread.backend);
   await path.start(sockets);
   await sockets.open(path.agent);
-  const relayRounds: PathFigures[] = [];
-  const hallholdRounds: PathFigures[] = [];
+  const relayRounds: PathResult[] = [];
+  const hallholdRounds: PathResult[] = [];
   for (let round = 1; round <= ROUNDS; round++) {
-    progress(`round ${round} of ${ROUNDS}: relay, hallhold`);
+    reportProgress(`round ${round} of ${ROUNDS}: relay, hallhold`);
     relayRounds.push(await measurePath(thread, relay.endpoint));
     hallholdRounds.push(await measurePath(thread, path.callerSocket.endpoint));
   }
@@ -261,10 +263,10 @@
   path.stop();
   sockets.close();
   await thread.stop();
-  return { relay: medianOf(relayRounds), hallhold: medianOf(hallholdRounds) };
+  return { relay: computeMedians(relayRounds), hallhold: computeMedians(hallholdRounds) };
 }
 
-async function measurePath(thread: LoadThread, to: Endpoint): Promise<PathFigures> {
+async function measurePath(thread: LoadThread, to: Endpoint): Promise<PathResult> {
   const single = await thread.load(to, 1);
   const many = await thread.load(to, WINDOW);
   return {
@@ -275,8 +277,8 @@
   };
 }
 
-function medianOf(rounds: readonly PathFigures[]): PathFigures {
-  const median = (read: (figures: PathFigures) => number): number => {
+function computeMedians(rounds: readonly PathResult[]): PathResult {
+  const median = (read: (figures: PathResult) => number): number => {
     const sorted = rounds.map(read).sort((a, b) => a - b);
     return sorted[Math.floor(sorted.length / 2)]!;
   };
@@ -289,7 +291,7 @@
 }
 
 /** Sends every datagram from a new caller; answers count when they come back. */
-async function measureNewFlows(): Promise<number> {
+async function measureNewFlowRate(): Promise<number> {
   const run = await openFlows((elapsed) => elapsed < NEW_FLOW_SECONDS * 1_000);
   run.path.stop();
   return (run.opened * MICROSECONDS_PER_SECOND) / (run.milliseconds * 1_000);
@@ -301,17 +303,19 @@
   readonly milliseconds: number;
 }
 
-async function openFlows(goOn: (elapsed: number, opened: number) => boolean): Promise<FlowRun> {
+async function openFlows(
+  shouldContinue: (elapsed: number, opened: number) => boolean,
+): Promise<FlowRun> {
   let answered = 0;
   const path = new HallholdPath();
   await path.start(
-    echoInMemory(() => path.agent),
+    createEchoBackend(() => path.agent),
     () => answered++,
   );
   const payload = Buffer.from('first datagram');
   const startedAt = performance.now();
   let sent = 0;
-  while (goOn(performance.now() - startedAt, answered)) {
+  while (shouldContinue(performance.now() - startedAt, answered)) {
     for (; sent < answered + NEW_FLOW_BATCH; sent++) {
       const caller = packEndpoint('10.0.0.0', 0) + sent + 1;
       path.balancer.receiveDatagram(SERVICE, caller, payload);
@@ -323,13 +327,13 @@
 
 /** Holds many flows, then drops the balancer, to tell whose memory it is. */
 async function measureBytesPerFlow(): Promise<{ balancer: number; agent: number }> {
-  const empty = bytesInUse();
+  const empty = measureBytesInUse();
   const run = await openFlows((_elapsed, opened) => opened < FLOWS_HELD);
   run.path.stop();
-  const both = bytesInUse();
+  const both = measureBytesInUse();
   const known = run.path.balancer.statistics.knownFlows;
   const hosted = run.path.agent.statistics.flows;
   run.path.balancer = undefined as unknown as BalancerNode;
-  const agentOnly = bytesInUse();
+  const agentOnly = measureBytesInUse();
   return { balancer: (both - agentOnly) / known, agent: (agentOnly - empty) / hosted };
 }
--- a/src/bench/packets-child.ts
+++ b/src/bench/packets-child.ts
@@ -8,7 +8,7 @@
 import type { RoutingTable } from '../packets/routing-table';
 import {
   BenchSetup,
-  PACKETS_MEASURED,
+  MEASURED_PACKET_COUNTS,
   type ChildReport,
   type PacketPath,
 } from './packets-contract';
@@ -39,19 +39,19 @@
   remove: () => undefined,
 };
 
-let packets = 0;
-const before = process.cpuUsage();
+let packetCount = 0;
+const cpuUsageAtStart = process.cpuUsage();
 
-function tell(report: ChildReport): void {
+function sendReport(report: ChildReport): void {
   process.send!(report);
 }
 
 /** Counts a packet that has been handled, and tells the parent at the counts it wants. */
 function countPacket(): void {
-  packets++;
-  if (PACKETS_MEASURED.includes(packets)) {
-    const { user, system } = process.cpuUsage(before);
-    tell({ kind: 'used', packets, microseconds: user + system });
+  packetCount++;
+  if (MEASURED_PACKET_COUNTS.includes(packetCount)) {
+    const { user, system } = process.cpuUsage(cpuUsageAtStart);
+    sendReport({ kind: 'used', packets: packetCount, microseconds: user + system });
   }
 }
 
@@ -64,7 +64,7 @@
     socket.send(next, bytes);
     countPacket();
   });
-  tell({ kind: 'bound', clients: socket.endpoint, frames: socket.endpoint });
+  sendReport({ kind: 'bound', clients: socket.endpoint, frames: socket.endpoint });
 }
 
 async function startBalancer(): Promise<void> {
@@ -104,7 +104,7 @@
     },
   );
   node.start();
-  tell({ kind: 'bound', clients: clients.endpoint, frames: frames.endpoint });
+  sendReport({ kind: 'bound', clients: clients.endpoint, frames: frames.endpoint });
 }
 
 const [path, next] = process.argv.slice(2) as [PacketPath, string];
--- a/src/bench/packets-contract.ts
+++ b/src/bench/packets-contract.ts
@@ -9,7 +9,7 @@
 export type PacketPath = 'relay' | 'compact' | 'repaired' | 'document';
 
 /** Numbers of packets after which the processor time is told. */
-export const PACKETS_MEASURED: readonly number[] = [200, 2_000, 18_000, 20_000];
+export const MEASURED_PACKET_COUNTS: readonly number[] = [200, 2_000, 18_000, 20_000];
 
 /** What the child process tells its parent. */
 export type ChildReport =
@@ -18,7 +18,7 @@
   | { readonly kind: 'used'; readonly packets: number; readonly microseconds: number };
 
 const DESTINATION: Endpoint = 0x0b00_0001_0000;
-const LIFETIME = 60_000;
+const LIFETIME_MS = 60_000;
 const SERVICE = 'bench';
 
 /** The one route of the bench, and what its processes share. */
@@ -26,13 +26,13 @@
   zone: 'bench',
   service: SERVICE,
   destination: DESTINATION,
-  lifetime: LIFETIME,
+  lifetime: LIFETIME_MS,
   /** Milliseconds; the bench never changes its table. */
-  applyTime: LIFETIME,
+  applyTime: LIFETIME_MS,
   key: { id: 1, secret: Buffer.from('bench-cluster-secret') },
   table: {
     version: 1,
-    idleTimeout: LIFETIME,
+    idleTimeout: LIFETIME_MS,
     profiles: [],
     routes: [
       { name: 'bench', destination: DESTINATION, services: [{ service: SERVICE, weight: 1 }] },
--- a/src/bench/packets.ts
+++ b/src/bench/packets.ts
@@ -20,18 +20,18 @@
 import { encodeModelPacket, ModelFlag } from '../simulation/packets/model-packet-format';
 import {
   BenchSetup,
-  PACKETS_MEASURED,
+  MEASURED_PACKET_COUNTS,
   type ChildReport,
   type PacketPath,
 } from './packets-contract';
 
 const ADDRESS = '127.0.0.1';
-const AGENTS = 7;
+const AGENT_COUNT = 7;
 const PACKETS_PER_FLOW = 5;
 /** Packets sent at a time, and milliseconds between: far below what a socket holds. */
-const BATCH = 20;
-const BATCH_INTERVAL = 10;
-const REPORT_INTERVAL = 250;
+const BATCH_PACKETS = 20;
+const BATCH_INTERVAL_MS = 10;
+const REPORT_INTERVAL_MS = 250;
 const PAYLOAD = 'x'.repeat(200);
 const FIRST_CLIENT = 0x6440_0000_0000;
 
@@ -44,7 +44,7 @@
 };
 
 /** Microseconds of processor time a packet. */
-export interface PacketFigures {
+export interface PacketResult {
   readonly path: PacketPath;
   readonly firstTwoHundred: number;
   readonly firstTwoThousand: number;
@@ -53,7 +53,7 @@
 }
 
 /** Plays the agents of the bench's service: they report, and hold every flow. */
-class PlayedAgents {
+class SimulatedAgents {
   private readonly codec = new PacketFrameCodec([BenchSetup.key]);
   private readonly sockets: UdpSocket[] = [];
   private timer: NodeJS.Timeout | undefined;
@@ -62,14 +62,14 @@
   constructor(private readonly frameVersion: number) {}
 
   async start(balancer: Endpoint): Promise<void> {
-    for (let index = 0; index < AGENTS; index++) {
+    for (let index = 0; index < AGENT_COUNT; index++) {
       const bound = await UdpSocket.bind(ADDRESS, 0, (frame) =>
-        this.confirm(index, frame, balancer),
+        this.handleFrame(index, frame, balancer),
       );
       this.sockets.push(bound.unwrap());
     }
     this.report(balancer);
-    this.timer = setInterval(() => this.report(balancer), REPORT_INTERVAL);
+    this.timer = setInterval(() => this.report(balancer), REPORT_INTERVAL_MS);
   }
 
   stop(): void {
@@ -78,7 +78,7 @@
   }
 
   /** Tells the balancer that a flow is held, at its second packet, and that a number has come. */
-  private confirm(index: number, frame: Buffer, balancer: Endpoint): void {
+  private handleFrame(index: number, frame: Buffer, balancer: Endpoint): void {
     const message = this.codec.decode(frame).unwrap();
     if (message.type === PacketMessageType.numberedDeliver) {
       this.acknowledge(index, message, balancer);
@@ -142,24 +142,24 @@
 }
 
 /** Sends packets until the child has told its last figure. */
-async function loadChild(child: ChildProcess, clients: Endpoint): Promise<Map<number, number>> {
+async function measureChild(child: ChildProcess, clients: Endpoint): Promise<Map<number, number>> {
   const socket = (await UdpSocket.bind(ADDRESS, 0, () => undefined)).unwrap();
-  const used = new Map<number, number>();
+  const cpuMicroseconds = new Map<number, number>();
   let sent = 0;
   return new Promise((resolve) => {
     const timer = setInterval(() => {
-      for (let packet = 0; packet < BATCH; packet++) {
+      for (let packet = 0; packet < BATCH_PACKETS; packet++) {
         socket.send(clients, createPacket(sent++));
       }
-    }, BATCH_INTERVAL);
+    }, BATCH_INTERVAL_MS);
     child.on('message', (report: ChildReport) => {
       if (report.kind === 'used') {
-        used.set(report.packets, report.microseconds);
+        cpuMicroseconds.set(report.packets, report.microseconds);
       }
-      if (used.size === PACKETS_MEASURED.length) {
+      if (cpuMicroseconds.size === MEASURED_PACKET_COUNTS.length) {
         clearInterval(timer);
         socket.close();
-        resolve(used);
+        resolve(cpuMicroseconds);
       }
     });
   });
@@ -177,34 +177,41 @@
 }
 
 /** Measures one path in a process of its own. */
-async function measurePath(path: PacketPath): Promise<PacketFigures> {
-  const agents = new PlayedAgents(AGENT_VERSIONS[path]);
+async function measurePath(path: PacketPath): Promise<PacketResult> {
+  const agents = new SimulatedAgents(AGENT_VERSIONS[path]);
   const sink = (await UdpSocket.bind(ADDRESS, 0, () => undefined)).unwrap();
   const child = fork(join(__dirname, 'packets-child.js'), [path, String(sink.endpoint)]);
   const { clients, frames } = await awaitBound(child);
   if (path !== 'relay') {
     await agents.start(frames);
   }
-  const used = await loadChild(child, clients);
+  const cpuMicroseconds = await measureChild(child, clients);
   child.removeAllListeners('exit');
   child.kill();
   agents.stop();
   sink.close();
-  const [early, cold, from, to] = PACKETS_MEASURED as readonly [number, number, number, number];
+  const [early, cold, from, to] = MEASURED_PACKET_COUNTS as readonly [
+    number,
+    number,
+    number,
+    number,
+  ];
   return {
     path,
-    firstTwoHundred: used.get(early)! / early,
-    firstTwoThousand: used.get(cold)! / cold,
-    warm: (used.get(to)! - used.get(from)!) / (to - from),
+    firstTwoHundred: cpuMicroseconds.get(early)! / early,
+    firstTwoThousand: cpuMicroseconds.get(cold)! / cold,
+    warm: (cpuMicroseconds.get(to)! - cpuMicroseconds.get(from)!) / (to - from),
   };
 }
 
 /** Measures all paths one after the other. */
-export async function benchPackets(progress: (line: string) => void): Promise<PacketFigures[]> {
-  const figures: PacketFigures[] = [];
+export async function benchPackets(
+  reportProgress: (line: string) => void,
+): Promise<PacketResult[]> {
+  const results: PacketResult[] = [];
   for (const path of ['relay', 'compact', 'repaired', 'document'] as const) {
-    progress(`measuring: ${path}`);
-    figures.push(await measurePath(path));
+    reportProgress(`measuring: ${path}`);
+    results.push(await measurePath(path));
   }
-  return figures;
+  return results;
 }
--- a/src/bench/udp-relay.ts
+++ b/src/bench/udp-relay.ts
@@ -19,7 +19,7 @@
       if (known) {
         known.send(next, payload);
       } else {
-        void this.open(from).then((socket) => socket.send(next, payload));
+        void this.openSocket(from).then((socket) => socket.send(next, payload));
       }
     });
     this.listener = bound.unwrap();
@@ -30,7 +30,7 @@
     this.sockets.forEach((socket) => socket.close());
   }
 
-  private async open(from: Endpoint): Promise<UdpSocket> {
+  private async openSocket(from: Endpoint): Promise<UdpSocket> {
     const bound = await UdpSocket.bind(this.address, 0, (payload) =>
       this.listener.send(from, payload),
     );
@@ -42,25 +42,25 @@
 
 /** Two hops in a row, as caller's datagrams take balancer and agent. */
 export class UdpRelay {
-  private readonly first: RelayHop;
-  private readonly second: RelayHop;
+  private readonly firstHop: RelayHop;
+  private readonly secondHop: RelayHop;
 
   constructor(address: string) {
-    this.first = new RelayHop(address);
-    this.second = new RelayHop(address);
+    this.firstHop = new RelayHop(address);
+    this.secondHop = new RelayHop(address);
   }
 
   get endpoint(): Endpoint {
-    return this.first.endpoint;
+    return this.firstHop.endpoint;
   }
 
   async start(backend: Endpoint): Promise<void> {
-    await this.second.start(backend);
-    await this.first.start(this.second.endpoint);
+    await this.secondHop.start(backend);
+    await this.firstHop.start(this.secondHop.endpoint);
   }
 
   stop(): void {
-    this.first.stop();
-    this.second.stop();
+    this.firstHop.stop();
+    this.secondHop.stop();
   }
 }
--- a/test/process-soak.test.ts
+++ b/test/process-soak.test.ts
@@ -1,14 +1,14 @@
 /** One short seed of the soak of real processes: the harness runs, and the promises hold. */
 import { rmSync } from 'node:fs';
 import test from 'ava';
-import { playSoak } from './soak/play-soak';
+import { simulateSoak } from './soak/play-soak';
 
 const SEED = 7;
 const LENGTH = 6_000;
 const NETWORK = 62;
 
 test('real processes keep their promises under a few faults from outside', async (t) => {
-  const result = await playSoak(SEED, LENGTH, NETWORK);
+  const result = await simulateSoak(SEED, LENGTH, NETWORK);
   t.log(result.faults.join('\n'));
   t.true(result.passed, JSON.stringify(result));
   t.true(result.flows.done > 50);
--- a/test/soak/frame-switch.ts
+++ b/test/soak/frame-switch.ts
@@ -20,10 +20,10 @@
 }
 
 /** Part of the datagrams that every link loses all the time: a few in a hundred. */
-export const USUAL_LOSS = 0.03;
-export const USUAL_LINK: LinkQuality = {
+export const DEFAULT_LOSS = 0.03;
+export const DEFAULT_LINK: LinkQuality = {
   isCut: false,
-  loss: USUAL_LOSS,
+  loss: DEFAULT_LOSS,
   duplication: 0,
   delay: 0,
 };
@@ -46,7 +46,7 @@
   /** Receives for a process that others know by `advertised`. */
   async connect(advertised: Endpoint, listening: Endpoint): Promise<void> {
     const bound = await UdpSocket.bindEndpoint(advertised, (frame, from) =>
-      this.pass(frame, from, port),
+      this.forward(frame, from, port),
     );
     const streams = new TcpFaultProxy(advertised, listening);
     await streams.start();
@@ -72,12 +72,12 @@
     }
   }
 
-  private pass(frame: Buffer, from: Endpoint, to: Port): void {
+  private forward(frame: Buffer, from: Endpoint, to: Port): void {
     const sender = this.byListening.get(from);
     if (!sender) {
       return;
     }
-    const quality = this.links.get(`${sender.advertised}>${to.advertised}`) ?? USUAL_LINK;
+    const quality = this.links.get(`${sender.advertised}>${to.advertised}`) ?? DEFAULT_LINK;
     if (quality.isCut || this.random.next() < quality.loss) {
       return;
     }
--- a/test/soak/packet-seal.ts
+++ b/test/soak/packet-seal.ts
@@ -5,30 +5,30 @@
 import { createHash } from 'node:crypto';
 import { Flag, HEADER_BYTES } from '../support/packet-cluster';
 
-const ECHO = 14;
-const SUM = 18;
-const SUM_END = 22;
-const FLAGS = 30;
+const ECHO_OFFSET = 14;
+const CHECKSUM_OFFSET = 18;
+const CHECKSUM_END = 22;
+const FLAGS_OFFSET = 30;
 
-function sumOf(bytes: Buffer): number {
-  const summed = Buffer.from(bytes).fill(0, ECHO, SUM_END);
+function computeChecksum(bytes: Buffer): number {
+  const summed = Buffer.from(bytes).fill(0, ECHO_OFFSET, CHECKSUM_END);
   return createHash('md5').update(summed).digest().readUInt32BE();
 }
 
 /** Writes the sum; to be called once, by the sender. */
-export function seal(bytes: Buffer): Buffer {
-  bytes.writeUInt32BE(sumOf(bytes), SUM);
+export function writeChecksum(bytes: Buffer): Buffer {
+  bytes.writeUInt32BE(computeChecksum(bytes), CHECKSUM_OFFSET);
   return bytes;
 }
 
 /** Whether a packet that reached its target is as the client wrote it. */
-export function isClientsOwn(bytes: Buffer): boolean {
-  return bytes.readUInt32BE(SUM) === sumOf(bytes);
+export function isUnalteredFromClient(bytes: Buffer): boolean {
+  return bytes.readUInt32BE(CHECKSUM_OFFSET) === computeChecksum(bytes);
 }
 
 /** Whether a packet that reached its client is as the target wrote it, or a reset of the system. */
-export function isTargetsOwn(bytes: Buffer): boolean {
-  const isReset = bytes.length === HEADER_BYTES && bytes[FLAGS] === Flag.rst;
-  const isSystemReset = isReset && bytes.readUInt32BE(SUM) === 0;
-  return bytes.readUInt32BE(ECHO) === 0 && (isSystemReset || isClientsOwn(bytes));
+export function isUnalteredFromTarget(bytes: Buffer): boolean {
+  const isReset = bytes.length === HEADER_BYTES && bytes[FLAGS_OFFSET] === Flag.rst;
+  const isSystemReset = isReset && bytes.readUInt32BE(CHECKSUM_OFFSET) === 0;
+  return bytes.readUInt32BE(ECHO_OFFSET) === 0 && (isSystemReset || isUnalteredFromClient(bytes));
 }
--- a/test/soak/play-soak.ts
+++ b/test/soak/play-soak.ts
@@ -2,26 +2,26 @@
 import type { InvariantViolations } from '../../src/simulation/packets/packet-invariant-checker';
 import { SeededRandom } from '../../src/simulation/seeded-random';
 import type { SoakClientState } from './soak-client';
-import { strikeAtRandom } from './soak-faults';
-import { MAP_ROUTE, PASSING_ROUTE, SoakWorld, TILES_ROUTE } from './soak-world';
+import { injectRandomFault } from './soak-faults';
+import { MAP_ROUTE, OPTIONAL_ROUTE, SoakDeployment, TILES_ROUTE } from './soak-world';
 
-const SETTLING = 2_500;
-const FLOW_INTERVAL = 40;
-const FAULT_INTERVAL = 1_500;
-const RECOVERY = 7_000;
+const SETTLE_TIME_MS = 2_500;
+const FLOW_INTERVAL_MS = 40;
+const FAULT_INTERVAL_MS = 1_500;
+const RECOVERY_TIME_MS = 7_000;
 /** Milliseconds in which every target gets flows again: figures of its failures fade in 10 s. */
-const RETURN_TIME = 15_000;
-const LAST_FLOWS = 40;
-const LAST_FLOWS_TIME = 5_000;
+const TARGET_RETURN_TIMEOUT_MS = 15_000;
+const LAST_FLOW_COUNT = 40;
+const LAST_FLOWS_TIME_MS = 5_000;
 /** Part of the last flows, after all faults, that must be served. */
-const SERVED_AFTERWARDS = 0.9;
+const MINIMUM_SERVED_SHARE = 0.9;
 
 /** Part of the faults that come together with a crowd. */
-const CROWD_SHARE = 0.2;
+const LOAD_SPIKE_SHARE = 0.2;
 /** Flows that a crowd opens at once: more work than all targets of their service do in a fifth of a second. */
-const CROWD = 300;
+const LOAD_SPIKE_FLOWS = 300;
 
-type PlayedFaults = Pick<SoakResult, 'faults' | 'idleAgents'>;
+type FaultPhaseResult = Pick<SoakResult, 'faults' | 'idleAgents'>;
 
 /** What one seed showed. */
 export interface SoakResult {
@@ -46,55 +46,62 @@
   return new Promise((done) => setTimeout(done, milliseconds));
 }
 
-function openRandomFlow(world: SoakWorld): void {
-  const { random } = world;
-  const destination = random.pick([MAP_ROUTE, MAP_ROUTE, MAP_ROUTE, TILES_ROUTE, PASSING_ROUTE]);
-  const isKept = random.next() < 0.4;
-  world.openFlow(destination, isKept ? 12 : 1, random.between(50, 500));
+function openRandomFlow(deployment: SoakDeployment): void {
+  const { random } = deployment;
+  const destination = random.pick([MAP_ROUTE, MAP_ROUTE, MAP_ROUTE, TILES_ROUTE, OPTIONAL_ROUTE]);
+  const isPersistent = random.next() < 0.4;
+  deployment.openFlow(destination, isPersistent ? 12 : 1, random.between(50, 500));
 }
 
 /** Callers ask for more than targets can do, on an urgent route and on one that may wait. */
-function openCrowd(world: SoakWorld): void {
-  for (let flow = 0; flow < CROWD; flow++) {
-    world.openFlow(flow % 3 === 0 ? PASSING_ROUTE : MAP_ROUTE, 1, 0);
+function openLoadSpike(deployment: SoakDeployment): void {
+  for (let flow = 0; flow < LOAD_SPIKE_FLOWS; flow++) {
+    deployment.openFlow(flow % 3 === 0 ? OPTIONAL_ROUTE : MAP_ROUTE, 1, 0);
   }
 }
 
 /** Waits until every target has opened a flow since now; returns the agents where none has. */
-async function waitForAllTargets(world: SoakWorld): Promise<string[]> {
+async function waitForAllTargets(deployment: SoakDeployment): Promise<string[]> {
   const begin = performance.now();
-  while (world.idleAgents(begin).length > 0 && performance.now() - begin < RETURN_TIME) {
-    await pause(FLOW_INTERVAL);
+  while (
+    deployment.findIdleAgents(begin).length > 0 &&
+    performance.now() - begin < TARGET_RETURN_TIMEOUT_MS
+  ) {
+    await pause(FLOW_INTERVAL_MS);
   }
-  return world.idleAgents(begin);
+  return deployment.findIdleAgents(begin);
 }
 
-async function playFaults(world: SoakWorld, length: number, seed: number): Promise<PlayedFaults> {
+async function runFaultPhase(
+  deployment: SoakDeployment,
+  length: number,
+  seed: number,
+): Promise<FaultPhaseResult> {
   const faults: string[] = [];
   // Of its own, so that the faults of a seed stay what they were.
-  const crowds = new SeededRandom(seed + 2);
-  const traffic = setInterval(() => openRandomFlow(world), FLOW_INTERVAL);
+  const loadSpikeRandom = new SeededRandom(seed + 2);
+  const traffic = setInterval(() => openRandomFlow(deployment), FLOW_INTERVAL_MS);
   const begin = performance.now();
   while (performance.now() - begin < length) {
     const at = Math.round(performance.now() - begin);
-    const isCrowded = crowds.next() < CROWD_SHARE;
-    if (isCrowded) {
-      openCrowd(world);
+    const isLoadSpike = loadSpikeRandom.next() < LOAD_SPIKE_SHARE;
+    if (isLoadSpike) {
+      openLoadSpike(deployment);
     }
-    faults.push(`${at} ms ${strikeAtRandom(world)}${isCrowded ? ' in a crowd' : ''}`);
-    await pause(world.faultRandom.between(0.3, 1.7) * FAULT_INTERVAL);
+    faults.push(`${at} ms ${injectRandomFault(deployment)}${isLoadSpike ? ' in a crowd' : ''}`);
+    await pause(deployment.faultRandom.between(0.3, 1.7) * FAULT_INTERVAL_MS);
   }
-  await pause(RECOVERY);
-  const idleAgents = await waitForAllTargets(world);
+  await pause(RECOVERY_TIME_MS);
+  const idleAgents = await waitForAllTargets(deployment);
   clearInterval(traffic);
   return { faults, idleAgents };
 }
 
-async function playLastFlows(world: SoakWorld): Promise<number> {
-  const last = Array.from({ length: LAST_FLOWS }, (_, index) =>
-    world.openFlow(index % 4 === 0 ? TILES_ROUTE : MAP_ROUTE, 1, 0),
+async function runLastFlows(deployment: SoakDeployment): Promise<number> {
+  const last = Array.from({ length: LAST_FLOW_COUNT }, (_, index) =>
+    deployment.openFlow(index % 4 === 0 ? TILES_ROUTE : MAP_ROUTE, 1, 0),
   );
-  await pause(LAST_FLOWS_TIME);
+  await pause(LAST_FLOWS_TIME_MS);
   return last.filter(({ state }) => state === 'done').length;
 }
 
@@ -103,22 +110,26 @@
  * @param length milliseconds with faults
  * @param network second byte of all loopback addresses
  */
-export async function playSoak(seed: number, length: number, network: number): Promise<SoakResult> {
-  const world = new SoakWorld(seed, network);
+export async function simulateSoak(
+  seed: number,
+  length: number,
+  network: number,
+): Promise<SoakResult> {
+  const deployment = new SoakDeployment(seed, network);
   try {
-    await world.start();
-    await pause(SETTLING);
-    const played = await playFaults(world, length, seed);
-    const servedAfterwards = await playLastFlows(world);
-    const { ended: flows, altered, ownEnds, folder } = world;
-    const { violations } = world.judge;
-    const found = [...Object.values<string[]>({ ...violations }), altered, played.idleAgents];
+    await deployment.start();
+    await pause(SETTLE_TIME_MS);
+    const faultPhase = await runFaultPhase(deployment, length, seed);
+    const servedAfterwards = await runLastFlows(deployment);
+    const { endedFlows: flows, altered, unexpectedExits: ownEnds, folder } = deployment;
+    const { violations } = deployment.checker;
+    const found = [...Object.values<string[]>({ ...violations }), altered, faultPhase.idleAgents];
     const broken = found.some(({ length: count }) => count > 0);
-    const recovered = servedAfterwards >= SERVED_AFTERWARDS * LAST_FLOWS;
+    const recovered = servedAfterwards >= MINIMUM_SERVED_SHARE * LAST_FLOW_COUNT;
     const passed = !broken && recovered && ownEnds === 0;
     const seen = { flows, violations, altered, ownEnds, servedAfterwards };
-    return { seed, ...played, ...seen, passed, folder };
+    return { seed, ...faultPhase, ...seen, passed, folder };
   } finally {
-    await world.stop();
+    await deployment.stop();
   }
 }
--- a/test/soak/run-soak.ts
+++ b/test/soak/run-soak.ts
@@ -6,10 +6,10 @@
 import { parseArgs } from 'node:util';
 import { rmSync } from 'node:fs';
 import { KEPT_SEEDS } from './kept-seeds';
-import { playSoak } from './play-soak';
+import { simulateSoak } from './play-soak';
 
-const MINUTE = 60_000;
-const SECOND = 1_000;
+const MINUTE_MS = 60_000;
+const SECOND_MS = 1_000;
 const SEED_RANGE = 2 ** 31;
 const NETWORK = 61;
 const EXIT_VIOLATIONS = 2;
@@ -31,13 +31,17 @@
       network: { type: 'string', default: String(NETWORK) },
     },
   });
-  const end = performance.now() + Number(values.minutes) * MINUTE;
+  const end = performance.now() + Number(values.minutes) * MINUTE_MS;
   const given = values.seed === undefined ? [] : [Number(values.seed)];
   const seeds = values.kept ? KEPT_SEEDS.map(({ seed }) => seed) : given;
   let played = 0;
   let failed = 0;
   for (const seed of seeds.length > 0 ? seeds : freshSeeds(end)) {
-    const result = await playSoak(seed, Number(values.seconds) * SECOND, Number(values.network));
+    const result = await simulateSoak(
+      seed,
+      Number(values.seconds) * SECOND_MS,
+      Number(values.network),
+    );
     played++;
     failed += result.passed ? 0 : 1;
     if (result.passed) {
--- a/test/soak/soak-client.ts
+++ b/test/soak/soak-client.ts
@@ -5,14 +5,14 @@
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
 import { computeEndSequence } from '../../src/packets/repair/sequence-numbers';
 import { encodePacket, Flag, HEADER_BYTES } from '../support/packet-cluster';
-import { seal } from './packet-seal';
-
-const OPENING_COPIES = [0, 200, 600] as const;
-const OPENING_TIME = 1_400;
-const FIRST_REPEAT = 200;
-const LONGEST_REPEAT = 1_600;
-const DEADLINE = 4_000;
-const RESET_WINDOW = 76_800;
+import { writeChecksum } from './packet-seal';
+
+const OPENING_DELAYS_MS = [0, 200, 600] as const;
+const OPENING_TIMEOUT_MS = 1_400;
+const MINIMUM_RETRANSMISSION_DELAY_MS = 200;
+const MAXIMUM_RETRANSMISSION_DELAY_MS = 1_600;
+const REQUEST_TIMEOUT_MS = 4_000;
+const RESET_WINDOW_BYTES = 76_800;
 const FIRST_SEQUENCE = 1;
 
 /** How a flow stands, or ended. */
@@ -29,9 +29,9 @@
 
 /** What a client tells the soak. */
 export interface SoakClientObserver {
-  answerCame(client: SoakClient, expected: string, answered: string): void;
-  wasReset(client: SoakClient): void;
-  ended(client: SoakClient): void;
+  onAnswer(client: SoakClient, expected: string, answered: string): void;
+  onReset(client: SoakClient): void;
+  onEnd(client: SoakClient): void;
 }
 
 /** The client. */
@@ -55,18 +55,18 @@
   }
 
   get flow(): FlowKey {
-    return packetFormat.decodeFromClient(this.packet(Flag.syn, 0, ''))!.flow;
+    return packetFormat.decodeFromClient(this.createPacket(Flag.syn, 0, ''))!.flow;
   }
 
   start(): void {
-    OPENING_COPIES.forEach((delay, copy) =>
-      this.later(delay, () => {
+    OPENING_DELAYS_MS.forEach((delay, copy) =>
+      this.schedule(delay, () => {
         if (this.state === 'opening') {
-          this.send(this.packet(Flag.syn, copy, ''));
+          this.send(this.createPacket(Flag.syn, copy, ''));
         }
       }),
     );
-    this.later(OPENING_TIME, () => this.state === 'opening' && this.end('unopened'));
+    this.schedule(OPENING_TIMEOUT_MS, () => this.state === 'opening' && this.end('unopened'));
   }
 
   /** Sends nothing any more; nobody is told. */
@@ -82,12 +82,12 @@
       return;
     }
     if (packet.resets) {
-      this.takeReset(packet.sequence);
+      this.handleReset(packet.sequence);
     } else if (packet.opens) {
-      this.opened(packet);
+      this.handleOpened(packet);
     } else if (packet.payloadLength > 0 && this.isWaiting(packet.acknowledgement)) {
       this.acknowledged = computeEndSequence(packet);
-      this.answered(bytes.toString('utf8', HEADER_BYTES), packet.ends);
+      this.handleAnswer(bytes.toString('utf8', HEADER_BYTES), packet.ends);
     } else {
       this.acknowledge();
     }
@@ -98,57 +98,59 @@
     return `${this.plan.client}/${this.sequence}`;
   }
 
-  private takeReset(sequence: number): void {
-    const inWindow = Math.abs((sequence - this.acknowledged) | 0) <= RESET_WINDOW;
+  private handleReset(sequence: number): void {
+    const inWindow = Math.abs((sequence - this.acknowledged) | 0) <= RESET_WINDOW_BYTES;
     if (this.state === 'opening' || inWindow) {
-      this.observer.wasReset(this);
+      this.observer.onReset(this);
       this.end('reset');
     }
   }
 
-  private opened(packet: FlowPacket): void {
+  private handleOpened(packet: FlowPacket): void {
     if (this.state === 'opening') {
       this.state = 'open';
       this.acknowledged = computeEndSequence(packet);
       this.acknowledge();
-      this.request();
+      this.sendRequest();
     } else {
       this.acknowledge();
     }
   }
 
   private acknowledge(): void {
-    this.send(this.packet(Flag.ack, this.acknowledged, ''));
+    this.send(this.createPacket(Flag.ack, this.acknowledged, ''));
   }
 
-  private answered(text: string, ends: boolean): void {
+  private handleAnswer(text: string, ends: boolean): void {
     this.answers++;
     this.answeredAt = this.now();
-    this.observer.answerCame(this, this.requestId, text.split('answer to ')[1] ?? '');
+    this.observer.onAnswer(this, this.requestId, text.split('answer to ')[1] ?? '');
     if (ends || this.answers >= this.plan.requests) {
-      this.send(this.packet(Flag.ack | Flag.fin, this.acknowledged, ''));
+      this.send(this.createPacket(Flag.ack | Flag.fin, this.acknowledged, ''));
       this.end('done');
       return;
     }
     this.acknowledge();
-    this.later(this.plan.pause, () => this.request());
+    this.schedule(this.plan.pause, () => this.sendRequest());
   }
 
-  private request(): void {
+  private sendRequest(): void {
     if (this.state !== 'open') {
       return;
     }
     this.sequence++;
     const { sequence } = this;
     const text = `GET /map HTTP/1.1\r\nX-Request-Id: ${this.requestId}\r\n\r\n`;
-    this.repeat(sequence, text, FIRST_REPEAT);
-    this.later(DEADLINE, () => this.isWaiting(sequence) && this.end('late'));
+    this.retransmit(sequence, text, MINIMUM_RETRANSMISSION_DELAY_MS);
+    this.schedule(REQUEST_TIMEOUT_MS, () => this.isWaiting(sequence) && this.end('late'));
   }
 
-  private repeat(sequence: number, text: string, delay: number): void {
+  private retransmit(sequence: number, text: string, delay: number): void {
     if (this.isWaiting(sequence)) {
-      this.send(this.packet(Flag.ack, this.acknowledged, text));
-      this.later(delay, () => this.repeat(sequence, text, Math.min(2 * delay, LONGEST_REPEAT)));
+      this.send(this.createPacket(Flag.ack, this.acknowledged, text));
+      this.schedule(delay, () =>
+        this.retransmit(sequence, text, Math.min(2 * delay, MAXIMUM_RETRANSMISSION_DELAY_MS)),
+      );
     }
   }
 
@@ -160,17 +162,17 @@
   private end(state: SoakClientState): void {
     this.state = state;
     this.timers.forEach((timer) => clearTimeout(timer));
-    this.observer.ended(this);
+    this.observer.onEnd(this);
   }
 
-  private packet(flags: number, acknowledgement: number, text: string): Buffer {
+  private createPacket(flags: number, acknowledgement: number, text: string): Buffer {
     const { client, destination } = this.plan;
     const from = [getEndpointAddress(client), getEndpointPort(client)] as const;
     const to = [getEndpointAddress(destination), getEndpointPort(destination)] as const;
-    return seal(encodePacket(from, to, flags, this.sequence, acknowledgement, text));
+    return writeChecksum(encodePacket(from, to, flags, this.sequence, acknowledgement, text));
   }
 
-  private later(delay: number, action: () => void): void {
+  private schedule(delay: number, action: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
       action();
--- a/test/soak/soak-process.ts
+++ b/test/soak/soak-process.ts
@@ -4,21 +4,21 @@
 import { join, resolve } from 'node:path';
 
 /** As deployments start it: signals have a handler before the program is loaded. */
-const MAIN = resolve(__dirname, '../../platform/launch.js');
-const RESTART_DELAY = 150;
+const LAUNCHER_PATH = resolve(__dirname, '../../platform/launch.js');
+const RESTART_DELAY_MS = 150;
 /** Exit code of a program that refuses to start. */
 const EXIT_FAILED = 1;
 /** Milliseconds between SIGTERM and SIGKILL. */
-const GRACE = 6_000;
+const TERMINATION_GRACE_MS = 6_000;
 
 /**
  * Ends a process when the soak has ended, however that came about: then nobody holds the other
  * end of its input any more. It is started beside each process, and signals do not end it.
  */
-const WATCH = 'trap "" HUP INT TERM; read -r _; kill -9 "$0"';
+const WATCHER_SCRIPT = 'trap "" HUP INT TERM; read -r _; kill -9 "$0"';
 
-function watch(child: ChildProcess): void {
-  const watcher = spawn('sh', ['-c', WATCH, String(child.pid)], {
+function startWatcher(child: ChildProcess): void {
+  const watcher = spawn('sh', ['-c', WATCHER_SCRIPT, String(child.pid)], {
     stdio: ['pipe', 'ignore', 'ignore'],
   });
   child.once('exit', () => watcher.kill('SIGKILL'));
@@ -30,10 +30,10 @@
 /** The process. */
 export class SoakProcess {
   /** Ends that nobody asked for. */
-  ownEnds = 0;
+  unexpectedExits = 0;
   private child: ChildProcess | undefined;
-  private expected = false;
-  private closed = false;
+  private isExitExpected = false;
+  private isClosed = false;
   private downUntil = 0;
   /** The settings file holds, or has held since the latest start, what is no settings document. */
   private hasBrokenSettings = false;
@@ -63,24 +63,24 @@
 
   start(): void {
     const env = { ...process.env, HALLHOLD_CONFIG: this.settingsPath, CLUSTER_KEY: 'soak-key' };
-    const child = spawn(process.execPath, [MAIN, this.role], {
+    const child = spawn(process.execPath, [LAUNCHER_PATH, this.role], {
       stdio: ['ignore', 'pipe', 'pipe'],
       env,
     });
     this.child = child;
-    watch(child);
-    this.expected = false;
+    startWatcher(child);
+    this.isExitExpected = false;
     this.hasLogged = false;
     this.hasBrokenSettings = this.isSettingsFileBroken;
     child.stdout.once('data', () => (this.hasLogged = true));
     child.stdout.pipe(this.log, { end: false });
     child.stderr.pipe(this.log, { end: false });
-    child.once('exit', (code) => this.ended(code));
+    child.once('exit', (code) => this.handleExit(code));
   }
 
   /** Ends it at once; it is down for at least so many milliseconds. */
   kill(downTime = 0): void {
-    this.expected = true;
+    this.isExitExpected = true;
     this.downUntil = performance.now() + downTime;
     this.child?.kill('SIGKILL');
   }
@@ -88,9 +88,12 @@
   /** A planned restart. */
   terminate(): void {
     const { child } = this;
-    this.expected = true;
+    this.isExitExpected = true;
     child?.kill('SIGTERM');
-    setTimeout(() => child?.exitCode === null && child.kill('SIGKILL'), GRACE).unref();
+    setTimeout(
+      () => child?.exitCode === null && child.kill('SIGKILL'),
+      TERMINATION_GRACE_MS,
+    ).unref();
   }
 
   signal(signal: 'SIGSTOP' | 'SIGCONT' | 'SIGHUP'): void {
@@ -111,7 +114,7 @@
   }
 
   async close(): Promise<void> {
-    this.closed = true;
+    this.isClosed = true;
     const { child } = this;
     if (child) {
       const exit = new Promise((done) => child.once('exit', done));
@@ -123,13 +126,13 @@
   }
 
   /** A program that finds a broken file as it starts must refuse; one that runs must go on. */
-  private ended(code: number | null): void {
+  private handleExit(code: number | null): void {
     this.child = undefined;
     const refusedStart = this.hasBrokenSettings && !this.hasLogged && code === EXIT_FAILED;
-    this.ownEnds += this.expected || this.closed || refusedStart ? 0 : 1;
-    if (!this.closed) {
-      const delay = Math.max(RESTART_DELAY, this.downUntil - performance.now());
-      setTimeout(() => this.closed || this.start(), delay).unref();
+    this.unexpectedExits += this.isExitExpected || this.isClosed || refusedStart ? 0 : 1;
+    if (!this.isClosed) {
+      const delay = Math.max(RESTART_DELAY_MS, this.downUntil - performance.now());
+      setTimeout(() => this.isClosed || this.start(), delay).unref();
     }
   }
 }
--- a/test/soak/soak-router.ts
+++ b/test/soak/soak-router.ts
@@ -5,9 +5,9 @@
 import { computeRendezvousScore } from '../../src/core/hashing';
 import type { ClusterPorts } from '../support/packet-cluster';
 
-const PROBE_INTERVAL = 500;
-const PROBE_TIMEOUT = 400;
-const MISSES_ALLOWED = 2;
+const PROBE_INTERVAL_MS = 500;
+const PROBE_TIMEOUT_MS = 400;
+const UNHEALTHY_MISS_COUNT = 2;
 
 /** Receives a datagram for the client at a port. */
 export type ClientHandler = (port: number, bytes: Buffer) => void;
@@ -22,7 +22,7 @@
     private readonly clientMachine: string,
     private readonly balancers: readonly string[],
     private readonly ports: ClusterPorts,
-    private readonly toClient: ClientHandler,
+    private readonly deliverToClient: ClientHandler,
     /** Whether the next datagram from or to a client is lost. */
     private readonly isLost: () => boolean,
   ) {}
@@ -33,10 +33,10 @@
     socket.on('message', (bytes) => {
       const packet = packetFormat.decodeFromTarget(bytes);
       if (packet && !this.isLost()) {
-        this.toClient(bytes.readUInt16BE(6), bytes);
+        this.deliverToClient(bytes.readUInt16BE(6), bytes);
       }
     });
-    this.timer = setInterval(() => this.probe(), PROBE_INTERVAL);
+    this.timer = setInterval(() => this.probe(), PROBE_INTERVAL_MS);
     this.probe();
   }
 
@@ -48,7 +48,9 @@
   /** Hands a client's packet to the balancer that its flow belongs to now. */
   route(packet: Buffer): void {
     const flow = packetFormat.decodeFromClient(packet)!.flow;
-    const inUse = this.balancers.filter((one) => (this.misses.get(one) ?? 0) < MISSES_ALLOWED);
+    const inUse = this.balancers.filter(
+      (one) => (this.misses.get(one) ?? 0) < UNHEALTHY_MISS_COUNT,
+    );
     const pool = inUse.length * 2 < this.balancers.length ? this.balancers : inUse;
     const score = (one: string): number => computeRendezvousScore(flow, one);
     const best = pool.reduce((a, b) => (score(a) >= score(b) ? a : b));
@@ -61,22 +63,25 @@
     for (const host of this.balancers) {
       const { ready: port } = this.ports;
       const path = '/hallhold/ready';
-      const settle = (ok: boolean): void => {
+      const recordProbe = (ok: boolean): void => {
         this.misses.set(host, ok ? 0 : (this.misses.get(host) ?? 0) + 1);
       };
       let settled = false;
-      const once = (ok: boolean): void => {
+      const recordOnce = (ok: boolean): void => {
         if (!settled) {
           settled = true;
-          settle(ok);
+          recordProbe(ok);
         }
       };
-      const call = request({ host, port, path, agent: false, timeout: PROBE_TIMEOUT }, (answer) => {
-        answer.resume();
-        once(answer.statusCode === 200);
-      });
+      const call = request(
+        { host, port, path, agent: false, timeout: PROBE_TIMEOUT_MS },
+        (answer) => {
+          answer.resume();
+          recordOnce(answer.statusCode === 200);
+        },
+      );
       call.on('timeout', () => call.destroy());
-      call.on('error', () => once(false));
+      call.on('error', () => recordOnce(false));
       call.end();
     }
   }
--- a/test/soak/soak-target.ts
+++ b/test/soak/soak-target.ts
@@ -10,26 +10,26 @@
 import type { FlowKey, FlowPacket } from '../../src/packets/flow-packet';
 import type { ObservedTarget } from '../../src/simulation/packets/packet-invariant-checker';
 import { encodePacket, Flag, HEADER_BYTES, type ClusterPorts } from '../support/packet-cluster';
-import { isClientsOwn, seal } from './packet-seal';
+import { isUnalteredFromClient, writeChecksum } from './packet-seal';
 
-const HEARTBEAT_INTERVAL = 400;
-const HEARTBEAT_TIMEOUT = 1_000;
+const HEARTBEAT_INTERVAL_MS = 400;
+const HEARTBEAT_TIMEOUT_MS = 1_000;
 /** Milliseconds for which a target says that it is slow after its start. */
-export const COLD_TIME = 1_200;
+export const COLD_TIME_MS = 1_200;
 const SLOTS = 5;
 const SEQUENCE_RANGE = 2 ** 31;
-const WORK_TIME = 15;
+const SERVICE_TIME_MS = 15;
 /** Times as long as usual that a slow target works on a request. */
-const SLOWNESS = 8;
+const SLOW_FACTOR = 8;
 /** Parts of its requests that a failing target answers with an error, and resets. */
 const ERROR_SHARE = 0.3;
 const RESET_SHARE = 0.3;
 const REQUEST_ID = /X-Request-Id: (\S+)/;
 
-type End = readonly [string, number];
+type AddressAndPort = readonly [string, number];
 
 /** How a target treats requests; openings and heartbeats it answers as ever. */
-export type TargetConduct = 'usual' | 'slow' | 'failing';
+export type TargetBehaviour = 'usual' | 'slow' | 'failing';
 
 interface TargetFlow {
   /** Sequence number of the answer to the opening. */
@@ -43,13 +43,13 @@
 
 /** What a target tells the soak. */
 export interface SoakTargetObserver {
-  openingReached(target: ObservedTarget): void;
-  packetReached(target: ObservedTarget, flow: FlowKey): void;
-  flowOpened(target: ObservedTarget, packet: FlowPacket): void;
-  requestRan(target: ObservedTarget, text: string): void;
-  drainAcknowledged(target: ObservedTarget): void;
+  onOpeningPacket(target: ObservedTarget): void;
+  onPacket(target: ObservedTarget, flow: FlowKey): void;
+  onFlowOpened(target: ObservedTarget, packet: FlowPacket): void;
+  onRequest(target: ObservedTarget, text: string): void;
+  onDrainAcknowledged(target: ObservedTarget): void;
   /** A client's packet is not as the client wrote it. */
-  alteredReached(target: ObservedTarget, packet: FlowPacket): void;
+  onAlteredPacket(target: ObservedTarget, packet: FlowPacket): void;
 }
 
 /** The targets that follow each other at one machine. */
@@ -57,14 +57,14 @@
   incarnation = '';
   /** What it calls itself; differs from start to start unless it keeps its name. */
   private id = '';
-  private born = 0;
+  private startTime = 0;
   alive = false;
   /** Takes no new flow, as one whose queue is full. */
   full = false;
-  conduct: TargetConduct = 'usual';
+  behaviour: TargetBehaviour = 'usual';
   private draining = false;
   private drainKnown = false;
-  private beats = 0;
+  private heartbeatCount = 0;
   private flows = new Map<FlowKey, TargetFlow>();
   private socket: Socket | undefined;
   /** Shows agents that look that there is a target. */
@@ -84,20 +84,20 @@
   async start(keepsName = false): Promise<void> {
     this.incarnation = `${this.machine}-${++this.starts}`;
     this.id = keepsName ? this.id : this.incarnation;
-    this.born = Date.now();
+    this.startTime = Date.now();
     this.draining = this.drainKnown = this.full = false;
-    this.conduct = 'usual';
-    this.beats = 0;
+    this.behaviour = 'usual';
+    this.heartbeatCount = 0;
     this.flows = new Map();
     const socket = createSocket('udp4');
     await new Promise<void>((done) => socket.bind(this.ports.application, this.machine, done));
-    socket.on('message', (bytes) => this.take(bytes));
+    socket.on('message', (bytes) => this.handlePacket(bytes));
     this.socket = socket;
     this.listener = createServer((stream) => stream.destroy());
     this.listener.listen(this.ports.application, this.machine);
     this.alive = true;
-    this.timer = setInterval(() => this.beat(), HEARTBEAT_INTERVAL);
-    this.beat();
+    this.timer = setInterval(() => this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
+    this.sendHeartbeat();
   }
 
   /** Ends without a word. */
@@ -111,12 +111,12 @@
 
   drain(): void {
     this.draining = true;
-    this.beat();
+    this.sendHeartbeat();
   }
 
   /** Ends as planned: says that it leaves, then is gone. */
   leave(): void {
-    this.call('DELETE', JSON.stringify({ born: this.born }), () => undefined);
+    this.sendControlRequest('DELETE', JSON.stringify({ born: this.startTime }), () => undefined);
     this.crash();
   }
 
@@ -124,18 +124,18 @@
     return this.alive && this.flows.get(flow)?.open === true;
   }
 
-  get judged(): ObservedTarget {
+  get observed(): ObservedTarget {
     return { incarnation: this.incarnation, service: this.service };
   }
 
   /** Another program sends what looks like a heartbeat of this target. */
-  sendForeignBeat(fields: object): void {
+  sendForeignHeartbeat(fields: object): void {
     const body = { service: this.service, slots: SLOTS, state: 'draining', seq: 1_000_000 };
-    this.call('PUT', JSON.stringify({ ...body, ...fields }), () => undefined);
+    this.sendControlRequest('PUT', JSON.stringify({ ...body, ...fields }), () => undefined);
   }
 
-  private beat(): void {
-    const { judged, draining } = this;
+  private sendHeartbeat(): void {
+    const { observed, draining } = this;
     const body = JSON.stringify({
       service: this.service,
       addr: `${this.machine}:${this.ports.application}`,
@@ -143,24 +143,28 @@
       version: 'v1',
       slots: SLOTS,
       state: draining ? 'draining' : 'ready',
-      'cold-left-ms': Math.max(0, COLD_TIME - (Date.now() - this.born)),
-      seq: ++this.beats,
-      born: this.born,
+      'cold-left-ms': Math.max(0, COLD_TIME_MS - (Date.now() - this.startTime)),
+      seq: ++this.heartbeatCount,
+      born: this.startTime,
     });
-    this.call('PUT', body, (status) => {
+    this.sendControlRequest('PUT', body, (status) => {
       if (
         status === 200 &&
         draining &&
         !this.drainKnown &&
-        judged.incarnation === this.incarnation
+        observed.incarnation === this.incarnation
       ) {
         this.drainKnown = true;
-        this.observer.drainAcknowledged(judged);
+        this.observer.onDrainAcknowledged(observed);
       }
     });
   }
 
-  private call(method: string, body: string, answered: (status: number) => void): void {
+  private sendControlRequest(
+    method: string,
+    body: string,
+    onStatus: (status: number) => void,
+  ): void {
     const call = request(
       {
         host: this.machine,
@@ -169,11 +173,11 @@
         path: `/hallhold/instances/${this.id}`,
         headers: { 'Content-Length': Buffer.byteLength(body) },
         agent: false,
-        timeout: HEARTBEAT_TIMEOUT,
+        timeout: HEARTBEAT_TIMEOUT_MS,
       },
       (response) => {
         response.resume();
-        answered(response.statusCode ?? 0);
+        onStatus(response.statusCode ?? 0);
       },
     );
     call.on('timeout', () => call.destroy());
@@ -181,99 +185,99 @@
     call.end(body);
   }
 
-  private take(bytes: Buffer): void {
+  private handlePacket(bytes: Buffer): void {
     const packet = packetFormat.decodeFromClient(bytes);
     if (!packet || !this.alive) {
       return;
     }
-    if (!isClientsOwn(bytes) || packet.refused) {
-      this.observer.alteredReached(this.judged, packet);
+    if (!isUnalteredFromClient(bytes) || packet.refused) {
+      this.observer.onAlteredPacket(this.observed, packet);
     }
     const flow = this.flows.get(packet.flow);
     if (packet.opens) {
-      this.observer.openingReached(this.judged);
-      this.open(packet, flow);
+      this.observer.onOpeningPacket(this.observed);
+      this.openFlow(packet, flow);
       return;
     }
-    this.observer.packetReached(this.judged, packet.flow);
+    this.observer.onPacket(this.observed, packet.flow);
     if (!flow || (!flow.open && packet.acknowledgement !== flow.sequence + 1)) {
-      this.giveBack(packet);
+      this.rejectPacket(packet);
     } else if (packet.resets || packet.ends) {
       this.flows.delete(packet.flow);
     } else {
-      this.takeHeld(packet, flow);
+      this.handleFlowPacket(packet, flow);
     }
   }
 
-  private open(packet: FlowPacket, known: TargetFlow | undefined): void {
+  private openFlow(packet: FlowPacket, known: TargetFlow | undefined): void {
     if (this.full && !known) {
-      this.giveBack(packet);
+      this.rejectPacket(packet);
       return;
     }
     const sequence = Math.floor(this.random() * SEQUENCE_RANGE);
     const created = { sequence, next: sequence + 1, open: false, answers: new Map() };
     const flow: TargetFlow = known ?? created;
     this.flows.set(packet.flow, flow);
-    this.output(this.encode(packet, Flag.syn | Flag.ack, flow.sequence));
+    this.sendPacket(this.encode(packet, Flag.syn | Flag.ack, flow.sequence));
   }
 
-  private takeHeld(packet: FlowPacket, flow: TargetFlow): void {
+  private handleFlowPacket(packet: FlowPacket, flow: TargetFlow): void {
     if (!flow.open) {
       flow.open = true;
-      this.observer.flowOpened(this.judged, packet);
+      this.observer.onFlowOpened(this.observed, packet);
     }
     if (packet.payloadLength === 0) {
       return;
     }
     if (flow.answers.has(packet.sequence)) {
-      this.output(flow.answers.get(packet.sequence));
+      this.sendPacket(flow.answers.get(packet.sequence));
       return;
     }
-    const fate = this.conduct === 'failing' ? this.random() : 1;
-    if (fate < RESET_SHARE) {
+    const outcome = this.behaviour === 'failing' ? this.random() : 1;
+    if (outcome < RESET_SHARE) {
       this.flows.delete(packet.flow);
-      this.output(this.encode(packet, Flag.rst, flow.next));
+      this.sendPacket(this.encode(packet, Flag.rst, flow.next));
       return;
     }
     flow.answers.set(packet.sequence, undefined);
     const text = packet.bytes.toString('utf8', HEADER_BYTES);
-    this.observer.requestRan(this.judged, text);
+    this.observer.onRequest(this.observed, text);
     const { incarnation } = this;
-    const status = fate < RESET_SHARE + ERROR_SHARE ? '503 Service Unavailable' : '200 OK';
+    const status = outcome < RESET_SHARE + ERROR_SHARE ? '503 Service Unavailable' : '200 OK';
     const answer = `HTTP/1.1 ${status}\r\n\r\nanswer to ${REQUEST_ID.exec(text)?.[1] ?? ''}`;
-    const workTime = WORK_TIME * (this.conduct === 'slow' ? SLOWNESS : 1);
+    const serviceTime = SERVICE_TIME_MS * (this.behaviour === 'slow' ? SLOW_FACTOR : 1);
     setTimeout(
       () => {
         if (this.alive && incarnation === this.incarnation) {
-          this.answer(packet, flow, answer);
+          this.sendAnswer(packet, flow, answer);
         }
       },
-      workTime * (0.5 + this.random()),
+      serviceTime * (0.5 + this.random()),
     );
   }
 
   /** The answer is kept as it is; the flow stays until its client ends it. */
-  private answer(packet: FlowPacket, flow: TargetFlow, text: string): void {
+  private sendAnswer(packet: FlowPacket, flow: TargetFlow, text: string): void {
     const flags = Flag.ack | (this.draining ? Flag.fin : 0);
     const bytes = this.encode(packet, flags, flow.next, text);
     flow.next += text.length;
     flow.answers.set(packet.sequence, bytes);
-    this.output(bytes);
+    this.sendPacket(bytes);
   }
 
-  private giveBack(packet: FlowPacket): void {
+  private rejectPacket(packet: FlowPacket): void {
     packet.bytes[30]! |= Flag.bounced;
-    this.output(packet.bytes);
+    this.sendPacket(packet.bytes);
   }
 
   private encode(packet: FlowPacket, flags: number, sequence: number, text = ''): Buffer {
     const { bytes } = packet;
-    const client: End = [bytes.subarray(2, 6).join('.'), bytes.readUInt16BE(0)];
-    const route: End = [bytes.subarray(8, 12).join('.'), bytes.readUInt16BE(6)];
-    return seal(encodePacket(route, client, flags, sequence, packet.sequence, text));
+    const client: AddressAndPort = [bytes.subarray(2, 6).join('.'), bytes.readUInt16BE(0)];
+    const route: AddressAndPort = [bytes.subarray(8, 12).join('.'), bytes.readUInt16BE(6)];
+    return writeChecksum(encodePacket(route, client, flags, sequence, packet.sequence, text));
   }
 
-  private output(bytes: Buffer | undefined): void {
+  private sendPacket(bytes: Buffer | undefined): void {
     if (bytes) {
       this.socket?.send(bytes, this.ports.outbound, this.machine);
     }
--- a/test/soak/soak-world.ts
+++ b/test/soak/soak-world.ts
@@ -17,29 +17,29 @@
 import { SeededRandom } from '../../src/simulation/seeded-random';
 import { ObjectApiStandin, type StoreBackup } from '../support/object-api-standin';
 import type { ClusterPorts } from '../support/packet-cluster';
-import { FrameSwitch, USUAL_LOSS } from './frame-switch';
-import { isTargetsOwn } from './packet-seal';
+import { FrameSwitch, DEFAULT_LOSS } from './frame-switch';
+import { isUnalteredFromTarget } from './packet-seal';
 import { SoakClient, type SoakClientState } from './soak-client';
 import { SoakProcess } from './soak-process';
 import { SoakRouter } from './soak-router';
-import { COLD_TIME, SoakTarget } from './soak-target';
+import { COLD_TIME_MS, SoakTarget } from './soak-target';
 import { StoreGate } from './store-gate';
 
 const BASE_PORT = 24_000;
-const STOP_TIME = 3_000;
-const SECOND = 1_000;
+const STOP_TIME_MS = 3_000;
+const SECOND_MS = 1_000;
 /** Copies of the store kept, one for each fault: the oldest is some six seconds old. */
-const COPIES_KEPT = 4;
-const CLIENT_PORTS = 20_000;
+const MAXIMUM_BACKUPS = 4;
+const CLIENT_PORT_COUNT = 20_000;
 const FIRST_CLIENT_PORT = 40_000;
 /** A request's id, which begins with its client's address. */
 const REQUEST_ID = /X-Request-Id: ((\d+)\/\S+)/;
 /** Milliseconds after which callers give up on a request. */
-const DEADLINE = 3_000;
-const BALANCERS = 3;
+const REQUEST_TIMEOUT_MS = 3_000;
+const BALANCER_COUNT = 3;
 /** Index of the balancer that may use so little that it relays. */
-const WEAK_BALANCER = 2;
-const WEAK_SHARE = 0.05;
+const LOW_CPU_BALANCER_INDEX = 2;
+const LOW_CPU_SHARE = 0.05;
 const SERVICES = ['map', 'map', 'map', 'map', 'tiles', 'tiles'] as const;
 const ZONES = ['north', 'south', 'east'] as const;
 const METRICS_PORT = BASE_PORT + 6;
@@ -56,7 +56,7 @@
 export const MAP_ROUTE = packEndpoint('198.18.0.1', 8_443);
 export const TILES_ROUTE = packEndpoint('198.18.0.2', 8_443);
 /** A route that configurations add and drop. */
-export const PASSING_ROUTE = packEndpoint('198.18.0.3', 8_443);
+export const OPTIONAL_ROUTE = packEndpoint('198.18.0.3', 8_443);
 
 /** A machine of the soak. */
 export interface SoakMachine {
@@ -73,11 +73,11 @@
 }
 
 /** The deployment. */
-export class SoakWorld {
+export class SoakDeployment {
   readonly random: SeededRandom;
   /** A stream of its own, so that a seed always draws the same faults. */
   readonly faultRandom: SeededRandom;
-  readonly judge = new PacketInvariantChecker({
+  readonly checker = new PacketInvariantChecker({
     get now() {
       return performance.now();
     },
@@ -87,7 +87,7 @@
   readonly store = new ObjectApiStandin();
   readonly balancers: SoakMachine[] = [];
   readonly agents: SoakAgentMachine[] = [];
-  readonly ended: Record<SoakClientState, number> = {
+  readonly endedFlows: Record<SoakClientState, number> = {
     opening: 0,
     open: 0,
     done: 0,
@@ -105,7 +105,7 @@
   private router: SoakRouter | undefined;
   private nextClient = 0;
   private latestTable: unknown;
-  private readonly copies: StoreBackup[] = [];
+  private readonly backups: StoreBackup[] = [];
   private version = 0;
 
   /** @param network second byte of all loopback addresses, which keeps runs apart */
@@ -121,18 +121,18 @@
 
   async start(): Promise<void> {
     this.configure(false);
-    for (let index = 0; index < BALANCERS; index++) {
+    for (let index = 0; index < BALANCER_COUNT; index++) {
       this.balancers.push(await this.createMachine('balancer', index, undefined));
     }
     for (const [index, service] of SERVICES.entries()) {
       const machine = await this.createMachine('agent', index, service);
       const target = new SoakTarget(machine.machine, service, PORTS, () => this.random.next(), {
-        openingReached: (one) => this.judge.checkOpening(one, machine.name),
-        packetReached: (one, flow) => this.judge.checkPacket(one, flow, this.flowHolder(flow)),
-        flowOpened: (one, packet) => this.flowOpened(one, machine.name, packet.client),
-        requestRan: (one, text) => this.requestRan(one, text),
-        drainAcknowledged: (one) => this.judge.recordDrainAcknowledged(one),
-        alteredReached: (one, packet) =>
+        onOpeningPacket: (one) => this.checker.checkOpening(one, machine.name),
+        onPacket: (one, flow) => this.checker.checkPacket(one, flow, this.findFlowHolder(flow)),
+        onFlowOpened: (one, packet) => this.handleFlowOpened(one, machine.name, packet.client),
+        onRequest: (one, text) => this.handleRequest(one, text),
+        onDrainAcknowledged: (one) => this.checker.recordDrainAcknowledged(one),
+        onAlteredPacket: (one, packet) =>
           this.altered.push(`at ${one.incarnation}: ${packet.bytes.toString('hex')}`),
       });
       this.agents.push({ ...machine, target });
@@ -142,8 +142,8 @@
       this.clientMachine,
       hosts,
       PORTS,
-      (port, bytes) => this.packetReachedClient(port, bytes),
-      () => this.random.next() < USUAL_LOSS,
+      (port, bytes) => this.deliverToClient(port, bytes),
+      () => this.random.next() < DEFAULT_LOSS,
     );
     await this.router.start();
     [...this.balancers, ...this.agents].forEach(({ process }) => process.start());
@@ -161,13 +161,13 @@
   }
 
   /** Writes the next version of the configuration, with the passing route or without it. */
-  configure(withPassingRoute: boolean): void {
+  configure(withOptionalRoute: boolean): void {
     const services = new Map([
       [MAP_ROUTE, 'map'],
       [TILES_ROUTE, 'tiles'],
     ]);
-    if (withPassingRoute) {
-      services.set(PASSING_ROUTE, 'map');
+    if (withOptionalRoute) {
+      services.set(OPTIONAL_ROUTE, 'map');
     }
     this.version += 3;
     this.latestTable = {
@@ -176,16 +176,25 @@
         const [host, port] = formatEndpoint(destination).split(':');
         // Requests that may run twice: balancers then try targets that they have set aside.
         const type = 'safe';
-        const isUrgent = destination === PASSING_ROUTE;
-        const terms = { priority: isUrgent ? 1 : 2, 'slo-ms': 300, 'timeout-ms': DEADLINE };
+        const isUrgent = destination === OPTIONAL_ROUTE;
+        const terms = {
+          priority: isUrgent ? 1 : 2,
+          'slo-ms': 300,
+          'timeout-ms': REQUEST_TIMEOUT_MS,
+        };
         const place = { name: `route-${port}`, host, 'path-prefix': `/${port}/` };
         return { ...place, service, type, ...terms };
       }),
-      services: ['map', 'tiles'].map((name) => ({ name, 'cold-start-s': COLD_TIME / SECOND })),
+      services: ['map', 'tiles'].map((name) => ({
+        name,
+        'cold-start-s': COLD_TIME_MS / SECOND_MS,
+      })),
       limits: {},
     };
     this.writeTable();
-    this.judge.recordConfiguration(new Map([...services].map(([to, service]) => [to, [service]])));
+    this.checker.recordConfiguration(
+      new Map([...services].map(([to, service]) => [to, [service]])),
+    );
   }
 
   /** The operator writes its latest configuration, for the first time or again. */
@@ -194,19 +203,19 @@
   }
 
   /** Keeps a copy of the store, the latest few of them. */
-  keepCopy(): void {
-    this.copies.push(this.store.createBackup());
-    this.copies.splice(0, this.copies.length - COPIES_KEPT);
+  createBackup(): void {
+    this.backups.push(this.store.createBackup());
+    this.backups.splice(0, this.backups.length - MAXIMUM_BACKUPS);
   }
 
   /** The store comes back from one of its copies. */
-  returnStore(): void {
-    this.store.restoreFrom(this.faultRandom.pick(this.copies));
+  restoreStore(): void {
+    this.store.restoreFrom(this.faultRandom.pick(this.backups));
   }
 
   /** Opens one flow; the returned client goes on by itself. */
   openFlow(destination: Endpoint, requests: number, pause: number): SoakClient {
-    const port = FIRST_CLIENT_PORT + (this.nextClient++ % CLIENT_PORTS);
+    const port = FIRST_CLIENT_PORT + (this.nextClient++ % CLIENT_PORT_COUNT);
     const plan = {
       client: packEndpoint(this.clientMachine, port),
       destination,
@@ -218,9 +227,9 @@
       () => performance.now(),
       (packet) => this.router?.route(packet),
       {
-        answerCame: (_one, expected, answered) => this.judge.checkAnswer(expected, answered),
-        wasReset: (one) => this.clientReset(one),
-        ended: (one) => void this.ended[one.state]++,
+        onAnswer: (_one, expected, answered) => this.checker.checkAnswer(expected, answered),
+        onReset: (one) => this.handleClientReset(one),
+        onEnd: (one) => void this.endedFlows[one.state]++,
       },
     );
     this.clients.set(port, client);
@@ -229,9 +238,9 @@
   }
 
   /** Ends of processes that nobody asked for. */
-  get ownEnds(): number {
+  get unexpectedExits(): number {
     return [...this.balancers, ...this.agents].reduce(
-      (sum, { process }) => sum + process.ownEnds,
+      (sum, { process }) => sum + process.unexpectedExits,
       0,
     );
   }
@@ -240,16 +249,16 @@
    * Agents whose targets have opened no flow since a time; without those in the zone of the weak
    * balancer: it relays, and balancers of other zones keep flows at home while there is little load.
    */
-  idleAgents(since: number): string[] {
-    const weakZone = this.balancers[WEAK_BALANCER]!.process.settings.zone;
+  findIdleAgents(since: number): string[] {
+    const lowCpuZone = this.balancers[LOW_CPU_BALANCER_INDEX]!.process.settings.zone;
     return this.agents
-      .filter(({ process }) => process.settings.zone !== weakZone)
+      .filter(({ process }) => process.settings.zone !== lowCpuZone)
       .map(({ name }) => name)
       .filter((name) => (this.openedAt.get(name) ?? -Infinity) < since);
   }
 
-  private packetReachedClient(port: number, bytes: Buffer): void {
-    if (!isTargetsOwn(bytes)) {
+  private deliverToClient(port: number, bytes: Buffer): void {
+    if (!isUnalteredFromTarget(bytes)) {
       this.altered.push(`at client ${port}: ${bytes.toString('hex')}`);
     }
     this.clients.get(port)?.receive(bytes);
@@ -280,8 +289,8 @@
       controlAddress: `${machine}:${PORTS.control}`,
       storeAddress: await gate.start(),
       seeds: `127.${this.network}.11.1:1,127.${this.network}.11.2:1`,
-      stopTime: STOP_TIME,
-      processorShare: !isAgent && index === WEAK_BALANCER ? WEAK_SHARE : 1,
+      stopTime: STOP_TIME_MS,
+      processorShare: !isAgent && index === LOW_CPU_BALANCER_INDEX ? LOW_CPU_SHARE : 1,
       processors: 1,
       metrics: `${METRICS_PORT}/metrics`,
     };
@@ -289,37 +298,39 @@
     return { name, machine, advertised, process, gate };
   }
 
-  private flowHolder(flow: FlowKey): FlowHolder | undefined {
+  private findFlowHolder(flow: FlowKey): FlowHolder | undefined {
     const holder = this.agents.find(({ target }) => target.holds(flow));
-    return holder && { target: holder.target.judged, processes: this.processesTo(holder.name) };
+    return (
+      holder && { target: holder.target.observed, processes: this.listProcessesTo(holder.name) }
+    );
   }
 
   /** Names of the processes that a packet to an agent's target may pass. */
-  private processesTo(agent: string): string[] {
+  private listProcessesTo(agent: string): string[] {
     return [...this.balancers.map(({ name }) => name), agent];
   }
 
-  private clientAt(address: Endpoint): SoakClient | undefined {
+  private findClient(address: Endpoint): SoakClient | undefined {
     return this.clients.get(getEndpointPort(address));
   }
 
-  private flowOpened(target: ObservedTarget, agent: string, from: Endpoint): void {
+  private handleFlowOpened(target: ObservedTarget, agent: string, from: Endpoint): void {
     this.openedAt.set(agent, performance.now());
-    const client = this.clientAt(from);
+    const client = this.findClient(from);
     if (client) {
       const { destination } = client.plan;
-      const processes = this.processesTo(agent);
-      this.judge.checkOpenedFlow(destination, target.service, client.startedAt, processes);
+      const processes = this.listProcessesTo(agent);
+      this.checker.checkOpenedFlow(destination, target.service, client.startedAt, processes);
     }
   }
 
-  private requestRan(target: ObservedTarget, text: string): void {
+  private handleRequest(target: ObservedTarget, text: string): void {
     const [, id = text, from = 0] = REQUEST_ID.exec(text) ?? [];
-    this.judge.checkRequest(target, id, this.clientAt(Number(from)));
+    this.checker.checkRequest(target, id, this.findClient(Number(from)));
   }
 
-  private clientReset(client: SoakClient): void {
-    const holder = this.flowHolder(client.flow);
-    this.judge.checkReset(client, holder !== undefined, holder?.processes);
+  private handleClientReset(client: SoakClient): void {
+    const holder = this.findFlowHolder(client.flow);
+    this.checker.checkReset(client, holder !== undefined, holder?.processes);
   }
 }
--- a/test/soak/store-gate.ts
+++ b/test/soak/store-gate.ts
@@ -3,8 +3,8 @@
 import type { AddressInfo } from 'node:net';
 import type { ObjectApiStandin } from '../support/object-api-standin';
 
-const SLOW = 400;
-const LATE = 900;
+const SLOW_DELAY_MS = 400;
+const LATE_WRITE_DELAY_MS = 900;
 
 /** How a gate treats calls. */
 export const GateModes = [
@@ -23,12 +23,12 @@
 
 const TREATMENTS: Readonly<Record<GateMode, Treatment>> = {
   serving: (gate, call, response) => gate.store.handleCall(call, response),
-  unavailable: (_gate, call, response) => refuse(call, response, 503),
-  throttled: (_gate, call, response) => refuse(call, response, 429),
+  unavailable: (_gate, call, response) => sendError(call, response, 503),
+  throttled: (_gate, call, response) => sendError(call, response, 429),
   reset: (_gate, call) => call.socket.resetAndDestroy(),
   silent: (_gate, call) => void call.resume(),
   slow: (gate, call, response) =>
-    void setTimeout(() => gate.store.handleCall(call, response), SLOW).unref(),
+    void setTimeout(() => gate.store.handleCall(call, response), SLOW_DELAY_MS).unref(),
   'answers lost': (gate, call, response) => {
     response.end = () => response;
     gate.store.handleCall(call, response);
@@ -36,11 +36,14 @@
   'writes late': (gate, call, response) => {
     const isWrite = call.method !== 'GET';
     response.end = isWrite ? () => response : response.end;
-    setTimeout(() => gate.store.handleCall(call, response), isWrite ? LATE : 0).unref();
+    setTimeout(
+      () => gate.store.handleCall(call, response),
+      isWrite ? LATE_WRITE_DELAY_MS : 0,
+    ).unref();
   },
 };
 
-function refuse(call: IncomingMessage, response: ServerResponse, status: number): void {
+function sendError(call: IncomingMessage, response: ServerResponse, status: number): void {
   call.resume();
   response.writeHead(status, { 'Content-Type': 'application/json' });
   response.end('{}');
