--- a/src/bench/balance-cluster.ts
+++ b/src/bench/balance-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * The cluster of the balance bench: the real balancer and agent classes with real encoded
- * frames over the virtual network, without back ends or callers.
+ * Cluster of the balance benchmark: the production balancer and agent classes exchange encoded
+ * frames over the virtual network; back ends and callers are stubbed.
  */
 import type { PlacementPolicy } from '../agent/agent-context';
 import { AgentNode } from '../agent/agent-node';
@@ -22,12 +22,12 @@
 const ZONE_DELAY_MS = 5;
 const FRAME_PORT = 7_000;
 const LEARNT_FLOWS = 50_000;
-/** Flows end when they are told to. */
+/** No flow times out: flows end only by `endFlow`. */
 const FLOW_IDLE_MS = 1e9;
 const SEED_PEER_COUNT = 5;
 const KEY = { id: 1, secret: Buffer.from('balance-cluster-secret') };
 
-/** A node with its place. */
+/** A node with its address and zone. */
 interface BenchNode {
   readonly name: string;
   readonly endpoint: Endpoint;
@@ -45,14 +45,14 @@
   node: AgentNode;
 }
 
-/** What a cluster is made of. */
+/** Size and policies of a cluster. */
 export interface BenchShape {
   readonly balancers: number;
   readonly targets: number;
   readonly services: number;
-  /** Share of a service's target by its number from 0. */
+  /** Share of a service's target by its zero-based number. */
   readonly shareOf?: (number: number) => number;
-  /** Ways of routing and placing other than hallhold's own, for comparison. */
+  /** Replaces hallhold's routing and placement by a baseline. */
   readonly routing?: RoutingFactory;
   readonly place?: PlacementPolicy;
   readonly hostsAnyFlow?: boolean;
@@ -81,7 +81,7 @@
     this.network = new SimulatedNetwork(this.clock, this.random, delays, () => undefined);
   }
 
-  /** Creates all nodes with members and tables known, as after a long run; starts them. */
+  /** Creates and starts all nodes with converged membership and tables. */
   start(): void {
     this.createTables();
     this.createBalancers();
@@ -93,7 +93,7 @@
     this.clock.runUntil(this.clock.now + seconds * 1_000);
   }
 
-  /** Puts a changed table in at one balancer, as a store reader would. */
+  /** Applies a changed table at one random running balancer, as its store reader would. */
   changeTable(
     change: (row: TableRow, index: number) => TableRow = (row, index) =>
       index === 0 ? { ...row, share: 2 } : row,
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Number of the region of a zone. */
+  /** Returns the region number of a zone. */
   getRegion(zone: string): number {
     return Number(zone.slice('zone-'.length)) % REGION_COUNT;
   }
@@ -139,7 +139,7 @@
     return Array.from({ length: ZONE_COUNT }, (_, index) => `zone-${index}`);
   }
 
-  /** Services get six or seven targets each, spread over the zones of one region. */
+  /** Spreads each service's targets over the zones of one region. */
   private createTables(): void {
     const { targets, services } = this.shape;
     for (let index = 0; index < targets; index++) {
@@ -185,7 +185,7 @@
     }
   }
 
-  /** With members and tables as after a long run. */
+  /** Starts a balancer with converged membership and tables. */
   private startBalancer(balancer: BenchBalancer): void {
     const process = this.createProcess(balancer);
     balancer.process = process;
--- a/src/bench/balance.ts
+++ b/src/bench/balance.ts
@@ -1,6 +1,6 @@
 /**
- * Balance over hours of virtual time: flows of skewed length arriving steadily or in
- * bursts, with a drain and return, beside the baselines and an oracle in one run.
+ * Balance benchmark over hours of virtual time: flows of Pareto-distributed length arrive
+ * steadily or in bursts while a target drains and returns; compares baselines and an oracle.
  */
 import { chooseTarget, type PlacementCandidate } from '../core/placement';
 import { packEndpoint } from '../core/endpoint';
@@ -18,31 +18,31 @@
 const BURST_FLOWS = 60;
 const SECOND_MS = 1_000;
 const STEP_SECONDS = 1;
-/** Milliseconds that a placed datagram is on its way, about one zone's delay. */
+/** Transit time of a placed datagram, about one zone's delay. */
 const IN_FLIGHT_MS = 5.2;
 
-/** Ways of placing that are compared. */
+/** Placement designs that are compared. */
 export const BALANCE_DESIGNS = ['hash', 'hash-and-table', 'fewest', 'hallhold', 'oracle'] as const;
 export type BalanceDesign = (typeof BALANCE_DESIGNS)[number];
 
-/** How flows arrive. */
+/** Arrival pattern of flows. */
 export type ArrivalPattern = 'steady' | 'bursts';
 
-/** What one design gave; largest over mean of flows per share, over time. */
+/** Result of one design; imbalance is the largest over the mean of flows per share. */
 export interface BalanceResult {
   readonly design: BalanceDesign;
   readonly pattern: ArrivalPattern;
   readonly mean: number;
   readonly p99: number;
   readonly flowsOpened: number;
-  /** Flows whose probe at their end reached another target than their first datagram. */
+  /** Flows whose last datagram reached another target than their first one. */
   readonly flowsMoved: number;
 }
 
 /** Options of one run. */
 export interface BalanceOptions {
   readonly targets: number;
-  /** Hours of virtual time, after an hour of warming up. */
+  /** Hours of virtual time, after one hour of warm-up. */
   readonly hours: number;
   readonly seed: number;
 }
@@ -64,9 +64,9 @@
 class BalanceRun {
   private readonly cluster: BalanceCluster;
   private readonly samples: number[] = [];
-  /** Its own stream, so that every design meets the same arrivals and lengths. */
+  /** Separate random stream, so that every design gets the same arrivals and lengths. */
   private readonly arrivals: SeededRandom;
-  /** The oracle's placements whose first datagram has not arrived yet. */
+  /** The oracle's placements whose first datagram is in flight. */
   private inFlight: { readonly endpoint: Endpoint; readonly until: number }[] = [];
   private opened = 0;
   private moved = 0;
@@ -129,7 +129,7 @@
     return undefined;
   }
 
-  /** Knows every count at once, also of placements that are still under way. */
+  /** Places by exact flow counts, including placements in flight. */
   private chooseAsOracle(
     candidates: readonly PlacementCandidate[],
     tieBreak: number,
@@ -186,7 +186,7 @@
     this.cluster.clock.schedule(length * SECOND_MS, () => this.endFlow(caller));
   }
 
-  /** Probes where the flow is now, then ends it there. */
+  /** Sends a last datagram to find the flow's current target, then ends the flow there. */
   private endFlow(caller: Endpoint): void {
     const began = this.cluster.deliveredAt.get(caller);
     this.cluster.sendDatagram('service-0', caller);
--- a/src/bench/collect-garbage.ts
+++ b/src/bench/collect-garbage.ts
@@ -1,11 +1,11 @@
-/** Heap measurement: full collections on demand, without a flag on the command line. */
+/** Heap measurement with forced full collections; needs no --expose-gc on the command line. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Bytes in use after full collections: heap, and memory of buffers outside of it. */
+/** Returns the bytes in use after full collections: heap plus external buffers. */
 export function measureBytesInUse(): number {
   collectGarbage();
   collectGarbage();
--- a/src/bench/datapath-load.ts
+++ b/src/bench/datapath-load.ts
@@ -1,6 +1,6 @@
 /**
- * The load of the data path bench, on a thread of its own: callers and an echoing back
- * end, so that the thread under test carries nothing but the path.
+ * Load generator of the data path benchmark: callers and an echo back end on a worker thread,
+ * so that the thread under test runs only the path.
  */
 import { parentPort, workerData } from 'node:worker_threads';
 import { build } from 'hdr-histogram-js';
@@ -13,23 +13,23 @@
 const LOSS_TIMEOUT_MS = 200;
 const WARM_UP_MS = 500;
 
-/** What the thread is told. */
+/** Options of one load run, sent to the worker thread. */
 export interface LoadOptions {
-  /** Where callers send. */
+  /** Endpoint to which callers send. */
   readonly to: Endpoint;
   readonly address: string;
   readonly callers: number;
-  /** Datagrams under way at once, over all callers. */
+  /** Datagrams in flight at once, over all callers. */
   readonly window: number;
   readonly milliseconds: number;
 }
 
-/** What it measured. */
+/** Result of one load run. */
 export interface LoadResult {
   readonly roundTrips: number;
   readonly lost: number;
   readonly seconds: number;
-  /** Microseconds. */
+  /** Round trip in microseconds. */
   readonly p50: number;
   readonly p99: number;
 }
--- a/src/bench/datapath.ts
+++ b/src/bench/datapath.ts
@@ -1,8 +1,8 @@
 /**
- * The data path beside a bare UDP relay with the same hops, in one run: packets a
- * second, added latency, new flows a second, bytes held per known flow.
+ * Compares the data path with a bare UDP relay of as many hops: packets per second, added
+ * latency, new flows per second, bytes per known flow.
  *
- * Callers and back end run on a thread of their own; both paths run on this thread.
+ * Callers and back end run on a worker thread; both paths run on this thread.
  */
 import { join } from 'node:path';
 import { Worker } from 'node:worker_threads';
@@ -33,30 +33,30 @@
 const KEY = { id: 1, secret: Buffer.from('bench-cluster-secret') };
 const MICROSECONDS_PER_SECOND = 1e6;
 
-/** The report; the shape of the JSON line. */
+/** Report of the benchmark, printed as the JSON line. */
 export interface DatapathReport {
   readonly relay: PathResult;
   readonly hallhold: PathResult;
-  /** Packets a second of hallhold over those of the relay. */
+  /** Packets per second of hallhold divided by those of the relay. */
   readonly throughputRatio: number;
-  /** Microseconds that hallhold adds to the relay's round trip, one datagram at a time. */
+  /** Microseconds that hallhold adds to the relay's round trip, with one datagram in flight. */
   readonly addedMicroseconds: { readonly p50: number; readonly p99: number };
   readonly newFlowsPerSecond: number;
   readonly flowsHeld: number;
   readonly bytesPerFlow: { readonly balancer: number; readonly agent: number };
 }
 
-/** Figures of one path: medians over the rounds. */
+/** Result of one path: medians over the rounds, and the sum of lost datagrams. */
 export interface PathResult {
-  /** Datagrams a second through the path, both directions. */
+  /** Datagrams per second through the path, both directions. */
   readonly packetsPerSecond: number;
-  /** Round trip of one datagram at a time, in microseconds. */
+  /** Round trip with one datagram in flight, in microseconds. */
   readonly p50: number;
   readonly p99: number;
   readonly lost: number;
 }
 
-/** Environment without log, for a bench. */
+/** Environment that discards log lines. */
 class BenchEnvironment implements Environment {
   private readonly timers = new Set<NodeJS.Timeout>();
 
@@ -78,7 +78,7 @@
   }
 
   report(): void {
-    // A bench has no log.
+    // Benchmarks write no log.
   }
 
   close(): void {
@@ -86,7 +86,7 @@
   }
 }
 
-/** Our balancer and agent on real sockets in this thread. */
+/** Balancer and agent on real sockets in this thread. */
 class HallholdPath {
   private readonly environment = new BenchEnvironment();
   balancer!: BalancerNode;
@@ -95,7 +95,7 @@
   private balancerFrames!: UdpSocket;
   private agentFrames!: UdpSocket;
 
-  /** @param onAnswer counts replies to callers instead of sending them, when given */
+  /** @param onAnswer when given, receives answers to callers in place of the caller socket */
   async start(backend: BackendPort, onAnswer?: (caller: Endpoint) => void): Promise<void> {
     const bind = async (handler: (payload: Buffer, from: Endpoint) => void): Promise<UdpSocket> =>
       (await UdpSocket.bind(ADDRESS, 0, handler)).unwrap();
@@ -178,7 +178,7 @@
   }
 }
 
-/** A back end in memory: answers at once on the same flow. */
+/** Creates an in-memory back end that echoes each datagram on its flow. */
 function createEchoBackend(getAgent: () => AgentNode): BackendPort {
   return {
     sendMessage: () => undefined,
@@ -187,7 +187,7 @@
   };
 }
 
-/** The thread that makes the load. */
+/** Handle of the load generator's thread. */
 class LoadThread {
   private constructor(
     private readonly worker: Worker,
@@ -221,12 +221,12 @@
   }
 }
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function benchDatapath(
   reportProgress: (line: string) => void,
 ): Promise<DatapathReport> {
   const { relay, hallhold } = await comparePaths(reportProgress);
-  reportProgress('new flows a second');
+  reportProgress('new flows per second');
   const newFlowsPerSecond = await measureNewFlowRate();
   reportProgress(`memory of ${FLOWS_HELD} flows`);
   const bytesPerFlow = await measureBytesPerFlow();
@@ -241,7 +241,7 @@
   };
 }
 
-/** Rounds of both paths in turn, so that a change of the machine's load meets both. */
+/** Alternates rounds of both paths, so that a change of the machine's load affects both. */
 async function comparePaths(
   reportProgress: (line: string) => void,
 ): Promise<{ relay: PathResult; hallhold: PathResult }> {
@@ -290,7 +290,7 @@
   };
 }
 
-/** Sends every datagram from a new caller; answers count when they come back. */
+/** Sends every datagram from a new caller; counts the flows that are answered. */
 async function measureNewFlowRate(): Promise<number> {
   const run = await openFlows((elapsed) => elapsed < NEW_FLOW_SECONDS * 1_000);
   run.path.stop();
@@ -325,7 +325,7 @@
   return { path, opened: answered, milliseconds: performance.now() - startedAt };
 }
 
-/** Holds many flows, then drops the balancer, to tell whose memory it is. */
+/** Opens many flows, then drops the balancer, to attribute the memory to balancer and agent. */
 async function measureBytesPerFlow(): Promise<{ balancer: number; agent: number }> {
   const empty = measureBytesInUse();
   const run = await openFlows((_elapsed, opened) => opened < FLOWS_HELD);
--- a/src/bench/packets-child.ts
+++ b/src/bench/packets-child.ts
@@ -1,6 +1,6 @@
 /**
- * One process of the packet bench: a packet balancer, or a bare relay beside it. It tells the
- * parent its addresses, and what processor time it has used after so many packets.
+ * Child process of the packet benchmark: a packet balancer or a bare relay. It reports its
+ * addresses to the parent, and its processor time after certain numbers of packets.
  */
 import { Ok } from 'ts-results';
 import type { Endpoint } from '../environment';
@@ -19,7 +19,7 @@
 import { modelPacketFormat } from '../simulation/packets/model-packet-format';
 
 const ADDRESS = '127.0.0.1';
-/** A store that lists the one table and no agent, and never changes. */
+/** Lists the benchmark's one table and never changes; the registry below lists no agent. */
 const ROUTING_TABLES: CollectionPort<RoutingTable> = {
   list: (answer) =>
     answer(
@@ -46,7 +46,7 @@
   process.send!(report);
 }
 
-/** Counts a packet that has been handled, and tells the parent at the counts it wants. */
+/** Counts a handled packet and reports the processor time at the measured counts. */
 function countPacket(): void {
   packetCount++;
   if (MEASURED_PACKET_COUNTS.includes(packetCount)) {
--- a/src/bench/packets.ts
+++ b/src/bench/packets.ts
@@ -1,7 +1,7 @@
 /**
- * Processor time that a balancer needs for a packet: for the first packets after its start,
- * whose code is not compiled yet, and warm; beside a bare relay in the same run. Each path is
- * a process of its own, so that none is warmed by another.
+ * Measures a balancer's processor time per packet, for the first packets after its start, before
+ * the code is compiled, and warm, and compares it with a bare relay. Each path runs in a process
+ * of its own, so that none benefits from code compiled for another.
  */
 import { fork, type ChildProcess } from 'node:child_process';
 import { join } from 'node:path';
@@ -28,14 +28,14 @@
 const ADDRESS = '127.0.0.1';
 const AGENT_COUNT = 7;
 const PACKETS_PER_FLOW = 5;
-/** Packets sent at a time, and milliseconds between: far below what a socket holds. */
+/** Batches are far below what a socket buffer holds. */
 const BATCH_PACKETS = 20;
 const BATCH_INTERVAL_MS = 10;
 const REPORT_INTERVAL_MS = 250;
 const PAYLOAD = 'x'.repeat(200);
 const FIRST_CLIENT = 0x6440_0000_0000;
 
-/** Versions of frames that the agents of each path understand. */
+/** Frame version that the agents of each path understand. */
 const AGENT_VERSIONS: Readonly<Record<PacketPath, number>> = {
   relay: FIRST_FRAME_VERSION,
   compact: COMPACT_FRAME_VERSION,
@@ -43,7 +43,7 @@
   document: FIRST_FRAME_VERSION,
 };
 
-/** Microseconds of processor time a packet. */
+/** Microseconds of processor time per packet. */
 export interface PacketResult {
   readonly path: PacketPath;
   readonly firstTwoHundred: number;
@@ -52,7 +52,7 @@
   readonly warm: number;
 }
 
-/** Plays the agents of the bench's service: they report, and hold every flow. */
+/** Simulates the agents of the benchmark's service: they report and hold every flow. */
 class SimulatedAgents {
   private readonly codec = new PacketFrameCodec([BenchSetup.key]);
   private readonly sockets: UdpSocket[] = [];
@@ -77,7 +77,7 @@
     this.sockets.forEach((socket) => socket.close());
   }
 
-  /** Tells the balancer that a flow is held, at its second packet, and that a number has come. */
+  /** Announces a held flow at each packet without a search; acknowledges numbered packets. */
   private handleFrame(index: number, frame: Buffer, balancer: Endpoint): void {
     const message = this.codec.decode(frame).unwrap();
     if (message.type === PacketMessageType.numberedDeliver) {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** One acknowledgement a packet, which is the most that an agent sends. */
+  /** Sends one acknowledgement per packet, the most that an agent sends. */
   private acknowledge(index: number, number: NumberedDeliverMessage, balancer: Endpoint): void {
     const { session, sequence } = number;
     const message = { type: PacketMessageType.received, session, sequences: [sequence] } as const;
@@ -141,7 +141,7 @@
   });
 }
 
-/** Sends packets until the child has told its last figure. */
+/** Sends packets until the child has sent its last report; returns microseconds by count. */
 async function measureChild(child: ChildProcess, clients: Endpoint): Promise<Map<number, number>> {
   const socket = (await UdpSocket.bind(ADDRESS, 0, () => undefined)).unwrap();
   const cpuMicroseconds = new Map<number, number>();
@@ -167,7 +167,7 @@
 
 function awaitBound(child: ChildProcess): Promise<Extract<ChildReport, { kind: 'bound' }>> {
   return new Promise((resolve, reject) => {
-    child.once('exit', (code) => reject(new Error(`the measured process ended with ${code}`)));
+    child.once('exit', (code) => reject(new Error(`measured process exited with code ${code}`)));
     child.on('message', (report: ChildReport) => {
       if (report.kind === 'bound') {
         resolve(report);
@@ -176,7 +176,7 @@
   });
 }
 
-/** Measures one path in a process of its own. */
+/** Measures one path in a new child process. */
 async function measurePath(path: PacketPath): Promise<PacketResult> {
   const agents = new SimulatedAgents(AGENT_VERSIONS[path]);
   const sink = (await UdpSocket.bind(ADDRESS, 0, () => undefined)).unwrap();
--- a/src/bench/silent-store.ts
+++ b/src/bench/silent-store.ts
@@ -1,4 +1,4 @@
-/** A store that never answers, for benches whose tables are put in directly. */
+/** A store that never answers, for benchmarks that apply their tables directly. */
 import type { StorePort } from '../table-store/store-port';
 
 export const SILENT_STORE: StorePort = {
--- a/src/bench/udp-relay.ts
+++ b/src/bench/udp-relay.ts
@@ -1,8 +1,8 @@
-/** The baseline of the data path bench: two bare UDP hops that copy bytes and nothing else. */
+/** Baseline of the data path benchmark: two UDP hops that only copy bytes. */
 import type { Endpoint } from '../environment';
 import { UdpSocket } from '../runtime/udp-socket';
 
-/** One hop: each sender gets a socket towards the next hop. */
+/** One hop, with a socket towards the next hop for each sender. */
 class RelayHop {
   private listener!: UdpSocket;
   private readonly sockets = new Map<Endpoint, UdpSocket>();
@@ -40,7 +40,7 @@
   }
 }
 
-/** Two hops in a row, as caller's datagrams take balancer and agent. */
+/** Two hops in sequence, like balancer and agent on a caller's path. */
 export class UdpRelay {
   private readonly firstHop: RelayHop;
   private readonly secondHop: RelayHop;
--- a/test/process-soak.test.ts
+++ b/test/process-soak.test.ts
@@ -1,4 +1,4 @@
-/** One short seed of the soak of real processes: the harness runs, and the promises hold. */
+/** Runs the soak of real processes briefly with one seed and checks the invariants. */
 import { rmSync } from 'node:fs';
 import test from 'ava';
 import { simulateSoak } from './soak/play-soak';
@@ -7,7 +7,7 @@
 const LENGTH = 6_000;
 const NETWORK = 62;
 
-test('real processes keep their promises under a few faults from outside', async (t) => {
+test('real processes satisfy the invariants under a few injected faults', async (t) => {
   const result = await simulateSoak(SEED, LENGTH, NETWORK);
   t.log(result.faults.join('\n'));
   t.true(result.passed, JSON.stringify(result));
--- a/test/soak/frame-switch.ts
+++ b/test/soak/frame-switch.ts
@@ -1,25 +1,25 @@
 /**
- * A loopback proxy for the frames between processes. Every process listens at an address
- * that only the switch knows and is known to the others by another one, where the switch
- * receives for it; so each direction of each pair can be cut, delayed and thinned alone.
+ * Loopback proxy for the frames between processes. Every process advertises an address at which
+ * the switch receives, and listens at another that only the switch knows; so each direction of
+ * each pair can be cut, delayed and made lossy independently.
  */
 import type { Endpoint } from '../../src/environment';
 import { UdpSocket } from '../../src/runtime/udp-socket';
 import type { SeededRandom } from '../../src/simulation/seeded-random';
 import { TcpFaultProxy } from '../../src/standins/fault-proxy';
 
-/** What happens to the frames of one direction. */
+/** Treatment of the frames of one direction. */
 export interface LinkQuality {
   readonly isCut: boolean;
-  /** Part of the frames that is lost, 0 to 1. */
+  /** Share of frames that are lost, 0 to 1. */
   readonly loss: number;
-  /** Part of the frames that arrives twice, 0 to 1. */
+  /** Share of frames that arrive twice, 0 to 1. */
   readonly duplication: number;
-  /** Milliseconds; each frame takes between none and all of it. */
+  /** Maximum delay in milliseconds; each frame's delay is uniform from 0 to it. */
   readonly delay: number;
 }
 
-/** Part of the datagrams that every link loses all the time: a few in a hundred. */
+/** Share of datagrams that every link loses without a fault. */
 export const DEFAULT_LOSS = 0.03;
 export const DEFAULT_LINK: LinkQuality = {
   isCut: false,
@@ -43,7 +43,7 @@
 
   constructor(private readonly random: SeededRandom) {}
 
-  /** Receives for a process that others know by `advertised`. */
+  /** Receives at `advertised` on behalf of a process that listens at `listening`. */
   async connect(advertised: Endpoint, listening: Endpoint): Promise<void> {
     const bound = await UdpSocket.bindEndpoint(advertised, (frame, from) =>
       this.forward(frame, from, port),
@@ -55,12 +55,12 @@
     this.byAdvertised.set(advertised, port);
   }
 
-  /** Sets what happens to frames from one process to another, both by advertised address. */
+  /** Sets the quality from one process to another, both by advertised address. */
   setLink(from: Endpoint, to: Endpoint, quality: LinkQuality): void {
     this.links.set(`${from}>${to}`, quality);
   }
 
-  /** Breaks the streams to a process and refuses new ones, or lets them pass again. */
+  /** Cuts the streams to a process and refuses new ones, or forwards them again. */
   cutStreams(to: Endpoint, cut: boolean): void {
     this.byAdvertised.get(to)?.streams.setCut(cut);
   }
--- a/test/soak/packet-seal.ts
+++ b/test/soak/packet-seal.ts
@@ -1,6 +1,6 @@
 /**
- * The sum by which an end sees that a packet is as its sender wrote it. As on the platform it
- * covers everything but the echo field and the bounce flag, which the system may write.
+ * Checksum by which the receiver detects altered packets. As on the platform it covers
+ * everything but the echo field and the bounce flag, which the load balancer may write.
  */
 import { createHash } from 'node:crypto';
 import { Flag, HEADER_BYTES } from '../support/packet-cluster';
@@ -15,18 +15,18 @@
   return createHash('md5').update(summed).digest().readUInt32BE();
 }
 
-/** Writes the sum; to be called once, by the sender. */
+/** Writes the checksum; called once, by the sender. */
 export function writeChecksum(bytes: Buffer): Buffer {
   bytes.writeUInt32BE(computeChecksum(bytes), CHECKSUM_OFFSET);
   return bytes;
 }
 
-/** Whether a packet that reached its target is as the client wrote it. */
+/** Whether a packet reached its target as the client sent it. */
 export function isUnalteredFromClient(bytes: Buffer): boolean {
   return bytes.readUInt32BE(CHECKSUM_OFFSET) === computeChecksum(bytes);
 }
 
-/** Whether a packet that reached its client is as the target wrote it, or a reset of the system. */
+/** Whether a packet reached its client as the target sent it, or is a reset by the load balancer. */
 export function isUnalteredFromTarget(bytes: Buffer): boolean {
   const isReset = bytes.length === HEADER_BYTES && bytes[FLAGS_OFFSET] === Flag.rst;
   const isSystemReset = isReset && bytes.readUInt32BE(CHECKSUM_OFFSET) === 0;
--- a/test/soak/play-soak.ts
+++ b/test/soak/play-soak.ts
@@ -1,4 +1,4 @@
-/** Plays one seed of the soak and tells what was seen. */
+/** Runs the soak with one seed and returns its result. */
 import type { InvariantViolations } from '../../src/simulation/packets/packet-invariant-checker';
 import { SeededRandom } from '../../src/simulation/seeded-random';
 import type { SoakClientState } from './soak-client';
@@ -9,36 +9,36 @@
 const FLOW_INTERVAL_MS = 40;
 const FAULT_INTERVAL_MS = 1_500;
 const RECOVERY_TIME_MS = 7_000;
-/** Milliseconds in which every target gets flows again: figures of its failures fade in 10 s. */
+/** Every target must get flows again by then; its failure metrics decay within 10 s. */
 const TARGET_RETURN_TIMEOUT_MS = 15_000;
 const LAST_FLOW_COUNT = 40;
 const LAST_FLOWS_TIME_MS = 5_000;
-/** Part of the last flows, after all faults, that must be served. */
+/** Share of the last flows, after all faults, that must be served. */
 const MINIMUM_SERVED_SHARE = 0.9;
 
-/** Part of the faults that come together with a crowd. */
+/** Share of faults that coincide with a load spike. */
 const LOAD_SPIKE_SHARE = 0.2;
-/** Flows that a crowd opens at once: more work than all targets of their service do in a fifth of a second. */
+/** Flows opened at once: more than all targets of their service can serve in 200 ms. */
 const LOAD_SPIKE_FLOWS = 300;
 
 type FaultPhaseResult = Pick<SoakResult, 'faults' | 'idleAgents'>;
 
-/** What one seed showed. */
+/** Result of one seed, printed as a JSON line. */
 export interface SoakResult {
   readonly seed: number;
   readonly faults: readonly string[];
   readonly flows: Readonly<Record<SoakClientState, number>>;
   readonly violations: InvariantViolations;
-  /** Packets that reached their end in another form than their sender wrote. */
+  /** Packets that arrived altered. */
   readonly altered: readonly string[];
-  /** Agents whose targets got no flow after all faults. */
+  /** Agents whose targets received no flow after all faults. */
   readonly idleAgents: readonly string[];
-  /** Ends of processes that nobody asked for. */
+  /** Unexpected process exits. */
   readonly ownEnds: number;
-  /** Flows served of those opened after all faults. */
+  /** Number of served flows among those opened after all faults. */
   readonly servedAfterwards: number;
   readonly passed: boolean;
-  /** Where the processes' logs are. */
+  /** Folder with the processes' logs. */
   readonly folder: string;
 }
 
@@ -53,14 +53,14 @@
   deployment.openFlow(destination, isPersistent ? 12 : 1, random.between(50, 500));
 }
 
-/** Callers ask for more than targets can do, on an urgent route and on one that may wait. */
+/** Overloads the targets, on a route of high priority and on one of low priority. */
 function openLoadSpike(deployment: SoakDeployment): void {
   for (let flow = 0; flow < LOAD_SPIKE_FLOWS; flow++) {
     deployment.openFlow(flow % 3 === 0 ? OPTIONAL_ROUTE : MAP_ROUTE, 1, 0);
   }
 }
 
-/** Waits until every target has opened a flow since now; returns the agents where none has. */
+/** Waits until every target has opened a new flow; returns the agents whose target has not. */
 async function waitForAllTargets(deployment: SoakDeployment): Promise<string[]> {
   const begin = performance.now();
   while (
@@ -78,7 +78,7 @@
   seed: number,
 ): Promise<FaultPhaseResult> {
   const faults: string[] = [];
-  // Of its own, so that the faults of a seed stay what they were.
+  // A separate stream, so that load spikes do not change which faults a seed draws.
   const loadSpikeRandom = new SeededRandom(seed + 2);
   const traffic = setInterval(() => openRandomFlow(deployment), FLOW_INTERVAL_MS);
   const begin = performance.now();
@@ -106,8 +106,8 @@
 }
 
 /**
- * Plays one seed.
- * @param length milliseconds with faults
+ * Runs one seed.
+ * @param length milliseconds in which faults are injected
  * @param network second byte of all loopback addresses
  */
 export async function simulateSoak(
--- a/test/soak/run-soak.ts
+++ b/test/soak/run-soak.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run soak:processes -- --minutes 5 [--seed N | --kept] [--seconds 20]`: plays seed
- * after seed, prints a JSON line for each, and ends with 2 if any failed. Without `--seed`
- * or `--kept` the seeds are fresh; one that fails belongs into kept-seeds.ts with its cause.
+ * `npm run soak:processes -- --minutes 5 [--seed N | --kept] [--seconds 20]`: runs the soak for
+ * each seed, prints a JSON line for each, and exits with 2 if any failed. Without `--seed` or
+ * `--kept` the seeds are random; add one that fails to kept-seeds.ts with its cause.
  */
 import { parseArgs } from 'node:util';
 import { rmSync } from 'node:fs';
--- a/test/soak/soak-client.ts
+++ b/test/soak/soak-client.ts
@@ -1,4 +1,4 @@
-/** One flow of one client of the soak, with the requests it carries one after the other. */
+/** One client flow of the soak, with its sequential requests. */
 import { packetFormat } from '../../platform/packet-header';
 import { getEndpointAddress, getEndpointPort } from '../../src/core/endpoint';
 import type { Endpoint } from '../../src/environment';
@@ -15,10 +15,10 @@
 const RESET_WINDOW_BYTES = 76_800;
 const FIRST_SEQUENCE = 1;
 
-/** How a flow stands, or ended. */
+/** State of a flow, or how it ended. */
 export type SoakClientState = 'opening' | 'open' | 'done' | 'unopened' | 'reset' | 'late';
 
-/** What a client does. */
+/** Endpoints and requests of a client. */
 export interface SoakClientPlan {
   readonly client: Endpoint;
   readonly destination: Endpoint;
@@ -27,14 +27,14 @@
   readonly pause: number;
 }
 
-/** What a client tells the soak. */
+/** Callbacks of a client. */
 export interface SoakClientObserver {
   onAnswer(client: SoakClient, expected: string, answered: string): void;
   onReset(client: SoakClient): void;
   onEnd(client: SoakClient): void;
 }
 
-/** The client. */
+/** A client with one flow; retransmits opening packets and requests. */
 export class SoakClient {
   state: SoakClientState = 'opening';
   answers = 0;
@@ -69,13 +69,13 @@
     this.schedule(OPENING_TIMEOUT_MS, () => this.state === 'opening' && this.end('unopened'));
   }
 
-  /** Sends nothing any more; nobody is told. */
+  /** Stops sending, without a call of the observer. */
   stop(): void {
     this.state = 'done';
     this.timers.forEach((timer) => clearTimeout(timer));
   }
 
-  /** A packet of the system for this flow. */
+  /** Handles a packet to the client of this flow. */
   receive(bytes: Buffer): void {
     const packet = packetFormat.decodeFromTarget(bytes)!;
     if (this.state !== 'opening' && this.state !== 'open') {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** The id of the request under way. */
+  /** The id of the request in flight. */
   get requestId(): string {
     return `${this.plan.client}/${this.sequence}`;
   }
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -1,4 +1,4 @@
-/** The faults of the soak, drawn from its seed: each strikes from outside the processes. */
+/** Faults of the soak, drawn from its seed and injected from outside the processes. */
 import { DEFAULT_LINK, type LinkQuality } from './frame-switch';
 import type { TargetBehaviour } from './soak-target';
 import type { SoakAgentMachine, SoakMachine, SoakDeployment } from './soak-world';
@@ -7,11 +7,11 @@
 const MINIMUM_FAULT_MS = 300;
 const MAXIMUM_FAULT_MS = 3_000;
 const DRAIN_TIME_MS = 3_500;
-/** Milliseconds without a target; an agent that starts then finds out after two heartbeats of 1 s. */
+/** Time without a target; an agent that starts then detects it after two heartbeats of 1 s. */
 const ABSENCE_MS = 6_000;
-/** Milliseconds at most until the operator has written again what a copy lacks. */
+/** Time until the operator rewrites what the restored backup lacks. */
 const MAXIMUM_REWRITE_DELAY_MS = 500;
-/** Revisions by which the store may have passed those of before when it is asked again. */
+/** Revisions by which a restored store may exceed those before it, when it is read again. */
 const REVISIONS_SKIPPED = 40;
 const UNAVAILABLE_MODES = ['unavailable', 'reset', 'silent'] as const;
 const SERIES_STEP_MS = 120;
@@ -22,21 +22,21 @@
   { meta: { name: 'x', rev: 1 }, spec: { address: {}, service: 1, zone: [] } },
 ];
 
-/** What a fault is given to strike. */
+/** Machines and duration of a fault. */
 interface FaultContext {
   readonly deployment: SoakDeployment;
   readonly balancer: SoakMachine;
   readonly agent: SoakAgentMachine;
-  /** One of the two, or any. */
+  /** Either the balancer or the agent. */
   readonly machine: SoakMachine;
-  /** Milliseconds until it is undone. */
+  /** Milliseconds until the fault is undone. */
   readonly length: number;
 }
 
 /** One kind of fault. */
 interface FaultKind {
   readonly name: string;
-  /** Planned work excuses nothing, nor does what befalls a target alone. */
+  /** Planned operations and faults of a target alone excuse no violation. */
   readonly isPlanned: boolean;
   strike(context: FaultContext): void;
 }
@@ -57,7 +57,7 @@
   }
 }
 
-/** Every agent goes on, and openings and heartbeats are answered. */
+/** Changes how a target serves requests; it still answers opening packets and heartbeats. */
 function changeBehaviour(
   { agent: { target }, length }: FaultContext,
   behaviour: TargetBehaviour,
@@ -66,7 +66,7 @@
   schedule(length, () => (target.behaviour = 'usual'));
 }
 
-/** The store is away, and back from a copy; the operator writes its latest word again. */
+/** Restores the store from a backup after an outage; the operator rewrites the latest table. */
 function restoreStore({ deployment, length }: FaultContext): void {
   const machines = [...deployment.balancers, ...deployment.agents];
   machines.forEach(({ gate }) => gate.setMode(deployment.faultRandom.pick(UNAVAILABLE_MODES)));
@@ -80,7 +80,7 @@
   });
 }
 
-/** What other programs leave in the store, and send to agents. */
+/** Writes foreign entries to the store and sends foreign heartbeats to an agent. */
 function writeForeignEntries({ deployment, agent }: FaultContext): void {
   for (const kind of ['config', 'agents', 'evacuations-of-others']) {
     FOREIGN_OBJECTS.forEach((object, index) =>
@@ -92,7 +92,7 @@
   );
 }
 
-/** Signals, a restart and changes of the configuration that overlap. */
+/** Overlaps signals, restarts and changes of the configuration. */
 function injectSeries({ deployment, machine, balancer }: FaultContext): void {
   machine.process.signal('SIGHUP');
   deployment.configure(true);
@@ -248,7 +248,7 @@
   }),
 ];
 
-/** Strikes with one fault of the deployment's choice; returns its name and whom it strikes. */
+/** Injects one random fault; returns its name, the drawn machines and its duration. */
 export function injectRandomFault(deployment: SoakDeployment): string {
   deployment.createBackup();
   const random = deployment.faultRandom;
--- a/test/soak/soak-process.ts
+++ b/test/soak/soak-process.ts
@@ -1,19 +1,19 @@
-/** One real process of the soak, started again whenever it ends. */
+/** One real process of the soak, restarted whenever it exits. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream, writeFileSync, type WriteStream } from 'node:fs';
 import { join, resolve } from 'node:path';
 
-/** As deployments start it: signals have a handler before the program is loaded. */
+/** The launcher of deployments: it handles signals before the program is loaded. */
 const LAUNCHER_PATH = resolve(__dirname, '../../platform/launch.js');
 const RESTART_DELAY_MS = 150;
-/** Exit code of a program that refuses to start. */
+/** Exit code of a process that refuses to start. */
 const EXIT_FAILED = 1;
-/** Milliseconds between SIGTERM and SIGKILL. */
+/** Time between SIGTERM and SIGKILL. */
 const TERMINATION_GRACE_MS = 6_000;
 
 /**
- * Ends a process when the soak has ended, however that came about: then nobody holds the other
- * end of its input any more. It is started beside each process, and signals do not end it.
+ * Kills a process once the soak has exited for any reason, which closes the watcher's input.
+ * One watcher runs beside each process and ignores signals.
  */
 const WATCHER_SCRIPT = 'trap "" HUP INT TERM; read -r _; kill -9 "$0"';
 
@@ -27,18 +27,18 @@
 /** Settings document of one process. */
 export type SoakSettings = Readonly<Record<string, unknown>> & { readonly name: string };
 
-/** The process. */
+/** A balancer or agent process with its settings file and log. */
 export class SoakProcess {
-  /** Ends that nobody asked for. */
+  /** Number of exits that the soak did not cause. */
   unexpectedExits = 0;
   private child: ChildProcess | undefined;
   private isExitExpected = false;
   private isClosed = false;
   private downUntil = 0;
-  /** The settings file holds, or has held since the latest start, what is no settings document. */
+  /** The settings file is invalid, or has been since the latest start. */
   private hasBrokenSettings = false;
   private isSettingsFileBroken = false;
-  /** The process has logged something: it had read its settings. */
+  /** The process has logged a line, so it has read its settings. */
   private hasLogged = false;
   private readonly settingsPath: string;
   private readonly log: WriteStream;
@@ -78,14 +78,14 @@
     child.once('exit', (code) => this.handleExit(code));
   }
 
-  /** Ends it at once; it is down for at least so many milliseconds. */
+  /** Kills the process; it stays down for at least `downTime` milliseconds. */
   kill(downTime = 0): void {
     this.isExitExpected = true;
     this.downUntil = performance.now() + downTime;
     this.child?.kill('SIGKILL');
   }
 
-  /** A planned restart. */
+  /** Restarts the process as planned, by SIGTERM. */
   terminate(): void {
     const { child } = this;
     this.isExitExpected = true;
@@ -100,13 +100,13 @@
     this.child?.kill(signal);
   }
 
-  /** Puts the settings file in order again; the process is not told. */
+  /** Restores the settings file without a signal to the process. */
   writeSettings(): void {
     this.isSettingsFileBroken = false;
     writeFileSync(this.settingsPath, JSON.stringify(this.settings));
   }
 
-  /** Breaks the settings file; the process is not told. */
+  /** Corrupts the settings file without a signal to the process. */
   breakSettings(): void {
     this.isSettingsFileBroken = true;
     this.hasBrokenSettings = true;
@@ -125,7 +125,7 @@
     this.log.end();
   }
 
-  /** A program that finds a broken file as it starts must refuse; one that runs must go on. */
+  /** A process must refuse to start with an invalid file, but keep running if it has started. */
   private handleExit(code: number | null): void {
     this.child = undefined;
     const refusedStart = this.hasBrokenSettings && !this.hasLogged && code === EXIT_FAILED;
--- a/test/soak/soak-router.ts
+++ b/test/soak/soak-router.ts
@@ -1,4 +1,4 @@
-/** The routers of the soak: probe the balancers and send clients' packets to those in use. */
+/** Routers of the soak: probe the balancers and send clients' packets to the healthy ones. */
 import { createSocket, type Socket } from 'node:dgram';
 import { request } from 'node:http';
 import { packetFormat } from '../../platform/packet-header';
@@ -9,10 +9,10 @@
 const PROBE_TIMEOUT_MS = 400;
 const UNHEALTHY_MISS_COUNT = 2;
 
-/** Receives a datagram for the client at a port. */
+/** Handles a datagram to the client at a port. */
 export type ClientHandler = (port: number, bytes: Buffer) => void;
 
-/** All routers, and the one socket at which all clients receive. */
+/** All routers, with the socket that all clients share. */
 export class SoakRouter {
   private readonly misses = new Map<string, number>();
   private readonly socket: Socket = createSocket('udp4');
@@ -23,7 +23,7 @@
     private readonly balancers: readonly string[],
     private readonly ports: ClusterPorts,
     private readonly deliverToClient: ClientHandler,
-    /** Whether the next datagram from or to a client is lost. */
+    /** Decides whether the next datagram from or to a client is lost. */
     private readonly isLost: () => boolean,
   ) {}
 
@@ -45,7 +45,7 @@
     this.socket.close();
   }
 
-  /** Hands a client's packet to the balancer that its flow belongs to now. */
+  /** Sends a client's packet to the balancer that its flow currently hashes to. */
   route(packet: Buffer): void {
     const flow = packetFormat.decodeFromClient(packet)!.flow;
     const inUse = this.balancers.filter(
--- a/test/soak/soak-target.ts
+++ b/test/soak/soak-target.ts
@@ -1,7 +1,7 @@
 /**
- * A target of the soak: opens flows, runs requests, returns what it does not hold, sends
- * heartbeats, drains, crashes and is replaced at the same address. It may turn slow, or fail
- * requests while all else goes on.
+ * A target of the soak: opens flows, runs requests, rejects packets of flows it does not hold,
+ * sends heartbeats, drains, crashes and is replaced at the same address. It can be slow, or fail
+ * requests while it still answers opening packets.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { request } from 'node:http';
@@ -14,52 +14,52 @@
 
 const HEARTBEAT_INTERVAL_MS = 400;
 const HEARTBEAT_TIMEOUT_MS = 1_000;
-/** Milliseconds for which a target says that it is slow after its start. */
+/** Time after its start for which a target reports a cold start. */
 export const COLD_TIME_MS = 1_200;
 const SLOTS = 5;
 const SEQUENCE_RANGE = 2 ** 31;
 const SERVICE_TIME_MS = 15;
-/** Times as long as usual that a slow target works on a request. */
+/** Factor on the service time of a slow target. */
 const SLOW_FACTOR = 8;
-/** Parts of its requests that a failing target answers with an error, and resets. */
+/** Shares of requests that a failing target answers with an error, and resets. */
 const ERROR_SHARE = 0.3;
 const RESET_SHARE = 0.3;
 const REQUEST_ID = /X-Request-Id: (\S+)/;
 
 type AddressAndPort = readonly [string, number];
 
-/** How a target treats requests; openings and heartbeats it answers as ever. */
+/** How a target serves requests; opening packets and heartbeats are not affected. */
 export type TargetBehaviour = 'usual' | 'slow' | 'failing';
 
 interface TargetFlow {
-  /** Sequence number of the answer to the opening. */
+  /** Sequence number of the answer to the opening packet. */
   readonly sequence: number;
   /** Sequence number of the next answer. */
   next: number;
   open: boolean;
-  /** Answers by the sequence number of their request; undefined while it runs. */
+  /** Answers by the request's sequence number; undefined while the request runs. */
   readonly answers: Map<number, Buffer | undefined>;
 }
 
-/** What a target tells the soak. */
+/** Callbacks of a target. */
 export interface SoakTargetObserver {
   onOpeningPacket(target: ObservedTarget): void;
   onPacket(target: ObservedTarget, flow: FlowKey): void;
   onFlowOpened(target: ObservedTarget, packet: FlowPacket): void;
   onRequest(target: ObservedTarget, text: string): void;
   onDrainAcknowledged(target: ObservedTarget): void;
-  /** A client's packet is not as the client wrote it. */
+  /** A client's packet arrived altered. */
   onAlteredPacket(target: ObservedTarget, packet: FlowPacket): void;
 }
 
-/** The targets that follow each other at one machine. */
+/** The successive incarnations of the target on one machine. */
 export class SoakTarget {
   incarnation = '';
-  /** What it calls itself; differs from start to start unless it keeps its name. */
+  /** Its name on the wire; a new one for each incarnation unless the name is kept. */
   private id = '';
   private startTime = 0;
   alive = false;
-  /** Takes no new flow, as one whose queue is full. */
+  /** Rejects new flows, as with a full queue. */
   full = false;
   behaviour: TargetBehaviour = 'usual';
   private draining = false;
@@ -67,7 +67,7 @@
   private heartbeatCount = 0;
   private flows = new Map<FlowKey, TargetFlow>();
   private socket: Socket | undefined;
-  /** Shows agents that look that there is a target. */
+  /** Accepts the liveness probes of agents. */
   private listener: Server | undefined;
   private timer: NodeJS.Timeout | undefined;
   private starts = 0;
@@ -80,7 +80,7 @@
     private readonly observer: SoakTargetObserver,
   ) {}
 
-  /** Starts a new incarnation with no flows, under its earlier name or another. */
+  /** Starts a new incarnation without flows, under its earlier name or a new one. */
   async start(keepsName = false): Promise<void> {
     this.incarnation = `${this.machine}-${++this.starts}`;
     this.id = keepsName ? this.id : this.incarnation;
@@ -100,7 +100,7 @@
     this.sendHeartbeat();
   }
 
-  /** Ends without a word. */
+  /** Stops without notice to the agent. */
   crash(): void {
     this.alive = false;
     clearInterval(this.timer);
@@ -114,7 +114,7 @@
     this.sendHeartbeat();
   }
 
-  /** Ends as planned: says that it leaves, then is gone. */
+  /** Stops as planned: announces to the agent that it leaves. */
   leave(): void {
     this.sendControlRequest('DELETE', JSON.stringify({ born: this.startTime }), () => undefined);
     this.crash();
@@ -128,7 +128,7 @@
     return { incarnation: this.incarnation, service: this.service };
   }
 
-  /** Another program sends what looks like a heartbeat of this target. */
+  /** Sends a heartbeat under this target's name, as a foreign program would. */
   sendForeignHeartbeat(fields: object): void {
     const body = { service: this.service, slots: SLOTS, state: 'draining', seq: 1_000_000 };
     this.sendControlRequest('PUT', JSON.stringify({ ...body, ...fields }), () => undefined);
@@ -256,7 +256,7 @@
     );
   }
 
-  /** The answer is kept as it is; the flow stays until its client ends it. */
+  /** Buffers and sends an answer; the flow stays open until its client ends it. */
   private sendAnswer(packet: FlowPacket, flow: TargetFlow, text: string): void {
     const flags = Flag.ack | (this.draining ? Flag.fin : 0);
     const bytes = this.encode(packet, flags, flow.next, text);
--- a/test/soak/soak-world.ts
+++ b/test/soak/soak-world.ts
@@ -1,7 +1,6 @@
 /**
- * A deployment of real processes on loopback with everything around them: store, routers,
- * clients, targets, and a switch between the processes. Clients and targets are the only
- * witnesses of what the judge judges.
+ * A deployment of real processes on loopback with store, routers, clients, targets, and a switch
+ * between the processes. The invariant checker uses only what clients and targets observe.
  */
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -28,16 +27,16 @@
 const BASE_PORT = 24_000;
 const STOP_TIME_MS = 3_000;
 const SECOND_MS = 1_000;
-/** Copies of the store kept, one for each fault: the oldest is some six seconds old. */
+/** One backup of the store is made per fault, so the oldest is about six seconds old. */
 const MAXIMUM_BACKUPS = 4;
 const CLIENT_PORT_COUNT = 20_000;
 const FIRST_CLIENT_PORT = 40_000;
-/** A request's id, which begins with its client's address. */
+/** Matches a request's id, which begins with its client's address. */
 const REQUEST_ID = /X-Request-Id: ((\d+)\/\S+)/;
-/** Milliseconds after which callers give up on a request. */
+/** Time after which a request times out, as the routes configure it. */
 const REQUEST_TIMEOUT_MS = 3_000;
 const BALANCER_COUNT = 3;
-/** Index of the balancer that may use so little that it relays. */
+/** The balancer whose processor share is so small that it relays. */
 const LOW_CPU_BALANCER_INDEX = 2;
 const LOW_CPU_SHARE = 0.05;
 const SERVICES = ['map', 'map', 'map', 'map', 'tiles', 'tiles'] as const;
@@ -52,13 +51,13 @@
   control: BASE_PORT + 5,
 };
 
-/** Routes that every configuration holds: service by destination. */
+/** Routes in every configuration. */
 export const MAP_ROUTE = packEndpoint('198.18.0.1', 8_443);
 export const TILES_ROUTE = packEndpoint('198.18.0.2', 8_443);
-/** A route that configurations add and drop. */
+/** A route that configurations add and remove. */
 export const OPTIONAL_ROUTE = packEndpoint('198.18.0.3', 8_443);
 
-/** A machine of the soak. */
+/** A machine with its process and its access to the store. */
 export interface SoakMachine {
   readonly name: string;
   readonly machine: string;
@@ -67,15 +66,15 @@
   readonly gate: StoreGate;
 }
 
-/** A machine with a target beside its agent. */
+/** A machine with an agent and its target. */
 export interface SoakAgentMachine extends SoakMachine {
   readonly target: SoakTarget;
 }
 
-/** The deployment. */
+/** Creates, changes and observes the deployment. */
 export class SoakDeployment {
   readonly random: SeededRandom;
-  /** A stream of its own, so that a seed always draws the same faults. */
+  /** A separate random stream, so that a seed always draws the same faults. */
   readonly faultRandom: SeededRandom;
   readonly checker = new PacketInvariantChecker({
     get now() {
@@ -95,11 +94,11 @@
     reset: 0,
     late: 0,
   };
-  /** Packets that reached their end in another form than their sender wrote. */
+  /** Packets that arrived altered. */
   readonly altered: string[] = [];
-  /** When the target beside an agent last opened a flow. */
+  /** Time of the latest flow opened, by agent name. */
   private readonly openedAt = new Map<string, number>();
-  /** By port, those that have ended too: their requests may come to a target later still. */
+  /** By port; includes ended clients, whose requests may still reach a target. */
   private readonly clients = new Map<number, SoakClient>();
   private readonly clientMachine: string;
   private router: SoakRouter | undefined;
@@ -108,7 +107,7 @@
   private readonly backups: StoreBackup[] = [];
   private version = 0;
 
-  /** @param network second byte of all loopback addresses, which keeps runs apart */
+  /** @param network second byte of all loopback addresses, which separates concurrent runs */
   constructor(
     seed: number,
     private readonly network: number,
@@ -160,7 +159,7 @@
     this.store.stop();
   }
 
-  /** Writes the next version of the configuration, with the passing route or without it. */
+  /** Writes the next version of the configuration, with or without the optional route. */
   configure(withOptionalRoute: boolean): void {
     const services = new Map([
       [MAP_ROUTE, 'map'],
@@ -174,7 +173,7 @@
       version: this.version,
       routes: [...services].map(([destination, service]) => {
         const [host, port] = formatEndpoint(destination).split(':');
-        // Requests that may run twice: balancers then try targets that they have set aside.
+        // Requests may run twice, so balancers send trial flows to ejected targets.
         const type = 'safe';
         const isUrgent = destination === OPTIONAL_ROUTE;
         const terms = {
@@ -197,23 +196,23 @@
     );
   }
 
-  /** The operator writes its latest configuration, for the first time or again. */
+  /** Writes the latest configuration to the store, as the operator does. */
   writeTable(): void {
     this.store.put('config', 'main', this.latestTable);
   }
 
-  /** Keeps a copy of the store, the latest few of them. */
+  /** Backs up the store; retains the latest few backups. */
   createBackup(): void {
     this.backups.push(this.store.createBackup());
     this.backups.splice(0, this.backups.length - MAXIMUM_BACKUPS);
   }
 
-  /** The store comes back from one of its copies. */
+  /** Restores the store from a random backup. */
   restoreStore(): void {
     this.store.restoreFrom(this.faultRandom.pick(this.backups));
   }
 
-  /** Opens one flow; the returned client goes on by itself. */
+  /** Opens one flow; the returned client sends its requests by itself. */
   openFlow(destination: Endpoint, requests: number, pause: number): SoakClient {
     const port = FIRST_CLIENT_PORT + (this.nextClient++ % CLIENT_PORT_COUNT);
     const plan = {
@@ -237,7 +236,7 @@
     return client;
   }
 
-  /** Ends of processes that nobody asked for. */
+  /** Number of unexpected process exits. */
   get unexpectedExits(): number {
     return [...this.balancers, ...this.agents].reduce(
       (sum, { process }) => sum + process.unexpectedExits,
@@ -246,8 +245,8 @@
   }
 
   /**
-   * Agents whose targets have opened no flow since a time; without those in the zone of the weak
-   * balancer: it relays, and balancers of other zones keep flows at home while there is little load.
+   * Returns agents whose targets have opened no flow since a time, except in the zone of the low-CPU
+   * balancer: it relays, and other zones' balancers keep flows in their home zone under low load.
    */
   findIdleAgents(since: number): string[] {
     const lowCpuZone = this.balancers[LOW_CPU_BALANCER_INDEX]!.process.settings.zone;
@@ -305,7 +304,7 @@
     );
   }
 
-  /** Names of the processes that a packet to an agent's target may pass. */
+  /** Lists the processes that may forward a packet to an agent's target. */
   private listProcessesTo(agent: string): string[] {
     return [...this.balancers.map(({ name }) => name), agent];
   }
--- a/test/soak/store-gate.ts
+++ b/test/soak/store-gate.ts
@@ -1,4 +1,4 @@
-/** One machine's way to the store: serves as the store does, or fails in one of its ways. */
+/** One machine's proxy to the store, which forwards calls or injects a kind of failure. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { ObjectApiStandin } from '../support/object-api-standin';
@@ -6,7 +6,7 @@
 const SLOW_DELAY_MS = 400;
 const LATE_WRITE_DELAY_MS = 900;
 
-/** How a gate treats calls. */
+/** Treatment of calls. */
 export const GateModes = [
   'serving',
   'unavailable',
@@ -49,7 +49,7 @@
   response.end('{}');
 }
 
-/** The gate of one machine. */
+/** HTTP server through which one machine reaches the store. */
 export class StoreGate {
   private mode: GateMode = 'serving';
   private readonly server: Server;
@@ -63,7 +63,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Changes the treatment; calls that wait are cut. */
+  /** Changes the treatment and closes all connections, with their pending calls. */
   setMode(mode: GateMode): void {
     this.mode = mode;
     this.server.closeAllConnections();
