--- a/test/soak/play-soak.ts
+++ b/test/soak/play-soak.ts
@@ -110,11 +110,7 @@
  * @param length milliseconds in which faults are injected
  * @param network second byte of all loopback addresses
  */
-export async function simulateSoak(
-  seed: number,
-  length: number,
-  network: number,
-): Promise<SoakResult> {
+export async function runSoak(seed: number, length: number, network: number): Promise<SoakResult> {
   const deployment = new SoakDeployment(seed, network);
   try {
     await deployment.start();
--- a/test/soak/run-soak.ts
+++ b/test/soak/run-soak.ts
@@ -6,7 +6,7 @@
 import { parseArgs } from 'node:util';
 import { rmSync } from 'node:fs';
 import { KEPT_SEEDS } from './kept-seeds';
-import { simulateSoak } from './play-soak';
+import { runSoak } from './play-soak';
 
 const MINUTE_MS = 60_000;
 const SECOND_MS = 1_000;
@@ -37,11 +37,7 @@
   let played = 0;
   let failed = 0;
   for (const seed of seeds.length > 0 ? seeds : freshSeeds(end)) {
-    const result = await simulateSoak(
-      seed,
-      Number(values.seconds) * SECOND_MS,
-      Number(values.network),
-    );
+    const result = await runSoak(seed, Number(values.seconds) * SECOND_MS, Number(values.network));
     played++;
     failed += result.passed ? 0 : 1;
     if (result.passed) {
