--- a/src/cli/demo-command.ts
+++ b/src/cli/demo-command.ts
@@ -136,12 +136,12 @@
       outcomeUnknown: statistics.outcomeUnknown,
       unanswered: statistics.unanswered,
       notifications: statistics.notifications,
-      doubled: record.doubled().length,
-      falselyRefused: record.falselyRefused().length,
+      doubled: record.listDuplicateRuns().length,
+      falselyRefused: record.listFalselyRefused().length,
       misdelivered: statistics.misdelivered,
       wrongAnswers: statistics.wrongAnswers,
       imbalance,
-      latencyMs: statistics.latencies(),
+      latencyMs: statistics.getLatencies(),
       breakReasons: Object.fromEntries(statistics.breakReasons),
     };
   }
@@ -171,11 +171,11 @@
   constructor(private readonly embedded: EmbeddedDeployment) {}
 
   sample(): void {
-    if (this.embedded.runningBalancers().length === 0) {
+    if (this.embedded.listRunningBalancers().length === 0) {
       return;
     }
     this.samples++;
-    for (const [service, value] of Object.entries(this.embedded.imbalance())) {
+    for (const [service, value] of Object.entries(this.embedded.computeImbalance())) {
       this.sums.set(service, (this.sums.get(service) ?? 0) + value);
     }
   }
@@ -196,17 +196,17 @@
   deployment: Deployment,
 ): PlannedChange[] {
   const service = deployment.services[0]!.name;
-  const lastBalancer = embedded.runningBalancers().at(-1)!;
+  const lastBalancer = embedded.listRunningBalancers().at(-1)!;
   return [
     {
       startFraction: 0.2,
       description: `table edit: ${service} target-1 gets share 2`,
-      run: () => embedded.edit(service, createShareEdit('target-1', 2)),
+      run: () => embedded.editTable(service, createShareEdit('target-1', 2)),
     },
     {
       startFraction: 0.4,
       description: `drain: ${service} target-2 gets share 0`,
-      run: () => embedded.edit(service, createShareEdit('target-2', 0)),
+      run: () => embedded.editTable(service, createShareEdit('target-2', 0)),
     },
     {
       startFraction: 0.55,
@@ -216,7 +216,7 @@
     {
       startFraction: 0.75,
       description: `end of drain: ${service} target-2 gets share 1`,
-      run: () => embedded.edit(service, createShareEdit('target-2', 1)),
+      run: () => embedded.editTable(service, createShareEdit('target-2', 1)),
     },
   ];
 }
--- a/src/cli/standin-commands.ts
+++ b/src/cli/standin-commands.ts
@@ -154,7 +154,7 @@
       const { feeds, reporters, transfers, datagrams, tileBytes } = this;
       await fleet.start({ feeds, reporters, transfers, datagrams, tileBytes });
       await new Promise((resolve) => setTimeout(resolve, this.seconds * 1_000));
-      printJson(this.context, fleet.summary());
+      printJson(this.context, fleet.createSummary());
       fleet.stop();
       environment.close();
       return ExitCode.done;
--- a/src/simulation/run-simulation.ts
+++ b/src/simulation/run-simulation.ts
@@ -1,6 +1,6 @@
 /** Runs one scenario in one simulation and reports the results of its invariant checks. */
 import type { SafeguardName } from '../agent/safeguards';
-import { withBeacon, type Deployment } from '../standins/deployments';
+import { addBeaconService, type Deployment } from '../standins/deployments';
 import type { Design } from './baselines';
 import { FaultInjector } from './faults';
 import type { CheckerOutcome } from './invariant-checkers';
@@ -53,7 +53,7 @@
 export function runSimulation(request: SimulationRequest): SimulationReport {
   const { scenario, deployment, seed, design, without, trace } = request;
   const simulation = new Simulation({
-    deployment: withBeacon(deployment),
+    deployment: addBeaconService(deployment),
     seed,
     design,
     without,
@@ -109,8 +109,8 @@
     refusedNotRun: statistics.refusedNotRun,
     outcomeUnknown: statistics.outcomeUnknown,
     unanswered: statistics.unanswered,
-    doubled: record.doubled().length,
-    latencyMs: statistics.latencies(),
+    doubled: record.listDuplicateRuns().length,
+    latencyMs: statistics.getLatencies(),
     controlBytesPerNodePerSecond: monitor.computeControlBytesPerNodePerSecond(),
     tableSecondsToAll: monitor.computeTableSecondsToAll(),
     virtualSeconds: simulation.clock.now / 1_000,
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -161,7 +161,7 @@
     changed: (delta: TableDelta) => void,
     ended: (error: HallholdError) => void,
   ): WatchHandle {
-    const missed = this.faults.down ? undefined : this.objects.changesSince(fromRevision);
+    const missed = this.faults.down ? undefined : this.objects.listChangesSince(fromRevision);
     if (!missed) {
       const error = new HallholdError(ResultCodes.storeWatchExpired, 'the watch cannot start');
       process.startTimer(NORMAL_DELAY_MS, () => ended(error));
--- a/src/simulation/simulation-monitor.ts
+++ b/src/simulation/simulation-monitor.ts
@@ -164,7 +164,7 @@
     this.nextAcceptanceAction = undefined;
   }
 
-  flowBroken(reason: string, service: string, target: string): void {
+  recordBrokenFlow(reason: string, service: string, target: string): void {
     const host = this.simulation.listTargets(service).find((one) => one.name === target);
     const excused = host ? this.hasRecentFault(host) : this.hasRecentUnplannedFault();
     if (!excused) {
@@ -175,14 +175,14 @@
     }
   }
 
-  requestFailed(outcome: 'unknown' | 'unanswered'): void {
+  recordFailedRequest(outcome: 'unknown' | 'unanswered'): void {
     if (!this.hasRecentUnplannedFault()) {
       const what = `${outcome} at ${this.simulation.clock.now.toFixed(0)} ms`;
       this.checkers.recordViolation('planned-stop-cuts-nothing', what);
     }
   }
 
-  answerWrong(what: string): void {
+  recordWrongAnswer(what: string): void {
     this.checkers.recordViolation('whole-answer-to-own-request', what);
   }
 
@@ -208,8 +208,10 @@
         `${statistics.misdelivered} foreign answers`,
       );
     }
-    record.falselyRefused().forEach((id) => this.checkers.recordViolation('not-run-is-true', id));
-    record.doubled().forEach((id) => this.checkers.recordViolation('at-most-once', id));
+    record
+      .listFalselyRefused()
+      .forEach((id) => this.checkers.recordViolation('not-run-is-true', id));
+    record.listDuplicateRuns().forEach((id) => this.checkers.recordViolation('at-most-once', id));
   }
 
   /** Time-weighted imbalance of flows per share, per service. */
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -10,12 +10,12 @@
 import type { PlacementPolicy } from '../agent/agent-context';
 import { Safeguards, type SafeguardName } from '../agent/safeguards';
 import { CallerStatistics } from '../standins/caller-statistics';
-import type { Caller, CallerSurroundings } from '../standins/caller';
+import type { Caller, CallerContext } from '../standins/caller';
 import { DatagramCaller } from '../standins/datagram-caller';
 import { FeedCaller } from '../standins/feed-caller';
 import { ReportCaller } from '../standins/report-caller';
 import { TransferCaller } from '../standins/transfer-caller';
-import { targetName, type Deployment, type DeployedService } from '../standins/deployments';
+import { createTargetName, type Deployment, type DeployedService } from '../standins/deployments';
 import { RunRecord } from '../standins/run-record';
 import { FrameCodec } from '../wire/frame-codec';
 import { hostsAnyFlow, createRoutingFactory, type Design } from './baselines';
@@ -114,18 +114,18 @@
       if (feeds > 0) {
         this.startArrivals(service, ARRIVALS_PER_SECOND, MEAN_SHORT_FLOW_LENGTH_MS);
       }
-      this.startServiceCallers(service, feeds, (surroundings, index) => {
-        return new FeedCaller(surroundings, `feed/${service.name}-${index}`, FEED_TIMEOUT_MS);
+      this.startServiceCallers(service, feeds, (context, index) => {
+        return new FeedCaller(context, `feed/${service.name}-${index}`, FEED_TIMEOUT_MS);
       });
-      this.startServiceCallers(service, reporters, (surroundings, index) => {
-        return new ReportCaller(surroundings, `${service.name}-${index}`, REPORT_INTERVAL_MS);
+      this.startServiceCallers(service, reporters, (context, index) => {
+        return new ReportCaller(context, `${service.name}-${index}`, REPORT_INTERVAL_MS);
       });
-      this.startServiceCallers(service, transfers, (surroundings, index) => {
+      this.startServiceCallers(service, transfers, (context, index) => {
         const name = `${service.name}-${index}`;
-        return new TransferCaller(surroundings, name, TRANSFER_INTERVAL_MS, service.tileBytes);
+        return new TransferCaller(context, name, TRANSFER_INTERVAL_MS, service.tileBytes);
       });
-      this.startServiceCallers(service, datagrams, (surroundings, index) => {
-        return new DatagramCaller(surroundings, `${service.name}-${index}`, DATAGRAM_INTERVAL_MS);
+      this.startServiceCallers(service, datagrams, (context, index) => {
+        return new DatagramCaller(context, `${service.name}-${index}`, DATAGRAM_INTERVAL_MS);
       });
     }
   }
@@ -148,7 +148,7 @@
   /** Adds a caller of a service, on a new endpoint by default. */
   addCaller(
     service: string,
-    create: (surroundings: CallerSurroundings) => Caller,
+    create: (context: CallerContext) => Caller,
     endpoint = this.createCallerEndpoint(),
   ): Caller {
     const caller = create({
@@ -315,7 +315,7 @@
       for (let number = 1; number <= service.targets; number++) {
         const zone = deployment.zones[(number - 1) % deployment.zones.length]!;
         const address = `10.2.${serviceIndex}.${number}`;
-        this.createTarget(service, targetName(number), zone, address);
+        this.createTarget(service, createTargetName(number), zone, address);
       }
     });
   }
@@ -362,10 +362,10 @@
   private startServiceCallers(
     service: DeployedService,
     count: number,
-    create: (surroundings: CallerSurroundings, index: number) => Caller,
+    create: (context: CallerContext, index: number) => Caller,
   ): void {
     for (let index = 0; index < count; index++) {
-      const caller = this.addCaller(service.name, (surroundings) => create(surroundings, index));
+      const caller = this.addCaller(service.name, (context) => create(context, index));
       this.clock.schedule(this.random.between(0, 2_000), () => caller.start());
     }
   }
@@ -376,7 +376,7 @@
     const path = `feed/${service.name}-passing-${this.callerCount}`;
     const caller = this.addCaller(
       service.name,
-      (surroundings) => new FeedCaller(surroundings, path, FEED_TIMEOUT_MS),
+      (context) => new FeedCaller(context, path, FEED_TIMEOUT_MS),
       endpoint,
     );
     caller.start();
--- a/src/standins/answer-content.ts
+++ b/src/standins/answer-content.ts
@@ -9,9 +9,9 @@
 import type { AnswerOrigin } from './backend-standin';
 import type { CallerStatistics } from './caller-statistics';
 
-const RETRY_AFTER_SILENCE = 5_000;
-const DEFAULT_RETRY_AFTER = 1;
-const SECOND = 1_000;
+const UNANSWERED_RETRY_DELAY_MS = 5_000;
+const DEFAULT_RETRY_DELAY_SECONDS = 1;
+const MS_PER_SECOND = 1_000;
 
 /** What back end stand-ins say in an answer. */
 export interface AnswerContent extends AnswerOrigin {
@@ -31,22 +31,22 @@
 }
 
 /** A path as Uri-Path options. */
-export function pathOptions(path: string): CoapMessage['options'] {
+export function createPathOptions(path: string): CoapMessage['options'] {
   return path
     .split('/')
     .map((segment) => ({ name: CoapOption.uriPath, value: Buffer.from(segment) }));
 }
 
 /** Counts a request that ended without its answer. */
-export function countFailure(statistics: CallerStatistics, answer: CoapMessage | undefined): void {
+export function recordFailure(statistics: CallerStatistics, answer: CoapMessage | undefined): void {
   if (answer === undefined) {
-    statistics.noteUnanswered();
+    statistics.recordUnanswered();
   } else if (answer.code === CoapCode.serviceUnavailable) {
     statistics.refusedNotRun++;
   } else if (answer.code === CoapCode.gatewayTimeout) {
-    statistics.noteUnknown();
+    statistics.recordUnknownOutcome();
   } else {
-    statistics.noteWrongAnswer(`a request got code ${answer.code}`);
+    statistics.recordWrongAnswer(`a request got code ${answer.code}`);
   }
 }
 
@@ -56,9 +56,12 @@
 }
 
 /** Milliseconds to wait before trying again, as the answer says. */
-export function retryAfter(answer: CoapMessage | undefined): number {
+export function getRetryDelayMs(answer: CoapMessage | undefined): number {
   if (!answer) {
-    return RETRY_AFTER_SILENCE;
+    return UNANSWERED_RETRY_DELAY_MS;
   }
-  return (decodeInteger(findOption(answer, CoapOption.maxAge)) ?? DEFAULT_RETRY_AFTER) * SECOND;
+  return (
+    (decodeInteger(findOption(answer, CoapOption.maxAge)) ?? DEFAULT_RETRY_DELAY_SECONDS) *
+    MS_PER_SECOND
+  );
 }
--- a/src/standins/backend-standin.ts
+++ b/src/standins/backend-standin.ts
@@ -25,13 +25,13 @@
 const BLOCK_SIZE_EXPONENT = 6;
 const BLOCK_BYTES = 1_024;
 const BLOCK_NUMBER_SHIFT = 4;
-const MORE_BLOCKS = 8;
-const NOTIFICATION_TIMEOUT = 2_000;
-const NOTIFICATION_RETRIES = 4;
+const MORE_BLOCKS_FLAG = 8;
+const NOTIFICATION_TIMEOUT_MS = 2_000;
+const MAXIMUM_NOTIFICATION_RETRANSMISSIONS = 4;
 const MESSAGE_ID_RANGE = 65_536;
 /** Service times just after a cold start are longer by up to this factor. */
-const COLD_FACTOR = 4;
-const COLD_FOR = 10_000;
+const COLD_START_FACTOR = 4;
+const COLD_START_MS = 10_000;
 
 /** What an answer says of the back end that gave it. */
 export interface AnswerOrigin {
@@ -76,7 +76,7 @@
   /** Set by tests: overrides the reported load, as a lying back end does. */
   reportedLoad: number | undefined;
   /** Most requests that ran at once. */
-  busiest = 0;
+  peakRunningRequests = 0;
   private readonly feeds = new Map<string, Feed>();
   private readonly running = new Map<string, TimerHandle>();
   private readonly startedAt: number;
@@ -94,7 +94,7 @@
   }
 
   /** Requests running now. */
-  get busy(): number {
+  get runningRequestCount(): number {
     return this.running.size;
   }
 
@@ -118,7 +118,7 @@
     }
     const message = parsed.val;
     if (message.code === CoapCode.empty) {
-      this.receiveEmpty(message, from);
+      this.handleEmptyMessage(message, from);
     } else if (getUriPath(message) === 'load') {
       this.answerLoad(message, from);
     } else {
@@ -129,17 +129,20 @@
   /** Takes a datagram of a datagram service: answers who it is and what came. */
   receiveDatagram(datagram: Buffer, from: Endpoint): void {
     if (!this.stopped) {
-      this.send(from, Buffer.from(JSON.stringify({ ...this.origin(), echo: datagram.toString() })));
+      this.send(
+        from,
+        Buffer.from(JSON.stringify({ ...this.getOrigin(), echo: datagram.toString() })),
+      );
     }
   }
 
-  private origin(): AnswerOrigin {
+  private getOrigin(): AnswerOrigin {
     const { service, target, run } = this.options;
     return { service, target, run };
   }
 
-  private receiveEmpty(message: CoapMessage, from: Endpoint): void {
-    const key = requestKey(from, message.messageId);
+  private handleEmptyMessage(message: CoapMessage, from: Endpoint): void {
+    const key = createRequestKey(from, message.messageId);
     const running = this.running.get(key);
     if (message.reset && running) {
       running.cancel();
@@ -167,49 +170,49 @@
       this.answer(message, from, CoapCode.serviceUnavailable, Buffer.alloc(0), [maxAge]);
       return;
     }
-    const key = requestKey(from, message.messageId);
+    const key = createRequestKey(from, message.messageId);
     if (this.running.has(key)) {
       return;
     }
     if (isPost(message)) {
-      this.record.noteRun(message.payload.toString());
+      this.record.recordRun(message.payload.toString());
     }
     const timer = this.environment.startTimer(this.drawServiceTime(), () => {
       this.running.delete(key);
       this.finishRequest(message, from);
     });
     this.running.set(key, timer);
-    this.busiest = Math.max(this.busiest, this.running.size);
+    this.peakRunningRequests = Math.max(this.peakRunningRequests, this.running.size);
   }
 
   private drawServiceTime(): number {
     const age = this.environment.now() - this.startedAt;
-    const coldness = Math.max(0, 1 - age / COLD_FOR);
-    const mean = this.options.serviceTime * (1 + (COLD_FACTOR - 1) * coldness);
+    const coldness = Math.max(0, 1 - age / COLD_START_MS);
+    const mean = this.options.serviceTime * (1 + (COLD_START_FACTOR - 1) * coldness);
     return -Math.log(1 - this.environment.random()) * mean;
   }
 
   private finishRequest(message: CoapMessage, from: Endpoint): void {
     const path = getUriPath(message);
     if (isPost(message)) {
-      const done = { ...this.origin(), done: message.payload.toString() };
+      const done = { ...this.getOrigin(), done: message.payload.toString() };
       this.answer(message, from, CoapCode.changed, Buffer.from(JSON.stringify(done)), []);
     } else if (path.startsWith('tiles/')) {
       this.answerBlock(message, from, path);
     } else if (path.startsWith('feed/') && isObserveRegistration(message)) {
       this.openFeed(message, from, path);
     } else {
-      const content = { ...this.origin(), path };
+      const content = { ...this.getOrigin(), path };
       this.answer(message, from, CoapCode.content, Buffer.from(JSON.stringify(content)), []);
     }
   }
 
   private answerBlock(message: CoapMessage, from: Endpoint, path: string): void {
-    const content = tileContent(this.options.service, path, this.options.tileBytes);
-    const asked = decodeInteger(findOption(message, CoapOption.block2)) ?? 0;
-    const block = asked >> BLOCK_NUMBER_SHIFT;
+    const content = createTileContent(this.options.service, path, this.options.tileBytes);
+    const requestedBlock = decodeInteger(findOption(message, CoapOption.block2)) ?? 0;
+    const block = requestedBlock >> BLOCK_NUMBER_SHIFT;
     const start = block * BLOCK_BYTES;
-    const more = start + BLOCK_BYTES < content.length ? MORE_BLOCKS : 0;
+    const more = start + BLOCK_BYTES < content.length ? MORE_BLOCKS_FLAG : 0;
     const value = (block << BLOCK_NUMBER_SHIFT) | more | BLOCK_SIZE_EXPONENT;
     const etag = Buffer.alloc(4);
     etag.writeUInt32BE(murmurhash.v3(content));
@@ -235,7 +238,7 @@
     };
     this.feeds.set(key, feed);
     const observe = { name: CoapOption.observe, value: encodeInteger(feed.sequence) };
-    this.answer(message, from, CoapCode.content, this.feedContent(feed), [observe]);
+    this.answer(message, from, CoapCode.content, this.encodeFeedContent(feed), [observe]);
     this.scheduleNotification(key, feed);
   }
 
@@ -259,18 +262,18 @@
       pending.stale = true;
       return;
     }
-    this.transmitNew(key, feed, 0);
+    this.transmitNewNotification(key, feed, 0);
   }
 
-  private transmitNew(key: string, feed: Feed, attempts: number): void {
-    const messageId = this.newMessageId();
+  private transmitNewNotification(key: string, feed: Feed, attempts: number): void {
+    const messageId = this.allocateMessageId();
     const datagram = generateCoap({
       code: CoapCode.content,
       confirmable: true,
       messageId,
       token: feed.token,
       options: [{ name: CoapOption.observe, value: encodeInteger(feed.sequence) }],
-      payload: this.feedContent(feed),
+      payload: this.encodeFeedContent(feed),
     });
     feed.unacknowledged = { messageId, datagram, attempts, stale: false };
     this.transmit(key, feed, messageId);
@@ -281,12 +284,12 @@
     if (pending?.messageId !== messageId || feed.ended || this.stopped) {
       return;
     }
-    if (pending.attempts > NOTIFICATION_RETRIES) {
+    if (pending.attempts > MAXIMUM_NOTIFICATION_RETRANSMISSIONS) {
       this.endFeed(key, feed);
     } else if (pending.stale) {
-      this.transmitNew(key, feed, pending.attempts);
+      this.transmitNewNotification(key, feed, pending.attempts);
     } else {
-      const wait = NOTIFICATION_TIMEOUT * 2 ** pending.attempts;
+      const wait = NOTIFICATION_TIMEOUT_MS * 2 ** pending.attempts;
       pending.attempts++;
       this.send(feed.peer, pending.datagram);
       this.environment.startTimer(wait, () => this.transmit(key, feed, messageId));
@@ -298,8 +301,8 @@
     this.feeds.delete(key);
   }
 
-  private feedContent(feed: Feed): Buffer {
-    const content = { ...this.origin(), path: feed.path, sequence: feed.sequence };
+  private encodeFeedContent(feed: Feed): Buffer {
+    const content = { ...this.getOrigin(), path: feed.path, sequence: feed.sequence };
     return Buffer.from(JSON.stringify(content));
   }
 
@@ -315,17 +318,17 @@
     this.send(to, generateCoap(packet));
   }
 
-  private newMessageId(): number {
+  private allocateMessageId(): number {
     this.nextMessageId = (this.nextMessageId + 1) % MESSAGE_ID_RANGE;
     return this.nextMessageId;
   }
 }
 
 /** The content of a tile; the same at every target of a service. */
-export function tileContent(service: string, path: string, bytes: number): Buffer {
+export function createTileContent(service: string, path: string, bytes: number): Buffer {
   return Buffer.alloc(bytes, `${service}:${path};`);
 }
 
-function requestKey(from: Endpoint, messageId: number): string {
+function createRequestKey(from: Endpoint, messageId: number): string {
   return `${from}/${messageId}`;
 }
--- a/src/standins/caller-fleet.ts
+++ b/src/standins/caller-fleet.ts
@@ -2,7 +2,7 @@
 import { getEndpointAddress } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { UdpSocket } from '../runtime/udp-socket';
-import type { Caller, CallerSurroundings } from './caller';
+import type { Caller, CallerContext } from './caller';
 import { DatagramCaller } from './datagram-caller';
 import { FeedCaller } from './feed-caller';
 import { ReportCaller } from './report-caller';
@@ -10,10 +10,10 @@
 import { CallerStatistics } from './caller-statistics';
 import { RunRecord } from './run-record';
 
-const FEED_SILENCE_LIMIT = 15_000;
-const REPORT_INTERVAL = 1_000;
-const TRANSFER_INTERVAL = 200;
-const DATAGRAM_INTERVAL = 200;
+const FEED_TIMEOUT_MS = 15_000;
+const REPORT_INTERVAL_MS = 1_000;
+const TRANSFER_INTERVAL_MS = 200;
+const DATAGRAM_INTERVAL_MS = 200;
 
 /** How many callers of each kind. */
 export interface FleetMix {
@@ -48,30 +48,30 @@
 
   /** Opens the sockets and starts the callers. */
   async start(mix: FleetMix): Promise<void> {
-    await this.startMany(mix.feeds, (surroundings, index) => {
-      return new FeedCaller(surroundings, `feed/gate-${index}`, FEED_SILENCE_LIMIT);
+    await this.startMany(mix.feeds, (context, index) => {
+      return new FeedCaller(context, `feed/gate-${index}`, FEED_TIMEOUT_MS);
     });
-    await this.startMany(mix.reporters, (surroundings, index) => {
-      return new ReportCaller(surroundings, `${this.name}-${index}`, REPORT_INTERVAL);
+    await this.startMany(mix.reporters, (context, index) => {
+      return new ReportCaller(context, `${this.name}-${index}`, REPORT_INTERVAL_MS);
     });
-    await this.startMany(mix.transfers, (surroundings, index) => {
+    await this.startMany(mix.transfers, (context, index) => {
       const name = `plan-${index}`;
-      return new TransferCaller(surroundings, name, TRANSFER_INTERVAL, mix.tileBytes);
+      return new TransferCaller(context, name, TRANSFER_INTERVAL_MS, mix.tileBytes);
     });
-    await this.startMany(mix.datagrams, (surroundings, index) => {
-      return new DatagramCaller(surroundings, `${this.name}-${index}`, DATAGRAM_INTERVAL);
+    await this.startMany(mix.datagrams, (context, index) => {
+      return new DatagramCaller(context, `${this.name}-${index}`, DATAGRAM_INTERVAL_MS);
     });
   }
 
   /** What the callers saw, as one JSON object. */
-  summary(): Record<string, unknown> {
+  createSummary(): Record<string, unknown> {
     const { statistics, record } = this;
     const numbers = Object.entries(statistics).filter(([, value]) => typeof value === 'number');
     return {
       ...Object.fromEntries(numbers),
-      latencyMs: statistics.latencies(),
+      latencyMs: statistics.getLatencies(),
       breakReasons: Object.fromEntries(statistics.breakReasons),
-      refusedAttempts: record.refused(),
+      refusedAttempts: record.listAttemptsRefused(),
     };
   }
 
@@ -82,14 +82,14 @@
 
   private async startMany(
     count: number,
-    create: (surroundings: CallerSurroundings, index: number) => Caller,
+    create: (context: CallerContext, index: number) => Caller,
   ): Promise<void> {
     for (let index = 0; index < count; index++) {
-      await this.startOne((surroundings) => create(surroundings, index));
+      await this.startOne((context) => create(context, index));
     }
   }
 
-  private async startOne(create: (surroundings: CallerSurroundings) => Caller): Promise<void> {
+  private async startOne(create: (context: CallerContext) => Caller): Promise<void> {
     const bound = await UdpSocket.bind(getEndpointAddress(this.to), 0, (datagram) =>
       caller.receive(datagram),
     );
--- a/src/standins/caller-statistics.ts
+++ b/src/standins/caller-statistics.ts
@@ -11,16 +11,16 @@
   readonly p999: number;
 }
 
-const MICROSECONDS = 1_000;
+const MICROSECONDS_PER_MS = 1_000;
 
 /** Told of what callers suffer, as it happens; used by the simulation's checkers. */
 export interface CallerObserver {
   /** A flow that began at a target of this service broke; no target when none is known. */
-  flowBroken(reason: string, service: string, target: string): void;
+  recordBrokenFlow(reason: string, service: string, target: string): void;
   /** A request ended without a definite answer. */
-  requestFailed(outcome: 'unknown' | 'unanswered'): void;
+  recordFailedRequest(outcome: 'unknown' | 'unanswered'): void;
   /** An answer was not whole or not the caller's own. */
-  answerWrong(what: string): void;
+  recordWrongAnswer(what: string): void;
 }
 
 /** Counters of a fleet of callers. */
@@ -42,48 +42,48 @@
   constructor(private readonly observer?: CallerObserver) {}
 
   /** Notes how long an answer took, in milliseconds. */
-  noteLatency(kind: TrafficKind, milliseconds: number): void {
+  recordLatency(kind: TrafficKind, milliseconds: number): void {
     const histogram = this.histograms.get(kind) ?? build({ numberOfSignificantValueDigits: 3 });
-    histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS)));
+    histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MS)));
     this.histograms.set(kind, histogram);
   }
 
-  noteBroken(reason: string, service: string, target: string): void {
+  recordBrokenFlow(reason: string, service: string, target: string): void {
     this.flowsBroken++;
     this.breakReasons.set(reason, (this.breakReasons.get(reason) ?? 0) + 1);
-    this.observer?.flowBroken(reason, service, target);
+    this.observer?.recordBrokenFlow(reason, service, target);
   }
 
   /** @param what what was expected and what came, in words */
-  noteWrongAnswer(what: string): void {
+  recordWrongAnswer(what: string): void {
     this.wrongAnswers++;
-    this.observer?.answerWrong(what);
+    this.observer?.recordWrongAnswer(what);
   }
 
-  noteUnknown(): void {
+  recordUnknownOutcome(): void {
     this.outcomeUnknown++;
-    this.observer?.requestFailed('unknown');
+    this.observer?.recordFailedRequest('unknown');
   }
 
-  noteUnanswered(): void {
+  recordUnanswered(): void {
     this.unanswered++;
-    this.observer?.requestFailed('unanswered');
+    this.observer?.recordFailedRequest('unanswered');
   }
 
   /** Latency of one kind; undefined when it had no answer. */
-  latency(kind: TrafficKind): LatencySummary | undefined {
+  getLatency(kind: TrafficKind): LatencySummary | undefined {
     const histogram = this.histograms.get(kind);
     if (!histogram) {
       return undefined;
     }
-    const at = (percentile: number): number =>
-      histogram.getValueAtPercentile(percentile) / MICROSECONDS;
-    return { p50: at(50), p99: at(99), p999: at(99.9) };
+    const getPercentile = (percentile: number): number =>
+      histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
+    return { p50: getPercentile(50), p99: getPercentile(99), p999: getPercentile(99.9) };
   }
 
   /** Latency of every kind that had answers. */
-  latencies(): Partial<Record<TrafficKind, LatencySummary>> {
+  getLatencies(): Partial<Record<TrafficKind, LatencySummary>> {
     const kinds = [...this.histograms.keys()];
-    return Object.fromEntries(kinds.map((kind) => [kind, this.latency(kind)]));
+    return Object.fromEntries(kinds.map((kind) => [kind, this.getLatency(kind)]));
   }
 }
--- a/src/standins/caller.ts
+++ b/src/standins/caller.ts
@@ -7,7 +7,7 @@
 import type { RunRecord } from './run-record';
 
 /** What every caller needs. */
-export interface CallerSurroundings {
+export interface CallerContext {
   readonly environment: Environment;
   readonly statistics: CallerStatistics;
   readonly record: RunRecord;
@@ -30,12 +30,12 @@
   protected readonly judge: FlowJudge;
   protected stopped = false;
 
-  constructor(protected readonly surroundings: CallerSurroundings) {
-    this.judge = new FlowJudge(surroundings);
+  constructor(protected readonly context: CallerContext) {
+    this.judge = new FlowJudge(context);
     this.client = new CoapClient(
-      surroundings.environment,
-      (datagram) => surroundings.send(datagram),
-      (message) => this.receiveNotification(message),
+      context.environment,
+      (datagram) => context.send(datagram),
+      (message) => this.handleNotification(message),
     );
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** A message that answers no request of this caller; rejected unless it holds a feed. */
-  protected receiveNotification(message: CoapMessage): void {
+  protected handleNotification(message: CoapMessage): void {
     this.client.respond(message, 'reset');
   }
 }
--- a/src/standins/coap-client.ts
+++ b/src/standins/coap-client.ts
@@ -3,8 +3,8 @@
 import type { Environment, TimerHandle } from '../environment';
 
 /** Transmission parameters of RFC 7252, section 4.8. */
-const ACK_TIMEOUT = 2_000;
-const ACK_RANDOM_FACTOR = 0.5;
+const ACK_TIMEOUT_MS = 2_000;
+const ACK_TIMEOUT_JITTER = 0.5;
 const MAX_RETRANSMIT = 4;
 const MESSAGE_ID_RANGE = 65_536;
 const TOKEN_BYTES = 4;
@@ -25,9 +25,9 @@
   readonly datagram: Buffer;
   readonly messageId: number;
   readonly token: Buffer;
-  readonly done: AnswerHandler;
+  readonly handleAnswer: AnswerHandler;
   attempts: number;
-  timeout: number;
+  initialTimeoutMs: number;
   timer: TimerHandle | undefined;
 }
 
@@ -37,19 +37,19 @@
   private nextMessageId: number;
   private closed = false;
 
-  /** @param notified receives messages that answer no pending request: notifications */
+  /** @param handleNotification receives messages that answer no pending request: notifications */
   constructor(
     private readonly environment: Environment,
     private readonly send: (datagram: Buffer) => void,
-    private readonly notified: (message: CoapMessage) => void,
+    private readonly handleNotification: (message: CoapMessage) => void,
   ) {
     this.nextMessageId = Math.floor(environment.random() * MESSAGE_ID_RANGE);
   }
 
   /** Sends a confirmable request and repeats it until answered or given up. Returns its token. */
-  request(request: ClientRequest, done: AnswerHandler): Buffer {
-    const messageId = this.newMessageId();
-    const token = request.token ?? this.newToken();
+  request(request: ClientRequest, handleAnswer: AnswerHandler): Buffer {
+    const messageId = this.allocateMessageId();
+    const token = request.token ?? this.createToken();
     const datagram = generateCoap({
       code: request.method,
       confirmable: true,
@@ -62,9 +62,9 @@
       datagram,
       messageId,
       token,
-      done,
+      handleAnswer,
       attempts: 0,
-      timeout: ACK_TIMEOUT * (1 + ACK_RANDOM_FACTOR * this.environment.random()),
+      initialTimeoutMs: ACK_TIMEOUT_MS * (1 + ACK_TIMEOUT_JITTER * this.environment.random()),
       timer: undefined,
     };
     this.pending.set(messageId, pending);
@@ -81,9 +81,9 @@
     const message = parsed.val;
     const pending = message.ack ? this.pending.get(message.messageId) : undefined;
     if (pending && message.code !== CoapCode.empty) {
-      this.finish(pending, pending.token.equals(message.token) ? message : undefined);
+      this.finishRequest(pending, pending.token.equals(message.token) ? message : undefined);
     } else if (!message.ack && message.code !== CoapCode.empty) {
-      this.notified(message);
+      this.handleNotification(message);
     }
   }
 
@@ -102,28 +102,28 @@
 
   private transmit(pending: PendingRequest): void {
     if (pending.attempts > MAX_RETRANSMIT) {
-      this.finish(pending, undefined);
+      this.finishRequest(pending, undefined);
       return;
     }
-    const wait = pending.timeout * 2 ** pending.attempts;
+    const wait = pending.initialTimeoutMs * 2 ** pending.attempts;
     pending.attempts++;
     this.send(pending.datagram);
     pending.timer = this.environment.startTimer(wait, () => this.transmit(pending));
   }
 
-  private finish(pending: PendingRequest, answer: CoapMessage | undefined): void {
+  private finishRequest(pending: PendingRequest, answer: CoapMessage | undefined): void {
     pending.timer?.cancel();
     if (this.pending.delete(pending.messageId)) {
-      pending.done(answer);
+      pending.handleAnswer(answer);
     }
   }
 
-  private newMessageId(): number {
+  private allocateMessageId(): number {
     this.nextMessageId = (this.nextMessageId + 1) % MESSAGE_ID_RANGE;
     return this.nextMessageId;
   }
 
-  private newToken(): Buffer {
+  private createToken(): Buffer {
     const token = Buffer.alloc(TOKEN_BYTES);
     token.writeUInt32BE(Math.floor(this.environment.random() * 2 ** 32));
     return token;
--- a/src/standins/datagram-caller.ts
+++ b/src/standins/datagram-caller.ts
@@ -1,6 +1,6 @@
 /** A caller of a datagram service. */
 import { parseContent } from './answer-content';
-import type { Caller, CallerSurroundings } from './caller';
+import type { Caller, CallerContext } from './caller';
 import { FlowJudge } from './flow-judge';
 
 /** Sends numbered datagrams to a datagram service and checks who answers. */
@@ -10,38 +10,38 @@
   private sentAt = 0;
   private stopped = false;
 
-  /** @param interval milliseconds between datagrams */
+  /** @param intervalMs milliseconds between datagrams */
   constructor(
-    private readonly surroundings: CallerSurroundings,
+    private readonly context: CallerContext,
     private readonly name: string,
-    private readonly interval: number,
+    private readonly intervalMs: number,
   ) {
-    this.judge = new FlowJudge(surroundings);
+    this.judge = new FlowJudge(context);
   }
 
   start(): void {
     if (this.stopped) {
       return;
     }
-    const { environment, statistics } = this.surroundings;
+    const { environment, statistics } = this.context;
     this.number++;
     this.sentAt = environment.now();
     statistics.requestsSent++;
-    this.surroundings.send(Buffer.from(`${this.name}-${this.number}`));
-    environment.startTimer(this.interval, () => this.start());
+    this.context.send(Buffer.from(`${this.name}-${this.number}`));
+    environment.startTimer(this.intervalMs, () => this.start());
   }
 
   receive(datagram: Buffer): void {
-    const { environment, statistics } = this.surroundings;
+    const { environment, statistics } = this.context;
     const content = parseContent(datagram);
     if (!content?.echo?.startsWith(`${this.name}-`)) {
-      statistics.noteWrongAnswer(`datagram of ${this.name} got ${datagram.toString()}`);
+      statistics.recordWrongAnswer(`datagram of ${this.name} got ${datagram.toString()}`);
       return;
     }
-    this.judge.judgeHost(content);
+    this.judge.checkHost(content);
     if (content.echo === `${this.name}-${this.number}`) {
       statistics.answersWhole++;
-      statistics.noteLatency('datagram', environment.now() - this.sentAt);
+      statistics.recordLatency('datagram', environment.now() - this.sentAt);
     }
   }
 
--- a/src/standins/deployments.ts
+++ b/src/standins/deployments.ts
@@ -35,7 +35,7 @@
   readonly services: readonly DeployedService[];
 }
 
-const MAP_OFFICE: Deployment = {
+const MAP_DEPLOYMENT: Deployment = {
   name: 'map',
   zones: ['zone-a', 'zone-b', 'zone-c'],
   balancersPerZone: 1,
@@ -65,7 +65,7 @@
   ],
 };
 
-const PORTING_OFFICE: Deployment = {
+const PORTING_DEPLOYMENT: Deployment = {
   name: 'porting',
   zones: ['zone-a', 'zone-b', 'zone-c', 'zone-d'],
   balancersPerZone: 1,
@@ -97,17 +97,17 @@
 
 /** Deployments by name. */
 export const DEPLOYMENTS: Readonly<Record<Deployment['name'], Deployment>> = {
-  map: MAP_OFFICE,
-  porting: PORTING_OFFICE,
+  map: MAP_DEPLOYMENT,
+  porting: PORTING_DEPLOYMENT,
 };
 
 /** The name of a service's target by number, from 1. */
-export function targetName(number: number): string {
+export function createTargetName(number: number): string {
   return `target-${number}`;
 }
 
 /** A datagram service that simulations add to a deployment, so that both protocols are judged. */
-const BEACON: DeployedService = {
+const BEACON_SERVICE: DeployedService = {
   name: 'beacon',
   protocol: 'datagram',
   targets: 3,
@@ -119,6 +119,6 @@
 };
 
 /** A deployment with the datagram service added. */
-export function withBeacon(deployment: Deployment): Deployment {
-  return { ...deployment, services: [...deployment.services, BEACON] };
+export function addBeaconService(deployment: Deployment): Deployment {
+  return { ...deployment, services: [...deployment.services, BEACON_SERVICE] };
 }
--- a/src/standins/embedded-deployment.ts
+++ b/src/standins/embedded-deployment.ts
@@ -14,7 +14,7 @@
 import { BackendStandin } from './backend-standin';
 import { CallerFleet } from './caller-fleet';
 import { CallerStatistics } from './caller-statistics';
-import { targetName, type DeployedService, type Deployment } from './deployments';
+import { createTargetName, type DeployedService, type Deployment } from './deployments';
 import { FabricStandin } from './fabric-standin';
 import { PlatformServer } from './platform-server';
 import { RunRecord } from './run-record';
@@ -23,10 +23,10 @@
 const ADMIN_PORT = 7_080;
 const BACKEND_PORT = 5_700;
 const FIRST_SERVICE_PORT = 5_683;
-const MACHINE_LAG = 1_000;
-const READY_TIMEOUT = 15_000;
-const POLL_INTERVAL = 50;
-const FEED_INTERVAL = 500;
+const MACHINE_LIST_DELAY_MS = 1_000;
+const READY_TIMEOUT_MS = 15_000;
+const POLL_INTERVAL_MS = 50;
+const FEED_INTERVAL_MS = 500;
 const DEMO_KEY = { id: 1, secret: 'loopback-demonstration-key' };
 
 /** One target's parts. */
@@ -60,16 +60,16 @@
     private readonly options: EmbeddedOptions,
   ) {
     this.environment = new RealEnvironment(new EventLog('standins', 'error'));
-    const listen = packEndpoint(loopback(0, 1), 0);
-    this.platform = new PlatformServer({ listen, machineLag: MACHINE_LAG });
+    const listen = packEndpoint(createLoopbackAddress(0, 1), 0);
+    this.platform = new PlatformServer({ listen, machineLag: MACHINE_LIST_DELAY_MS });
     this.fabric = new FabricStandin(
       deployment.services.map((service, index) => ({
         name: service.name,
-        listen: packEndpoint(loopback(0, 2), FIRST_SERVICE_PORT + index),
+        listen: packEndpoint(createLoopbackAddress(0, 2), FIRST_SERVICE_PORT + index),
         balancers: new Map(
-          this.balancerNames().map((name, at) => [
+          this.listBalancerNames().map((name, at) => [
             name,
-            packEndpoint(loopback(1, at + 1), FIRST_SERVICE_PORT + index),
+            packEndpoint(createLoopbackAddress(1, at + 1), FIRST_SERVICE_PORT + index),
           ]),
         ),
       })),
@@ -80,22 +80,25 @@
   async start(): Promise<void> {
     this.storeUrl = await this.platform.start();
     await this.fabric.start();
-    await Promise.all(this.balancerNames().map((_, index) => this.startBalancer(index)));
+    await Promise.all(this.listBalancerNames().map((_, index) => this.startBalancer(index)));
     await this.startTargets();
     await this.putInitialTables();
-    await this.waitUntil('all processes are ready', () => this.allReady());
+    await this.waitUntil('all processes are ready', () => this.areAllReady());
   }
 
   /** Starts the callers of every service. */
   async startCallers(): Promise<void> {
     for (const [index, service] of this.deployment.services.entries()) {
-      await this.startCallersOf(service, FIRST_SERVICE_PORT + index);
+      await this.startServiceCallers(service, FIRST_SERVICE_PORT + index);
     }
   }
 
   /** Replaces a service's rows by way of a balancer's acceptance. */
-  async edit(service: string, change: (rows: readonly TableRow[]) => TableRow[]): Promise<void> {
-    const balancer = this.firstBalancer();
+  async editTable(
+    service: string,
+    change: (rows: readonly TableRow[]) => TableRow[],
+  ): Promise<void> {
+    const balancer = this.getFirstBalancer();
     const table = balancer.node.distribution.cache.get(service);
     const baseRows = table?.rows ?? [];
     const edit = {
@@ -121,19 +124,19 @@
   }
 
   /** Names of the balancers that run. */
-  runningBalancers(): string[] {
+  listRunningBalancers(): string[] {
     return [...this.balancers.keys()];
   }
 
   /** Largest over mean of hosted flows per share, per service; 1 when even or empty. */
-  imbalance(): Record<string, number> {
+  computeImbalance(): Record<string, number> {
     return Object.fromEntries(
-      this.deployment.services.map(({ name }) => [name, this.imbalanceOf(name)]),
+      this.deployment.services.map(({ name }) => [name, this.computeServiceImbalance(name)]),
     );
   }
 
   /** Flows hosted by all agents. */
-  hostedFlows(): number {
+  countHostedFlows(): number {
     return this.targets.reduce((sum, target) => sum + target.agent.node.statistics.flows, 0);
   }
 
@@ -151,7 +154,7 @@
     this.environment.close();
   }
 
-  private balancerNames(): string[] {
+  private listBalancerNames(): string[] {
     return this.deployment.zones.flatMap((_, zone) =>
       Array.from(
         { length: this.deployment.balancersPerZone },
@@ -160,13 +163,13 @@
     );
   }
 
-  private firstBalancer(): BalancerProcess {
+  private getFirstBalancer(): BalancerProcess {
     return [...this.balancers.values()][0]!;
   }
 
   private async startBalancer(index: number): Promise<void> {
-    const address = loopback(1, index + 1);
-    const name = this.balancerNames()[index]!;
+    const address = createLoopbackAddress(1, index + 1);
+    const name = this.listBalancerNames()[index]!;
     const zone = this.deployment.zones[Math.floor(index / this.deployment.balancersPerZone)]!;
     const settings = balancerSchema.parse({
       role: 'balancer',
@@ -174,7 +177,9 @@
       zone,
       listen: `${address}:${FRAME_PORT}`,
       admin: `${address}:${ADMIN_PORT}`,
-      peers: this.balancerNames().map((_, peer) => `${loopback(1, peer + 1)}:${FRAME_PORT}`),
+      peers: this.listBalancerNames().map(
+        (_, peer) => `${createLoopbackAddress(1, peer + 1)}:${FRAME_PORT}`,
+      ),
       store: this.storeUrl,
       keys: [DEMO_KEY],
       quietSeconds: 0.5,
@@ -201,15 +206,15 @@
     serviceIndex: number,
     number: number,
   ): Promise<EmbeddedTarget> {
-    const address = loopback(2 + serviceIndex, number);
-    const name = targetName(number);
+    const address = createLoopbackAddress(2 + serviceIndex, number);
+    const name = createTargetName(number);
     const backend = new BackendStandin(
       {
         service: service.name,
         target: name,
         run: 1,
         serviceTime: service.serviceTime,
-        feedInterval: FEED_INTERVAL,
+        feedInterval: FEED_INTERVAL_MS,
         tileBytes: service.tileBytes,
       },
       this.environment,
@@ -220,11 +225,11 @@
       backend.receive(datagram, from),
     );
     const backendSocket = bound.unwrap();
-    const agent = await AgentProcess.start(this.agentSettings(service, name, address));
+    const agent = await AgentProcess.start(this.createAgentSettings(service, name, address));
     return { service, name, agent, backend, backendSocket };
   }
 
-  private agentSettings(
+  private createAgentSettings(
     service: DeployedService,
     target: string,
     address: string,
@@ -237,7 +242,9 @@
       listen: `${address}:${FRAME_PORT}`,
       admin: `${address}:${ADMIN_PORT}`,
       backend: `${address}:${BACKEND_PORT}`,
-      balancers: this.balancerNames().map((_, index) => `${loopback(1, index + 1)}:${FRAME_PORT}`),
+      balancers: this.listBalancerNames().map(
+        (_, index) => `${createLoopbackAddress(1, index + 1)}:${FRAME_PORT}`,
+      ),
       keys: [DEMO_KEY],
       loadPath: 'load',
       log: { level: this.options.logLevel },
@@ -245,35 +252,35 @@
   }
 
   private async putInitialTables(): Promise<void> {
-    await this.waitUntil('a balancer has joined', () => this.firstBalancer().node.isReady);
+    await this.waitUntil('a balancer has joined', () => this.getFirstBalancer().node.isReady);
     for (const [serviceIndex, service] of this.deployment.services.entries()) {
       const rows = Array.from({ length: service.targets }, (_, index) => ({
-        target: targetName(index + 1),
-        address: packEndpoint(loopback(2 + serviceIndex, index + 1), FRAME_PORT),
+        target: createTargetName(index + 1),
+        address: packEndpoint(createLoopbackAddress(2 + serviceIndex, index + 1), FRAME_PORT),
         share: 1,
         slots: service.slots,
         connections: service.connections,
       }));
-      await this.edit(service.name, () => rows);
+      await this.editTable(service.name, () => rows);
     }
   }
 
-  private allReady(): boolean {
+  private areAllReady(): boolean {
     const services = this.deployment.services.map((service) => service.name);
     const balancersReady = [...this.balancers.values()].every(
       ({ node }) =>
         node.isReady && services.every((service) => node.distribution.cache.get(service)),
     );
-    const owned = services.every((service) => {
+    const areBucketsOwned = services.every((service) => {
       const group = this.targets.filter((target) => target.service.name === service);
       const buckets = group.map((target) => target.agent.node.statistics.bucketsOwned);
       return buckets.reduce((sum, count) => sum + count, 0) === 256;
     });
-    return balancersReady && owned;
+    return balancersReady && areBucketsOwned;
   }
 
-  private async startCallersOf(service: DeployedService, port: number): Promise<void> {
-    const address = packEndpoint(loopback(0, 2), port);
+  private async startServiceCallers(service: DeployedService, port: number): Promise<void> {
+    const address = packEndpoint(createLoopbackAddress(0, 2), port);
     const { statistics, record } = this;
     const shared = { statistics, record };
     const fleet = new CallerFleet(this.environment, address, service.name, service.name, shared);
@@ -281,8 +288,8 @@
     await fleet.start({ ...service.callers, tileBytes: service.tileBytes });
   }
 
-  private imbalanceOf(service: string): number {
-    const rows = this.firstBalancer().node.distribution.cache.get(service)?.rows ?? [];
+  private computeServiceImbalance(service: string): number {
+    const rows = this.getFirstBalancer().node.distribution.cache.get(service)?.rows ?? [];
     const loads = rows
       .filter((row) => row.share > 0)
       .map((row) => {
@@ -298,18 +305,18 @@
   }
 
   private async waitUntil(what: string, condition: () => boolean): Promise<void> {
-    const limit = performance.now() + READY_TIMEOUT;
+    const limit = performance.now() + READY_TIMEOUT_MS;
     while (!condition()) {
       if (performance.now() > limit) {
         throw new Error(`timed out waiting until ${what}`);
       }
-      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 }
 
 /** An address of 127.0.0.0/8 that belongs to this process: two octets follow its process id. */
-function loopback(group: number, host: number): string {
+function createLoopbackAddress(group: number, host: number): string {
   const high = 1 + ((process.pid >> 8) % 120);
   const low = process.pid & 255;
   return `127.${high}.${low}.${group * 20 + host}`;
--- a/src/standins/fabric-standin.ts
+++ b/src/standins/fabric-standin.ts
@@ -8,9 +8,9 @@
 import { getEndpointAddress } from '../core/endpoint';
 import { UdpSocket } from '../runtime/udp-socket';
 
-const WAITING_MAXIMUM = 64;
-const HEALTH_INTERVAL = 250;
-const HEALTH_TIMEOUT = 1_000;
+const MAXIMUM_WAITING_DATAGRAMS = 64;
+const HEALTH_CHECK_INTERVAL_MS = 250;
+const HEALTH_CHECK_TIMEOUT_MS = 1_000;
 
 /** A service's address and where its balancers receive. */
 export interface FabricService {
@@ -53,7 +53,7 @@
       this.listeners.set(service.name, bound.val);
     }
     if (this.healthUrls.size > 0) {
-      this.healthTimer = setInterval(() => void this.checkHealth(), HEALTH_INTERVAL);
+      this.healthTimer = setInterval(() => void this.checkHealth(), HEALTH_CHECK_INTERVAL_MS);
       await this.checkHealth();
     }
   }
@@ -84,8 +84,8 @@
     const key = `${service.name}/${caller}`;
     const flow = this.flows.get(key) ?? this.openFlow(key, service, caller);
     if (flow.socket) {
-      this.spray(service, flow.socket, payload);
-    } else if (flow.waiting.length < WAITING_MAXIMUM) {
+      this.sendToRandomBalancer(service, flow.socket, payload);
+    } else if (flow.waiting.length < MAXIMUM_WAITING_DATAGRAMS) {
       flow.waiting.push(payload);
     }
   }
@@ -99,7 +99,7 @@
     ).then((bound) => {
       if (bound.ok) {
         flow.socket = bound.val;
-        flow.waiting.forEach((payload) => this.spray(service, bound.val, payload));
+        flow.waiting.forEach((payload) => this.sendToRandomBalancer(service, bound.val, payload));
         flow.waiting = [];
       } else {
         this.flows.delete(key);
@@ -108,7 +108,7 @@
     return flow;
   }
 
-  private spray(service: FabricService, socket: UdpSocket, payload: Buffer): void {
+  private sendToRandomBalancer(service: FabricService, socket: UdpSocket, payload: Buffer): void {
     const live = [...service.balancers].filter(([name]) => !this.withdrawn.has(name));
     const chosen = live[Math.floor(this.random() * live.length)];
     if (chosen) {
@@ -119,7 +119,7 @@
 
 async function isHealthy(url: string): Promise<boolean> {
   try {
-    const response = await request(url, { signal: AbortSignal.timeout(HEALTH_TIMEOUT) });
+    const response = await request(url, { signal: AbortSignal.timeout(HEALTH_CHECK_TIMEOUT_MS) });
     await response.body.dump();
     return response.statusCode === 200;
   } catch {
--- a/src/standins/fault-proxy.ts
+++ b/src/standins/fault-proxy.ts
@@ -17,7 +17,7 @@
 /** A UDP proxy: each sender gets a socket of its own towards the target, like a NAT. */
 export class UdpFaultProxy {
   /** True while nothing passes. */
-  cut = false;
+  isCut = false;
   private readonly random: SeededRandom;
   private readonly sockets = new Map<Endpoint, Promise<UdpSocket>>();
   private listener: UdpSocket | undefined;
@@ -33,8 +33,8 @@
 
   async start(): Promise<void> {
     const bound = await UdpSocket.bindEndpoint(this.listen, (payload, from) => {
-      void this.socketFor(from).then((socket) =>
-        this.disturb(() => socket.send(this.target, payload)),
+      void this.getSocket(from).then((socket) =>
+        this.applyFaults(() => socket.send(this.target, payload)),
       );
     });
     this.listener = bound.unwrap();
@@ -45,28 +45,28 @@
     (await Promise.all(this.sockets.values())).forEach((socket) => socket.close());
   }
 
-  private socketFor(sender: Endpoint): Promise<UdpSocket> {
-    const known = this.sockets.get(sender);
-    if (known) {
-      return known;
+  private getSocket(sender: Endpoint): Promise<UdpSocket> {
+    const existing = this.sockets.get(sender);
+    if (existing) {
+      return existing;
     }
     const created = UdpSocket.bind(getEndpointAddress(this.listen), 0, (payload) =>
-      this.disturb(() => this.listener?.send(sender, payload)),
+      this.applyFaults(() => this.listener?.send(sender, payload)),
     ).then((bound) => bound.unwrap());
     this.sockets.set(sender, created);
     return created;
   }
 
-  private disturb(pass: () => void): void {
-    if (this.cut || this.random.next() < this.faults.loss) {
+  private applyFaults(deliver: () => void): void {
+    if (this.isCut || this.random.next() < this.faults.loss) {
       return;
     }
     const copies = this.random.next() < this.faults.duplication ? 2 : 1;
     for (let copy = 0; copy < copies; copy++) {
       if (this.random.next() < this.faults.reordering) {
-        setTimeout(pass, this.random.next() * this.faults.reorderDelay);
+        setTimeout(deliver, this.random.next() * this.faults.reorderDelay);
       } else {
-        pass();
+        deliver();
       }
     }
   }
@@ -82,7 +82,7 @@
     private readonly listen: Endpoint,
     private readonly target: Endpoint,
   ) {
-    this.server = createServer((incoming) => this.connectThrough(incoming));
+    this.server = createServer((incoming) => this.forwardConnection(incoming));
   }
 
   start(): Promise<void> {
@@ -104,7 +104,7 @@
     this.server.close();
   }
 
-  private connectThrough(incoming: Socket): void {
+  private forwardConnection(incoming: Socket): void {
     if (this.isCut) {
       incoming.destroy();
       return;
--- a/src/standins/feed-caller.ts
+++ b/src/standins/feed-caller.ts
@@ -1,22 +1,22 @@
 /** A caller that holds a feed: a kiosk, a carrier's status feed. */
 import { CoapCode, CoapOption, encodeInteger, type CoapMessage } from '../coap/coap-message';
 import type { TimerHandle } from '../environment';
-import { countFailure, parseContent, pathOptions, retryAfter } from './answer-content';
-import { CoapCaller, type CallerSurroundings } from './caller';
+import { recordFailure, parseContent, createPathOptions, getRetryDelayMs } from './answer-content';
+import { CoapCaller, type CallerContext } from './caller';
 
 /** Holds a feed open and watches that it goes on. */
 export class FeedCaller extends CoapCaller {
   private token: Buffer | undefined;
   private lastSequence = -1;
-  private silence: TimerHandle | undefined;
+  private notificationTimer: TimerHandle | undefined;
 
-  /** @param silenceLimit milliseconds without a notification after which the feed is broken */
+  /** @param notificationTimeoutMs milliseconds without a notification after which the feed is broken */
   constructor(
-    surroundings: CallerSurroundings,
+    context: CallerContext,
     private readonly path: string,
-    private readonly silenceLimit: number,
+    private readonly notificationTimeoutMs: number,
   ) {
-    super(surroundings);
+    super(context);
   }
 
   start(): void {
@@ -25,60 +25,62 @@
 
   override stop(): void {
     super.stop();
-    this.silence?.cancel();
+    this.notificationTimer?.cancel();
   }
 
   private register(): void {
     if (this.stopped) {
       return;
     }
-    const { environment, statistics } = this.surroundings;
+    const { environment, statistics } = this.context;
     const sentAt = environment.now();
     statistics.requestsSent++;
     const options = [
       { name: CoapOption.observe, value: encodeInteger(0) },
-      ...pathOptions(this.path),
+      ...createPathOptions(this.path),
     ];
     const request = { method: 'GET' as const, options, payload: Buffer.alloc(0) };
-    this.token = this.client.request(request, (answer) => this.registered(answer, sentAt));
+    this.token = this.client.request(request, (answer) =>
+      this.handleRegistrationAnswer(answer, sentAt),
+    );
   }
 
-  private registered(answer: CoapMessage | undefined, sentAt: number): void {
-    const { environment, statistics } = this.surroundings;
+  private handleRegistrationAnswer(answer: CoapMessage | undefined, sentAt: number): void {
+    const { environment, statistics } = this.context;
     if (answer?.code === CoapCode.content) {
       statistics.answersWhole++;
-      statistics.noteLatency('feed', environment.now() - sentAt);
-      this.takeContent(answer);
+      statistics.recordLatency('feed', environment.now() - sentAt);
+      this.handleContent(answer);
       return;
     }
-    countFailure(statistics, answer);
-    environment.startTimer(retryAfter(answer), () => this.register());
+    recordFailure(statistics, answer);
+    environment.startTimer(getRetryDelayMs(answer), () => this.register());
   }
 
-  protected override receiveNotification(message: CoapMessage): void {
+  protected override handleNotification(message: CoapMessage): void {
     const isOwn = this.token !== undefined && message.token.equals(this.token);
     this.client.respond(message, isOwn ? 'acknowledge' : 'reset');
     if (isOwn) {
-      this.surroundings.statistics.notifications++;
-      this.takeContent(message);
+      this.context.statistics.notifications++;
+      this.handleContent(message);
     }
   }
 
-  private takeContent(message: CoapMessage): void {
+  private handleContent(message: CoapMessage): void {
     const content = parseContent(message.payload);
     if (!content || content.path !== this.path) {
       const got = message.payload.toString();
-      this.surroundings.statistics.noteWrongAnswer(`feed ${this.path} got ${got}`);
+      this.context.statistics.recordWrongAnswer(`feed ${this.path} got ${got}`);
       return;
     }
-    this.judge.judgeHost(content);
+    this.judge.checkHost(content);
     this.lastSequence = Math.max(this.lastSequence, content.sequence ?? 0);
-    this.watchSilence();
+    this.restartNotificationTimer();
   }
 
-  private watchSilence(): void {
-    this.silence?.cancel();
-    this.silence = this.surroundings.environment.startTimer(this.silenceLimit, () => {
+  private restartNotificationTimer(): void {
+    this.notificationTimer?.cancel();
+    this.notificationTimer = this.context.environment.startTimer(this.notificationTimeoutMs, () => {
       this.judge.markBroken('silent');
       this.judge.reset();
       this.register();
--- a/src/standins/object-store.ts
+++ b/src/standins/object-store.ts
@@ -27,18 +27,18 @@
   | { readonly outcome: 'conflict' }
   | { readonly outcome: 'not-found' };
 
-const HISTORY_KEPT = 1_000;
+const MAXIMUM_HISTORY_EVENTS = 1_000;
 
 /** Versioned objects of one collection. */
 export class ObjectStore {
   private readonly objects = new Map<string, StoredObject>();
   private history: StoreEvent[] = [];
   private readonly listeners = new Set<(event: StoreEvent) => void>();
-  private current = 1;
+  private currentRevision = 1;
 
   /** The global revision: that of the last write. */
   get revision(): number {
-    return this.current;
+    return this.currentRevision;
   }
 
   list(): StoredObject[] {
@@ -54,7 +54,7 @@
     if (this.objects.has(name)) {
       return { outcome: 'conflict' };
     }
-    return this.store('ADDED', name, draft);
+    return this.writeObject('ADDED', name, draft);
   }
 
   /** Replaces an object if its version is still `expectedVersion`. */
@@ -63,25 +63,25 @@
     expectedVersion: string | undefined,
     draft: Omit<StoredObject, 'metadata'> & Partial<StoredObject>,
   ): WriteResult {
-    const known = this.objects.get(name);
-    if (!known) {
+    const existing = this.objects.get(name);
+    if (!existing) {
       return { outcome: 'not-found' };
     }
-    if (known.metadata.resourceVersion !== expectedVersion) {
+    if (existing.metadata.resourceVersion !== expectedVersion) {
       return { outcome: 'conflict' };
     }
-    return this.store('MODIFIED', name, draft);
+    return this.writeObject('MODIFIED', name, draft);
   }
 
   /** Changes after a revision; undefined when that is too long ago. */
-  changesSince(revision: number): StoreEvent[] | undefined {
-    const oldest = this.history[0]?.revision ?? this.current + 1;
-    const complete = revision >= oldest - 1 || revision >= this.current;
+  listChangesSince(revision: number): StoreEvent[] | undefined {
+    const oldest = this.history[0]?.revision ?? this.currentRevision + 1;
+    const complete = revision >= oldest - 1 || revision >= this.currentRevision;
     return complete ? this.history.filter((event) => event.revision > revision) : undefined;
   }
 
   /** Forgets the history, as a store does that compacts: older watches expire. */
-  compact(): void {
+  compactHistory(): void {
     this.history = [];
   }
 
@@ -91,18 +91,18 @@
     return () => this.listeners.delete(listener);
   }
 
-  private store(
+  private writeObject(
     type: StoreEvent['type'],
     name: string,
     draft: Omit<StoredObject, 'metadata'> & Partial<StoredObject>,
   ): WriteResult {
-    this.current++;
-    const metadata = { ...draft.metadata, name, resourceVersion: String(this.current) };
+    this.currentRevision++;
+    const metadata = { ...draft.metadata, name, resourceVersion: String(this.currentRevision) };
     const object = { ...draft, metadata };
     this.objects.set(name, object);
-    const event = { type, revision: this.current, object };
+    const event = { type, revision: this.currentRevision, object };
     this.history.push(event);
-    if (this.history.length > HISTORY_KEPT) {
+    if (this.history.length > MAXIMUM_HISTORY_EVENTS) {
       this.history.shift();
     }
     this.listeners.forEach((listener) => listener(event));
--- a/src/standins/platform-server.ts
+++ b/src/standins/platform-server.ts
@@ -30,7 +30,7 @@
 
 type TableDraft = Omit<StoredObject, 'metadata'> & Partial<StoredObject>;
 
-const HTTP_WRITTEN = 200;
+const HTTP_OK = 200;
 const HTTP_CONFLICT = 409;
 const HTTP_NOT_FOUND = 404;
 const HTTP_GONE = 410;
@@ -59,7 +59,7 @@
   }
 
   async stop(): Promise<void> {
-    this.breakWatches();
+    this.closeWatches();
     await this.server.close();
   }
 
@@ -71,17 +71,17 @@
   private addTableRoutes(): void {
     this.server.get(TABLES_PATH, (request, reply) => this.listOrWatch(request, reply));
     this.server.get(`${TABLES_PATH}/:name`, (request, reply) => {
-      const object = this.store.get(nameOf(request));
-      return object ?? reply.code(HTTP_NOT_FOUND).send(statusBody('NotFound'));
+      const object = this.store.get(getName(request));
+      return object ?? reply.code(HTTP_NOT_FOUND).send(createStatusBody('NotFound'));
     });
     this.server.post(TABLES_PATH, (request, reply) => {
       const draft = request.body as TableDraft;
-      return this.sendWritten(reply, this.store.create(draft.metadata?.name ?? '', draft));
+      return this.sendWriteResult(reply, this.store.create(draft.metadata?.name ?? '', draft));
     });
     this.server.put(`${TABLES_PATH}/:name`, (request, reply) => {
       const draft = request.body as TableDraft;
       const version = draft.metadata?.resourceVersion;
-      return this.sendWritten(reply, this.store.replace(nameOf(request), version, draft));
+      return this.sendWriteResult(reply, this.store.replace(getName(request), version, draft));
     });
   }
 
@@ -103,7 +103,7 @@
   private setFaults(body: unknown): PlatformFaults {
     Object.assign(this.faults, body);
     if (this.faults.down) {
-      this.breakWatches();
+      this.closeWatches();
     }
     return this.faults;
   }
@@ -116,22 +116,22 @@
       await new Promise((resolve) => setTimeout(resolve, this.faults.delay));
     }
     if (this.faults.down) {
-      await reply.code(HTTP_UNAVAILABLE).send(statusBody('ServiceUnavailable'));
+      await reply.code(HTTP_UNAVAILABLE).send(createStatusBody('ServiceUnavailable'));
     }
   }
 
-  private sendWritten(reply: FastifyReply, result: WriteResult): FastifyReply {
+  private sendWriteResult(reply: FastifyReply, result: WriteResult): FastifyReply {
     if (result.outcome === 'written' && this.faults.loseWriteAnswers) {
       reply.raw.destroy();
       return reply.hijack();
     }
     switch (result.outcome) {
       case 'written':
-        return reply.code(HTTP_WRITTEN).send(result.object);
+        return reply.code(HTTP_OK).send(result.object);
       case 'conflict':
-        return reply.code(HTTP_CONFLICT).send(statusBody('Conflict'));
+        return reply.code(HTTP_CONFLICT).send(createStatusBody('Conflict'));
       case 'not-found':
-        return reply.code(HTTP_NOT_FOUND).send(statusBody('NotFound'));
+        return reply.code(HTTP_NOT_FOUND).send(createStatusBody('NotFound'));
     }
   }
 
@@ -141,16 +141,16 @@
       const metadata = { resourceVersion: String(this.store.revision) };
       return reply.send({ kind: 'TableList', metadata, items: this.store.list() });
     }
-    const missed = this.store.changesSince(Number(query.resourceVersion ?? 0));
+    const missed = this.store.listChangesSince(Number(query.resourceVersion ?? 0));
     if (!missed) {
-      return reply.code(HTTP_GONE).send(statusBody('Expired'));
+      return reply.code(HTTP_GONE).send(createStatusBody('Expired'));
     }
     this.streamChanges(reply, missed);
     return reply.hijack();
   }
 
   private streamChanges(reply: FastifyReply, missed: readonly StoreEvent[]): void {
-    reply.raw.writeHead(HTTP_WRITTEN, { 'content-type': 'application/json' });
+    reply.raw.writeHead(HTTP_OK, { 'content-type': 'application/json' });
     reply.raw.flushHeaders();
     const write = (event: StoreEvent): void => {
       reply.raw.write(`${JSON.stringify({ type: event.type, object: event.object })}\n`);
@@ -164,15 +164,15 @@
     });
   }
 
-  private breakWatches(): void {
+  private closeWatches(): void {
     this.watchers.forEach((watcher) => watcher.raw.destroy());
   }
 }
 
-function nameOf(request: FastifyRequest): string {
+function getName(request: FastifyRequest): string {
   return (request.params as { name: string }).name;
 }
 
-function statusBody(reason: string): unknown {
+function createStatusBody(reason: string): unknown {
   return { kind: 'Status', status: 'Failure', reason };
 }
--- a/src/standins/record-server.ts
+++ b/src/standins/record-server.ts
@@ -10,7 +10,7 @@
   record: RunRecord,
 ): Promise<FastifyInstance> {
   const server = Fastify({ forceCloseConnections: true });
-  server.get('/runs', () => ({ attempts: record.attempts() }));
+  server.get('/runs', () => ({ attempts: record.listAttemptsRun() }));
   await server.listen({ host: getEndpointAddress(listen), port: getEndpointPort(listen) });
   return server;
 }
--- a/src/standins/report-caller.ts
+++ b/src/standins/report-caller.ts
@@ -1,15 +1,15 @@
 /** A caller that sends requests which may not be repeated: staff reports, port orders. */
 import { CoapCode, CoapOption, findOption, type CoapMessage } from '../coap/coap-message';
 import {
-  countFailure,
+  recordFailure,
   isUnauthorized,
   parseContent,
-  pathOptions,
-  retryAfter,
+  createPathOptions,
+  getRetryDelayMs,
 } from './answer-content';
-import { CoapCaller, type CallerSurroundings } from './caller';
+import { CoapCaller, type CallerContext } from './caller';
 
-const PERMIT_ROUNDS_MAXIMUM = 4;
+const MAXIMUM_PERMIT_RETRIES = 4;
 
 /** Sends reports that may not be repeated, one after the other. */
 export class ReportCaller extends CoapCaller {
@@ -18,14 +18,14 @@
 
   /**
    * @param name unique among callers; goes into every report's id
-   * @param interval mean milliseconds between reports
+   * @param meanIntervalMs mean milliseconds between reports
    */
   constructor(
-    surroundings: CallerSurroundings,
+    context: CallerContext,
     private readonly name: string,
-    private readonly interval: number,
+    private readonly meanIntervalMs: number,
   ) {
-    super(surroundings);
+    super(context);
   }
 
   start(): void {
@@ -33,8 +33,8 @@
   }
 
   private scheduleNext(): void {
-    const { environment } = this.surroundings;
-    const wait = -Math.log(1 - environment.random()) * this.interval;
+    const { environment } = this.context;
+    const wait = -Math.log(1 - environment.random()) * this.meanIntervalMs;
     environment.startTimer(wait, () => {
       if (!this.stopped) {
         this.reportNumber++;
@@ -43,60 +43,60 @@
     });
   }
 
-  private sendAttempt(attempt: number, permitRounds: number): void {
+  private sendAttempt(attempt: number, permitRetries: number): void {
     if (this.stopped) {
       return;
     }
-    const { environment, statistics } = this.surroundings;
+    const { environment, statistics } = this.context;
     const sentAt = environment.now();
     const id = `${this.name}-${this.reportNumber}#${attempt}`;
     statistics.requestsSent++;
     const echo = this.echo ? [{ name: CoapOption.echo, value: this.echo }] : [];
     this.echo = undefined;
-    const options = [...pathOptions('reports'), ...echo];
+    const options = [...createPathOptions('reports'), ...echo];
     const request = { method: 'POST' as const, options, payload: Buffer.from(id) };
     this.client.request(request, (answer) =>
-      this.answered(id, attempt, permitRounds, sentAt, answer),
+      this.handleAnswer(id, attempt, permitRetries, sentAt, answer),
     );
   }
 
-  private answered(
+  private handleAnswer(
     id: string,
     attempt: number,
-    permitRounds: number,
+    permitRetries: number,
     sentAt: number,
     answer: CoapMessage | undefined,
   ): void {
     this.echo = answer && findOption(answer, CoapOption.echo);
-    const { environment, record, statistics } = this.surroundings;
-    if (isUnauthorized(answer) && permitRounds < PERMIT_ROUNDS_MAXIMUM) {
-      record.noteRefused(id);
-      this.sendAttempt(attempt + 1, permitRounds + 1);
+    const { environment, record, statistics } = this.context;
+    if (isUnauthorized(answer) && permitRetries < MAXIMUM_PERMIT_RETRIES) {
+      record.recordRefused(id);
+      this.sendAttempt(attempt + 1, permitRetries + 1);
     } else if (answer?.code === CoapCode.serviceUnavailable || isUnauthorized(answer)) {
-      record.noteRefused(id);
+      record.recordRefused(id);
       statistics.refusedNotRun++;
-      environment.startTimer(retryAfter(answer), () => this.sendAttempt(attempt + 1, 0));
+      environment.startTimer(getRetryDelayMs(answer), () => this.sendAttempt(attempt + 1, 0));
     } else {
-      this.concluded(id, sentAt, answer);
+      this.handleFinalAnswer(id, sentAt, answer);
       this.scheduleNext();
     }
   }
 
-  private concluded(id: string, sentAt: number, answer: CoapMessage | undefined): void {
-    const { environment, statistics } = this.surroundings;
+  private handleFinalAnswer(id: string, sentAt: number, answer: CoapMessage | undefined): void {
+    const { environment, statistics } = this.context;
     if (answer?.code !== CoapCode.changed) {
-      countFailure(statistics, answer);
+      recordFailure(statistics, answer);
       return;
     }
     const content = parseContent(answer.payload);
     if (content?.done !== id) {
-      statistics.noteWrongAnswer(`report ${id} got ${answer.payload.toString()}`);
+      statistics.recordWrongAnswer(`report ${id} got ${answer.payload.toString()}`);
       return;
     }
-    if (this.judge.judgeService(content)) {
+    if (this.judge.checkService(content)) {
       this.judge.markOpened();
       statistics.answersWhole++;
-      statistics.noteLatency('report', environment.now() - sentAt);
+      statistics.recordLatency('report', environment.now() - sentAt);
     }
   }
 }
--- a/src/standins/transfer-caller.ts
+++ b/src/standins/transfer-caller.ts
@@ -7,30 +7,30 @@
   decodeInteger,
   type CoapMessage,
 } from '../coap/coap-message';
-import { countFailure, pathOptions, retryAfter } from './answer-content';
-import { tileContent } from './backend-standin';
-import { CoapCaller, type CallerSurroundings } from './caller';
+import { recordFailure, createPathOptions, getRetryDelayMs } from './answer-content';
+import { createTileContent } from './backend-standin';
+import { CoapCaller, type CallerContext } from './caller';
 
 const BLOCK_NUMBER_SHIFT = 4;
-const MORE_BLOCKS = 8;
+const MORE_BLOCKS_FLAG = 8;
 const BLOCK_SIZE_EXPONENT = 6;
-const RESTARTS_MAXIMUM = 50;
+const MAXIMUM_BLOCK_RETRIES = 50;
 
 /** Fetches tiles or snapshots block by block, one after the other. */
 export class TransferCaller extends CoapCaller {
-  private tile = 0;
+  private tileNumber = 0;
 
   /**
-   * @param interval milliseconds between transfers
-   * @param bytes size of each transfer
+   * @param intervalMs milliseconds between transfers
+   * @param tileBytes size of each transfer
    */
   constructor(
-    surroundings: CallerSurroundings,
+    context: CallerContext,
     private readonly name: string,
-    private readonly interval: number,
-    private readonly bytes: number,
+    private readonly intervalMs: number,
+    private readonly tileBytes: number,
   ) {
-    super(surroundings);
+    super(context);
   }
 
   start(): void {
@@ -41,8 +41,8 @@
     if (this.stopped) {
       return;
     }
-    this.tile++;
-    const path = `tiles/${this.name}-${this.tile}`;
+    this.tileNumber++;
+    const path = `tiles/${this.name}-${this.tileNumber}`;
     this.fetchBlock(path, 0, [], undefined, 0);
   }
 
@@ -51,75 +51,75 @@
     block: number,
     received: readonly Buffer[],
     etag: Buffer | undefined,
-    restarts: number,
+    retries: number,
   ): void {
     if (this.stopped) {
       return;
     }
-    const { environment, statistics } = this.surroundings;
+    const { environment, statistics } = this.context;
     const sentAt = environment.now();
     statistics.requestsSent++;
     const value = encodeInteger((block << BLOCK_NUMBER_SHIFT) | BLOCK_SIZE_EXPONENT);
-    const options = [...pathOptions(path), { name: CoapOption.block2, value }];
+    const options = [...createPathOptions(path), { name: CoapOption.block2, value }];
     this.client.request({ method: 'GET', options, payload: Buffer.alloc(0) }, (answer) => {
       if (answer?.code !== CoapCode.content) {
-        this.blockFailed(path, block, received, etag, restarts, answer);
+        this.handleBlockFailure(path, block, received, etag, retries, answer);
         return;
       }
       statistics.answersWhole++;
-      statistics.noteLatency('transfer', environment.now() - sentAt);
-      this.takeBlock(path, block, received, etag, answer);
+      statistics.recordLatency('transfer', environment.now() - sentAt);
+      this.handleBlock(path, block, received, etag, answer);
     });
   }
 
-  private blockFailed(
+  private handleBlockFailure(
     path: string,
     block: number,
     received: readonly Buffer[],
     etag: Buffer | undefined,
-    restarts: number,
+    retries: number,
     answer: CoapMessage | undefined,
   ): void {
-    const { environment, statistics } = this.surroundings;
-    countFailure(statistics, answer);
-    if (restarts >= RESTARTS_MAXIMUM) {
+    const { environment, statistics } = this.context;
+    recordFailure(statistics, answer);
+    if (retries >= MAXIMUM_BLOCK_RETRIES) {
       this.judge.markBroken('transfer');
       return;
     }
-    environment.startTimer(retryAfter(answer), () =>
-      this.fetchBlock(path, block, received, etag, restarts + 1),
+    environment.startTimer(getRetryDelayMs(answer), () =>
+      this.fetchBlock(path, block, received, etag, retries + 1),
     );
   }
 
-  private takeBlock(
+  private handleBlock(
     path: string,
     block: number,
     received: readonly Buffer[],
     etag: Buffer | undefined,
     answer: CoapMessage,
   ): void {
-    const gotEtag = findOption(answer, CoapOption.etag);
-    if (etag && gotEtag && !etag.equals(gotEtag)) {
+    const answerEtag = findOption(answer, CoapOption.etag);
+    if (etag && answerEtag && !etag.equals(answerEtag)) {
       this.judge.markBroken('etag');
     }
     this.judge.markOpened();
     const blocks = [...received, answer.payload];
     const value = decodeInteger(findOption(answer, CoapOption.block2)) ?? 0;
-    if ((value & MORE_BLOCKS) !== 0) {
-      this.fetchBlock(path, block + 1, blocks, gotEtag, 0);
+    if ((value & MORE_BLOCKS_FLAG) !== 0) {
+      this.fetchBlock(path, block + 1, blocks, answerEtag, 0);
       return;
     }
-    this.judgeContent(path, Buffer.concat(blocks));
-    this.surroundings.environment.startTimer(this.interval, () => this.startTransfer());
+    this.checkContent(path, Buffer.concat(blocks));
+    this.context.environment.startTimer(this.intervalMs, () => this.startTransfer());
   }
 
-  private judgeContent(path: string, content: Buffer): void {
-    const { service, statistics } = this.surroundings;
-    if (content.equals(tileContent(service, path, this.bytes))) {
+  private checkContent(path: string, content: Buffer): void {
+    const { service, statistics } = this.context;
+    if (content.equals(createTileContent(service, path, this.tileBytes))) {
       return;
     }
     if (content.subarray(0, service.length + 1).toString() === `${service}:`) {
-      statistics.noteWrongAnswer(`transfer ${path} got ${content.length} bytes of another`);
+      statistics.recordWrongAnswer(`transfer ${path} got ${content.length} bytes of another`);
     } else {
       statistics.misdelivered++;
     }
--- a/test/hard-cases.test.ts
+++ b/test/hard-cases.test.ts
@@ -56,7 +56,7 @@
   }
   caller.resend(copy);
   await caller.runAndGetNewest(2_000);
-  return simulation.record.attempts();
+  return simulation.record.listAttemptsRun();
 }
 
 test('a delayed copy of a refused POST never runs; without the `burn` safeguard it does', async (t) => {
@@ -81,7 +81,7 @@
   simulation.runUntil(simulation.clock.now + 60_000);
   host.agentProcess.resume();
   simulation.runUntil(simulation.clock.now + 5_000);
-  return { runs: simulation.record.attempts(), code };
+  return { runs: simulation.record.listAttemptsRun(), code };
 }
 
 test('an agent frozen with a POST in its socket does not run it after its expiry', async (t) => {
@@ -105,7 +105,7 @@
   simulation.runUntil(simulation.clock.now + 2_000);
   host.agentProcess.resume();
   simulation.runUntil(simulation.clock.now + 3_000);
-  return simulation.record.doubled();
+  return simulation.record.listDuplicateRuns();
 }
 
 test('a report whose copies meet two hosts runs once; without permits it runs twice', async (t) => {
@@ -125,7 +125,7 @@
     messageId: 2,
     payload: 'live-map-1#1',
   });
-  while (simulation.record.attempts().length === 0) {
+  while (simulation.record.listAttemptsRun().length === 0) {
     simulation.runUntil(simulation.clock.now + 0.1);
   }
   host.agentProcess.kill();
@@ -134,7 +134,7 @@
   simulation.runUntil(simulation.clock.now + 8_000);
   caller.resend(copy);
   t.is((await caller.runAndGetNewest(5_000))?.code, '5.04');
-  t.deepEqual(simulation.record.attempts(), ['live-map-1#1']);
+  t.deepEqual(simulation.record.listAttemptsRun(), ['live-map-1#1']);
 });
 
 /** Opens flows through two balancers with different tables; counts those with two hosts. */
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -5,7 +5,7 @@
 import type { SimulatedBalancer } from '../../src/simulation/simulated-balancer';
 import { Simulation } from '../../src/simulation/simulation';
 import type { SafeguardName } from '../../src/agent/safeguards';
-import { DEPLOYMENTS, withBeacon } from '../../src/standins/deployments';
+import { DEPLOYMENTS, addBeaconService } from '../../src/standins/deployments';
 
 const ECHO_OPTION = 252;
 
@@ -14,7 +14,7 @@
   without: readonly SafeguardName[] = [],
   seed = 1,
 ): Simulation {
-  const deployment = withBeacon(DEPLOYMENTS.map);
+  const deployment = addBeaconService(DEPLOYMENTS.map);
   const simulation = new Simulation({ deployment, seed, design: 'hallhold', without });
   simulation.start();
   return simulation;
