--- a/src/standins/answer-content.ts
+++ b/src/standins/answer-content.ts
@@ -1,4 +1,4 @@
-/** What callers read in the answers of back end stand-ins. */
+/** Decodes and classifies the answers of back-end stand-ins for callers. */
 import {
   CoapCode,
   CoapOption,
@@ -13,7 +13,7 @@
 const DEFAULT_RETRY_DELAY_SECONDS = 1;
 const MS_PER_SECOND = 1_000;
 
-/** What back end stand-ins say in an answer. */
+/** JSON payload of an answer of a back-end stand-in. */
 export interface AnswerContent extends AnswerOrigin {
   readonly path?: string;
   readonly sequence?: number;
@@ -21,7 +21,7 @@
   readonly echo?: string;
 }
 
-/** The content of an answer; undefined when it is none of a stand-in's. */
+/** Parses the payload of an answer; undefined if it is not JSON. */
 export function parseContent(payload: Buffer): AnswerContent | undefined {
   try {
     return JSON.parse(payload.toString()) as AnswerContent;
@@ -30,14 +30,14 @@
   }
 }
 
-/** A path as Uri-Path options. */
+/** Converts a path to Uri-Path options. */
 export function createPathOptions(path: string): CoapMessage['options'] {
   return path
     .split('/')
     .map((segment) => ({ name: CoapOption.uriPath, value: Buffer.from(segment) }));
 }
 
-/** Counts a request that ended without its answer. */
+/** Counts a request that ended without the expected answer. */
 export function recordFailure(statistics: CallerStatistics, answer: CoapMessage | undefined): void {
   if (answer === undefined) {
     statistics.recordUnanswered();
@@ -46,16 +46,16 @@
   } else if (answer.code === CoapCode.gatewayTimeout) {
     statistics.recordUnknownOutcome();
   } else {
-    statistics.recordWrongAnswer(`a request got code ${answer.code}`);
+    statistics.recordWrongAnswer(`request got unexpected code ${answer.code}`);
   }
 }
 
-/** Not run, for want of a valid permit. */
+/** Whether the request was not run because it carried no valid permit (4.01). */
 export function isUnauthorized(answer: CoapMessage | undefined): boolean {
   return answer?.code === CoapCode.unauthorized;
 }
 
-/** Milliseconds to wait before trying again, as the answer says. */
+/** Milliseconds to wait before a retry, from the Max-Age of the answer. */
 export function getRetryDelayMs(answer: CoapMessage | undefined): number {
   if (!answer) {
     return UNANSWERED_RETRY_DELAY_MS;
--- a/src/standins/backend-standin.ts
+++ b/src/standins/backend-standin.ts
@@ -1,6 +1,6 @@
 /**
- * A back end for tests and demos: feeds, reports that may not be repeated, tiles in
- * blocks, a load report. It knows what it ran, so that callers' claims can be judged.
+ * Back-end server for tests and demos: feeds, non-idempotent reports, block-wise tiles and a
+ * load report. It records the requests that it ran, to be compared with the callers' results.
  *
  * Resources: `feed/NAME` (observable), `reports` (POST), `tiles/NAME` (Block2 with
  * ETag), `load`, and any other path as a plain answer.
@@ -29,21 +29,21 @@
 const NOTIFICATION_TIMEOUT_MS = 2_000;
 const MAXIMUM_NOTIFICATION_RETRANSMISSIONS = 4;
 const MESSAGE_ID_RANGE = 65_536;
-/** Service times just after a cold start are longer by up to this factor. */
+/** Factor of the mean service time at a cold start; it falls to 1 within `COLD_START_MS`. */
 const COLD_START_FACTOR = 4;
 const COLD_START_MS = 10_000;
 
-/** What an answer says of the back end that gave it. */
+/** Identifies in an answer the back end that sent it. */
 export interface AnswerOrigin {
   readonly service: string;
   readonly target: string;
-  /** The run of the back end; another run has lost its feeds. */
+  /** Incarnation of the back end; a new incarnation has lost its feeds. */
   readonly run: number;
 }
 
-/** Options of one stand-in. */
+/** Options of a back-end stand-in. */
 export interface BackendOptions extends AnswerOrigin {
-  /** Mean milliseconds to serve a request; exponentially distributed. */
+  /** Mean service time of a request in milliseconds; exponentially distributed. */
   readonly serviceTime: number;
   /** Milliseconds between notifications of a feed. */
   readonly feedInterval: number;
@@ -54,7 +54,7 @@
   readonly messageId: number;
   readonly datagram: Buffer;
   attempts: number;
-  /** The feed has newer content. */
+  /** Whether the feed has newer content. */
   stale: boolean;
 }
 
@@ -67,15 +67,15 @@
   ended: boolean;
 }
 
-/** One back end. */
+/** A back end with its requests in flight and its feeds. */
 export class BackendStandin {
-  /** Set by tests: refuses all requests with 5.03. */
+  /** Set by tests: refuse all requests with 5.03. */
   shedding = false;
-  /** Set by tests: what the load report says about draining. */
+  /** Set by tests: the `draining` field of the load report. */
   draining = false;
-  /** Set by tests: overrides the reported load, as a lying back end does. */
+  /** Set by tests: reported instead of the actual load, for a back end with a false report. */
   reportedLoad: number | undefined;
-  /** Most requests that ran at once. */
+  /** Highest number of requests that ran at once. */
   peakRunningRequests = 0;
   private readonly feeds = new Map<string, Feed>();
   private readonly running = new Map<string, TimerHandle>();
@@ -93,24 +93,24 @@
     this.nextMessageId = Math.floor(environment.random() * MESSAGE_ID_RANGE);
   }
 
-  /** Requests running now. */
+  /** Number of requests that run now. */
   get runningRequestCount(): number {
     return this.running.size;
   }
 
-  /** Feeds held now. */
+  /** Number of open feeds. */
   get feedCount(): number {
     return this.feeds.size;
   }
 
-  /** Ends: no timer does anything any more. */
+  /** Cancels all requests and feeds; later datagrams and timers have no effect. */
   stop(): void {
     this.stopped = true;
     this.running.forEach((timer) => timer.cancel());
     this.feeds.forEach((feed) => (feed.ended = true));
   }
 
-  /** Takes a datagram of a coap service. */
+  /** Handles a datagram of a coap service. */
   receive(datagram: Buffer, from: Endpoint): void {
     const parsed = parseCoap(datagram);
     if (parsed.none || this.stopped) {
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Takes a datagram of a datagram service: answers who it is and what came. */
+  /** Handles a datagram of a datagram service: answers with its origin and an echo. */
   receiveDatagram(datagram: Buffer, from: Endpoint): void {
     if (!this.stopped) {
       this.send(
@@ -252,8 +252,8 @@
   }
 
   /**
-   * A newer notification replaces one not yet acknowledged and goes out at that one's
-   * next retransmission, as RFC 7641, section 4.5.2, has it.
+   * A newer notification replaces an unacknowledged one and is sent when that one's
+   * retransmission is due (RFC 7641, section 4.5.2).
    */
   private notify(key: string, feed: Feed): void {
     feed.sequence++;
@@ -324,7 +324,7 @@
   }
 }
 
-/** The content of a tile; the same at every target of a service. */
+/** Creates the content of a tile of `bytes` bytes; the same at every target of a service. */
 export function createTileContent(service: string, path: string, bytes: number): Buffer {
   return Buffer.alloc(bytes, `${service}:${path};`);
 }
--- a/src/standins/caller-fleet.ts
+++ b/src/standins/caller-fleet.ts
@@ -1,4 +1,4 @@
-/** Many callers of one service, each on a socket of its own. */
+/** Callers of one service, each with its own socket. */
 import { getEndpointAddress } from '../core/endpoint';
 import type { Endpoint, Environment } from '../environment';
 import { UdpSocket } from '../runtime/udp-socket';
@@ -15,7 +15,7 @@
 const TRANSFER_INTERVAL_MS = 200;
 const DATAGRAM_INTERVAL_MS = 200;
 
-/** How many callers of each kind. */
+/** Number of callers of each kind, and the size of the tiles they fetch. */
 export interface FleetMix {
   readonly feeds: number;
   readonly reporters: number;
@@ -24,7 +24,7 @@
   readonly tileBytes: number;
 }
 
-/** Callers of one service. */
+/** Starts and stops the callers of one service and holds their results. */
 export class CallerFleet {
   readonly statistics = new CallerStatistics();
   readonly record: RunRecord;
@@ -32,8 +32,8 @@
   private readonly sockets: UdpSocket[] = [];
 
   /**
-   * @param to the service's address
-   * @param name goes into report ids, so that several fleets stay apart
+   * @param to address of the service
+   * @param name prefix of report ids; tells the reports of several fleets apart
    */
   constructor(
     private readonly environment: Environment,
@@ -46,7 +46,7 @@
     this.statistics = shared.statistics ?? this.statistics;
   }
 
-  /** Opens the sockets and starts the callers. */
+  /** Opens the sockets and starts the callers; throws if a socket cannot be bound. */
   async start(mix: FleetMix): Promise<void> {
     await this.startMany(mix.feeds, (context, index) => {
       return new FeedCaller(context, `feed/gate-${index}`, FEED_TIMEOUT_MS);
@@ -63,7 +63,7 @@
     });
   }
 
-  /** What the callers saw, as one JSON object. */
+  /** Returns the callers' results as one JSON object. */
   createSummary(): Record<string, unknown> {
     const { statistics, record } = this;
     const numbers = Object.entries(statistics).filter(([, value]) => typeof value === 'number');
--- a/src/standins/caller-statistics.ts
+++ b/src/standins/caller-statistics.ts
@@ -1,10 +1,10 @@
-/** What callers saw, counted by themselves. */
+/** Counters and latency histograms of callers. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** Kinds of traffic whose latency is kept apart. */
+/** Kinds of traffic with separate latency histograms. */
 export type TrafficKind = 'feed' | 'report' | 'transfer' | 'datagram';
 
-/** Latency in milliseconds. */
+/** Latency percentiles in milliseconds. */
 export interface LatencySummary {
   readonly p50: number;
   readonly p99: number;
@@ -13,14 +13,14 @@
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** Told of what callers suffer, as it happens; used by the simulation's checkers. */
+/** Notified of every failure of a caller; used by the simulation's checkers. */
 export interface CallerObserver {
-  /** A flow that began at a target of this service broke; no target when none is known. */
+  /** A flow broke that began at `target`; `target` is empty if unknown. */
   recordBrokenFlow(reason: string, service: string, target: string): void;
   /** A request ended without a definite answer. */
   recordFailedRequest(outcome: 'unknown' | 'unanswered'): void;
-  /** An answer was not whole or not the caller's own. */
-  recordWrongAnswer(what: string): void;
+  /** An answer was incomplete or belonged to another request. */
+  recordWrongAnswer(description: string): void;
 }
 
 /** Counters of a fleet of callers. */
@@ -35,13 +35,13 @@
   misdelivered = 0;
   wrongAnswers = 0;
   notifications = 0;
-  /** Why flows counted as broken. */
+  /** Number of broken flows by reason. */
   readonly breakReasons = new Map<string, number>();
   private readonly histograms = new Map<TrafficKind, Histogram>();
 
   constructor(private readonly observer?: CallerObserver) {}
 
-  /** Notes how long an answer took, in milliseconds. */
+  /** Records the time from request to answer, in milliseconds. */
   recordLatency(kind: TrafficKind, milliseconds: number): void {
     const histogram = this.histograms.get(kind) ?? build({ numberOfSignificantValueDigits: 3 });
     histogram.recordValue(Math.max(0, Math.round(milliseconds * MICROSECONDS_PER_MS)));
@@ -54,10 +54,10 @@
     this.observer?.recordBrokenFlow(reason, service, target);
   }
 
-  /** @param what what was expected and what came, in words */
-  recordWrongAnswer(what: string): void {
+  /** @param description what was expected and what was received */
+  recordWrongAnswer(description: string): void {
     this.wrongAnswers++;
-    this.observer?.recordWrongAnswer(what);
+    this.observer?.recordWrongAnswer(description);
   }
 
   recordUnknownOutcome(): void {
@@ -70,7 +70,7 @@
     this.observer?.recordFailedRequest('unanswered');
   }
 
-  /** Latency of one kind; undefined when it had no answer. */
+  /** Latency of one kind; undefined if it had no answers. */
   getLatency(kind: TrafficKind): LatencySummary | undefined {
     const histogram = this.histograms.get(kind);
     if (!histogram) {
--- a/src/standins/caller.ts
+++ b/src/standins/caller.ts
@@ -1,4 +1,4 @@
-/** What all callers of the stand-ins have in common. */
+/** Interface and base class of the caller stand-ins. */
 import { CoapClient } from './coap-client';
 import type { CoapMessage } from '../coap/coap-message';
 import type { Environment } from '../environment';
@@ -6,25 +6,25 @@
 import { FlowJudge } from './flow-judge';
 import type { RunRecord } from './run-record';
 
-/** What every caller needs. */
+/** Environment, destination and result collectors of a caller. */
 export interface CallerContext {
   readonly environment: Environment;
   readonly statistics: CallerStatistics;
   readonly record: RunRecord;
-  /** The service the caller means to reach. */
+  /** Service to which the caller sends. */
   readonly service: string;
   /** Sends on the caller's own socket. */
   send(datagram: Buffer): void;
 }
 
-/** One caller: one flow. */
+/** A caller with one flow. */
 export interface Caller {
   start(): void;
   receive(datagram: Buffer): void;
   stop(): void;
 }
 
-/** A caller that speaks CoAP on its flow. */
+/** A caller that uses CoAP on its flow. */
 export abstract class CoapCaller implements Caller {
   protected readonly client: CoapClient;
   protected readonly judge: FlowJudge;
@@ -50,7 +50,7 @@
     this.client.close();
   }
 
-  /** A message that answers no request of this caller; rejected unless it holds a feed. */
+  /** Handles a message that answers no request; rejects it unless overridden. */
   protected handleNotification(message: CoapMessage): void {
     this.client.respond(message, 'reset');
   }
--- a/src/standins/coap-client.ts
+++ b/src/standins/coap-client.ts
@@ -1,24 +1,24 @@
-/** The message layer of a CoAP client: retransmission, matching of answers, feeds. */
+/** Message layer of a CoAP client: retransmission, answer matching and notifications. */
 import { CoapCode, generateCoap, parseCoap, type CoapMessage } from '../coap/coap-message';
 import type { Environment, TimerHandle } from '../environment';
 
-/** Transmission parameters of RFC 7252, section 4.8. */
+/** Transmission parameters of RFC 7252, section 4.8; the jitter is ACK_RANDOM_FACTOR - 1. */
 const ACK_TIMEOUT_MS = 2_000;
 const ACK_TIMEOUT_JITTER = 0.5;
 const MAX_RETRANSMIT = 4;
 const MESSAGE_ID_RANGE = 65_536;
 const TOKEN_BYTES = 4;
 
-/** A request as a caller makes it. */
+/** A request of a caller. */
 export interface ClientRequest {
   readonly method: 'GET' | 'POST';
   readonly options: CoapMessage['options'];
   readonly payload: Buffer;
-  /** A token to reuse; a fresh one when absent. */
+  /** Token to reuse; a new one is created if absent. */
   readonly token?: Buffer;
 }
 
-/** Receives the answer; undefined when every retransmission went unanswered. */
+/** Receives the answer; undefined on a time-out or an answer with another token. */
 export type AnswerHandler = (answer: CoapMessage | undefined) => void;
 
 interface PendingRequest {
@@ -31,13 +31,13 @@
   timer: TimerHandle | undefined;
 }
 
-/** One caller's socket, as far as CoAP goes. */
+/** CoAP client on the socket of one caller. */
 export class CoapClient {
   private readonly pending = new Map<number, PendingRequest>();
   private nextMessageId: number;
   private closed = false;
 
-  /** @param handleNotification receives messages that answer no pending request: notifications */
+  /** @param handleNotification receives messages that answer no pending request */
   constructor(
     private readonly environment: Environment,
     private readonly send: (datagram: Buffer) => void,
@@ -46,7 +46,7 @@
     this.nextMessageId = Math.floor(environment.random() * MESSAGE_ID_RANGE);
   }
 
-  /** Sends a confirmable request and repeats it until answered or given up. Returns its token. */
+  /** Sends a confirmable request, retransmits it until answered or timed out; returns its token. */
   request(request: ClientRequest, handleAnswer: AnswerHandler): Buffer {
     const messageId = this.allocateMessageId();
     const token = request.token ?? this.createToken();
@@ -72,7 +72,7 @@
     return token;
   }
 
-  /** Takes a datagram that arrived at the caller's socket. */
+  /** Handles a datagram received on the caller's socket. */
   receive(datagram: Buffer): void {
     const parsed = parseCoap(datagram);
     if (parsed.none || this.closed) {
--- a/src/standins/datagram-caller.ts
+++ b/src/standins/datagram-caller.ts
@@ -1,9 +1,9 @@
-/** A caller of a datagram service. */
+/** Caller of a datagram service. */
 import { parseContent } from './answer-content';
 import type { Caller, CallerContext } from './caller';
 import { FlowJudge } from './flow-judge';
 
-/** Sends numbered datagrams to a datagram service and checks who answers. */
+/** Sends numbered datagrams and checks that all echoes come from the same target. */
 export class DatagramCaller implements Caller {
   private readonly judge: FlowJudge;
   private number = 0;
--- a/src/standins/deployments.ts
+++ b/src/standins/deployments.ts
@@ -1,7 +1,7 @@
-/** The two deployments of the users, as demos and simulations build them. */
+/** Deployments that the demo and the simulations run. */
 import type { ServiceProtocol } from '../agent/agent-context';
 
-/** Callers of one service. */
+/** Number of callers of one service, by kind. */
 export interface CallerMix {
   readonly feeds: number;
   readonly reporters: number;
@@ -18,19 +18,19 @@
   readonly slots: number;
   readonly connections: number;
   readonly callers: CallerMix;
-  /** Mean milliseconds a back end takes for a request. */
+  /** Mean service time of a request in milliseconds. */
   readonly serviceTime: number;
   readonly tileBytes: number;
 }
 
-/** One deployment. */
+/** Zones, balancers, network delays and services of a deployment. */
 export interface Deployment {
   readonly name: 'map' | 'porting';
   readonly zones: readonly string[];
   readonly balancersPerZone: number;
-  /** One-way milliseconds between zones. */
+  /** One-way delay between zones in milliseconds. */
   readonly zoneDelay: number;
-  /** One-way milliseconds between callers and balancers. */
+  /** One-way delay between callers and balancers in milliseconds. */
   readonly callerDelay: number;
   readonly services: readonly DeployedService[];
 }
@@ -101,12 +101,12 @@
   porting: PORTING_DEPLOYMENT,
 };
 
-/** The name of a service's target by number, from 1. */
+/** Name of a service's target; numbers start at 1. */
 export function createTargetName(number: number): string {
   return `target-${number}`;
 }
 
-/** A datagram service that simulations add to a deployment, so that both protocols are judged. */
+/** Datagram service that simulations add to a deployment, so that both protocols are checked. */
 const BEACON_SERVICE: DeployedService = {
   name: 'beacon',
   protocol: 'datagram',
@@ -118,7 +118,7 @@
   tileBytes: 0,
 };
 
-/** A deployment with the datagram service added. */
+/** Returns the deployment with the datagram service added. */
 export function addBeaconService(deployment: Deployment): Deployment {
   return { ...deployment, services: [...deployment.services, BEACON_SERVICE] };
 }
--- a/src/standins/embedded-deployment.ts
+++ b/src/standins/embedded-deployment.ts
@@ -1,5 +1,5 @@
 /**
- * A whole deployment in one process on loopback, with real sockets throughout:
+ * A complete deployment in one process on loopback, with real sockets:
  * platform, balancers, agents, back ends, fabric and callers.
  */
 import { AgentProcess } from '../runtime/agent-process';
@@ -29,7 +29,7 @@
 const FEED_INTERVAL_MS = 500;
 const DEMO_KEY = { id: 1, secret: 'loopback-demonstration-key' };
 
-/** One target's parts. */
+/** Agent and back end of one target. */
 interface EmbeddedTarget {
   readonly service: DeployedService;
   readonly name: string;
@@ -43,7 +43,7 @@
   readonly logLevel: EventLevel;
 }
 
-/** A running deployment. */
+/** Starts, changes and stops a deployment. */
 export class EmbeddedDeployment {
   readonly statistics = new CallerStatistics();
   readonly record = new RunRecord();
@@ -67,16 +67,16 @@
         name: service.name,
         listen: packEndpoint(createLoopbackAddress(0, 2), FIRST_SERVICE_PORT + index),
         balancers: new Map(
-          this.listBalancerNames().map((name, at) => [
+          this.listBalancerNames().map((name, balancerIndex) => [
             name,
-            packEndpoint(createLoopbackAddress(1, at + 1), FIRST_SERVICE_PORT + index),
+            packEndpoint(createLoopbackAddress(1, balancerIndex + 1), FIRST_SERVICE_PORT + index),
           ]),
         ),
       })),
     );
   }
 
-  /** Starts everything and waits until every balancer and agent is ready. */
+  /** Starts all processes and waits until they are ready; throws on a time-out. */
   async start(): Promise<void> {
     this.storeUrl = await this.platform.start();
     await this.fabric.start();
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Replaces a service's rows by way of a balancer's acceptance. */
+  /** Submits new rows of a service's table to a balancer; rejects with its error. */
   async editTable(
     service: string,
     change: (rows: readonly TableRow[]) => TableRow[],
@@ -115,7 +115,7 @@
     });
   }
 
-  /** Stops a balancer as planned: first out of the fabric, then its own stop. */
+  /** Planned stop of a balancer: takes it out of the fabric first. */
   async stopBalancer(name: string): Promise<void> {
     const balancer = this.balancers.get(name)!;
     this.fabric.setLive(name, false);
@@ -123,24 +123,24 @@
     await balancer.stop();
   }
 
-  /** Names of the balancers that run. */
+  /** Names of the running balancers. */
   listRunningBalancers(): string[] {
     return [...this.balancers.keys()];
   }
 
-  /** Largest over mean of hosted flows per share, per service; 1 when even or empty. */
+  /** Largest over mean of hosted flows per share, by service; 1 if even or without flows. */
   computeImbalance(): Record<string, number> {
     return Object.fromEntries(
       this.deployment.services.map(({ name }) => [name, this.computeServiceImbalance(name)]),
     );
   }
 
-  /** Flows hosted by all agents. */
+  /** Number of flows hosted by all agents. */
   countHostedFlows(): number {
     return this.targets.reduce((sum, target) => sum + target.agent.node.statistics.flows, 0);
   }
 
-  /** Stops callers, then everything else. */
+  /** Stops the callers, then all other parts. */
   async stop(): Promise<void> {
     this.fleets.forEach((fleet) => fleet.stop());
     this.fabric.stop();
@@ -183,10 +183,10 @@
       store: this.storeUrl,
       keys: [DEMO_KEY],
       quietSeconds: 0.5,
-      services: this.deployment.services.map((service, at) => ({
+      services: this.deployment.services.map((service, serviceIndex) => ({
         name: service.name,
         protocol: service.protocol,
-        listen: `${address}:${FIRST_SERVICE_PORT + at}`,
+        listen: `${address}:${FIRST_SERVICE_PORT + serviceIndex}`,
       })),
       log: { level: this.options.logLevel },
     });
@@ -294,7 +294,7 @@
       .filter((row) => row.share > 0)
       .map((row) => {
         const target = this.targets.find(
-          (one) => one.service.name === service && one.name === row.target,
+          (candidate) => candidate.service.name === service && candidate.name === row.target,
         );
         return { flows: target?.agent.node.statistics.flows ?? 0, share: row.share };
       });
@@ -304,18 +304,18 @@
     return flows === 0 ? 1 : largest / (flows / shares);
   }
 
-  private async waitUntil(what: string, condition: () => boolean): Promise<void> {
+  private async waitUntil(description: string, condition: () => boolean): Promise<void> {
     const limit = performance.now() + READY_TIMEOUT_MS;
     while (!condition()) {
       if (performance.now() > limit) {
-        throw new Error(`timed out waiting until ${what}`);
+        throw new Error(`timed out after ${READY_TIMEOUT_MS} ms waiting until ${description}`);
       }
       await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 }
 
-/** An address of 127.0.0.0/8 that belongs to this process: two octets follow its process id. */
+/** Address in 127.0.0.0/8; its second and third octets derive from the process id. */
 function createLoopbackAddress(group: number, host: number): string {
   const high = 1 + ((process.pid >> 8) % 120);
   const low = process.pid & 255;
--- a/src/standins/fabric-standin.ts
+++ b/src/standins/fabric-standin.ts
@@ -1,7 +1,7 @@
 /**
- * The network fabric stand-in: sprays each datagram of a caller over the balancers.
- * Every caller flow has one socket towards the balancers, so that its source address
- * stays the flow's key whichever balancer it reaches.
+ * Stand-in for the network fabric: sends each datagram of a caller to a random balancer.
+ * Each flow has one socket towards the balancers, so that all of them see the same source
+ * address, which is the flow's key.
  */
 import { request } from 'undici';
 import type { Endpoint } from '../environment';
@@ -12,11 +12,11 @@
 const HEALTH_CHECK_INTERVAL_MS = 250;
 const HEALTH_CHECK_TIMEOUT_MS = 1_000;
 
-/** A service's address and where its balancers receive. */
+/** Address of a service and of the balancers that receive for it. */
 export interface FabricService {
   readonly name: string;
   readonly listen: Endpoint;
-  /** Balancer name to the address where it receives the service's datagrams. */
+  /** Address that receives the service's datagrams, by balancer name. */
   readonly balancers: ReadonlyMap<string, Endpoint>;
 }
 
@@ -25,7 +25,7 @@
   waiting: Buffer[];
 }
 
-/** One fabric for all services. */
+/** Distributes the datagrams of all services. */
 export class FabricStandin {
   private readonly withdrawn = new Set<string>();
   private readonly sockets: UdpSocket[] = [];
@@ -33,14 +33,14 @@
   private readonly flows = new Map<string, FabricFlow>();
   private healthTimer: NodeJS.Timeout | undefined;
 
-  /** @param healthUrls balancer name to the URL that answers 200 while it may be sprayed at */
+  /** @param healthUrls URL that answers 200 while the balancer takes traffic, by balancer name */
   constructor(
     private readonly services: readonly FabricService[],
     private readonly healthUrls: ReadonlyMap<string, string> = new Map(),
     private readonly random: () => number = Math.random,
   ) {}
 
-  /** Binds the services' addresses. */
+  /** Binds the services' addresses; throws if one cannot be bound. */
   async start(): Promise<void> {
     for (const service of this.services) {
       const bound = await UdpSocket.bindEndpoint(service.listen, (payload, caller) =>
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Takes a balancer out of the spray, or puts it back. */
+  /** Puts a balancer into the distribution or takes it out. */
   setLive(balancer: string, live: boolean): void {
     if (live) {
       this.withdrawn.delete(balancer);
--- a/src/standins/fault-proxy.ts
+++ b/src/standins/fault-proxy.ts
@@ -1,22 +1,22 @@
-/** Proxies that disturb what passes: UDP datagrams and TCP connections. Seeded, so repeatable. */
+/** Fault-injecting proxies for UDP and TCP; the UDP faults are drawn from a seed. */
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import type { Endpoint } from '../environment';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import { SeededRandom } from '../simulation/seeded-random';
 import { UdpSocket } from '../runtime/udp-socket';
 
-/** Disturbances of datagrams; probabilities 0 to 1. */
+/** Faults of datagrams; probabilities from 0 to 1. */
 export interface DatagramFaults {
   readonly loss: number;
   readonly duplication: number;
   readonly reordering: number;
-  /** Milliseconds by which a reordered datagram is late. */
+  /** Maximum delay of a reordered datagram in milliseconds. */
   readonly reorderDelay: number;
 }
 
-/** A UDP proxy: each sender gets a socket of its own towards the target, like a NAT. */
+/** UDP proxy with one socket towards the target per sender, like a NAT. */
 export class UdpFaultProxy {
-  /** True while nothing passes. */
+  /** Whether all datagrams are dropped. */
   isCut = false;
   private readonly random: SeededRandom;
   private readonly sockets = new Map<Endpoint, Promise<UdpSocket>>();
@@ -72,7 +72,7 @@
   }
 }
 
-/** A TCP proxy that can be cut: connections break and new ones are refused. */
+/** TCP proxy that can be cut: connections are closed and new ones refused. */
 export class TcpFaultProxy {
   private readonly connections = new Set<Socket>();
   private readonly server: Server;
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Breaks every connection and refuses new ones, or lets them pass again. */
+  /** Closes all connections and refuses new ones, or accepts connections again. */
   setCut(cut: boolean): void {
     this.isCut = cut;
     if (cut) {
--- a/src/standins/feed-caller.ts
+++ b/src/standins/feed-caller.ts
@@ -1,16 +1,16 @@
-/** A caller that holds a feed: a kiosk, a carrier's status feed. */
+/** Caller that observes a feed, such as a kiosk or a carrier's status feed. */
 import { CoapCode, CoapOption, encodeInteger, type CoapMessage } from '../coap/coap-message';
 import type { TimerHandle } from '../environment';
 import { recordFailure, parseContent, createPathOptions, getRetryDelayMs } from './answer-content';
 import { CoapCaller, type CallerContext } from './caller';
 
-/** Holds a feed open and watches that it goes on. */
+/** Keeps a feed open and detects when its notifications cease. */
 export class FeedCaller extends CoapCaller {
   private token: Buffer | undefined;
   private lastSequence = -1;
   private notificationTimer: TimerHandle | undefined;
 
-  /** @param notificationTimeoutMs milliseconds without a notification after which the feed is broken */
+  /** @param notificationTimeoutMs milliseconds without a notification after which the feed counts as broken */
   constructor(
     context: CallerContext,
     private readonly path: string,
--- a/src/standins/flow-judge.ts
+++ b/src/standins/flow-judge.ts
@@ -1,8 +1,8 @@
-/** Judges whether answers come from the back end where a flow began. */
+/** Checks that answers come from the back end where the flow began. */
 import type { AnswerOrigin } from './backend-standin';
 import type { CallerContext } from './caller';
 
-/** What the caller knows of where its flow began. */
+/** Origin of a caller's flow, compared with that of each answer. */
 export class FlowJudge {
   private firstOrigin: AnswerOrigin | undefined;
   private isBroken = false;
@@ -13,7 +13,7 @@
     return this.firstOrigin !== undefined;
   }
 
-  /** Judges the origin of an answer that the flow's own host must give. */
+  /** Checks the origin of an answer that only the flow's host may send. */
   checkHost(origin: AnswerOrigin): void {
     if (!this.checkService(origin)) {
       return;
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Judges the origin of an answer that any target of the service may give. */
+  /** Checks the origin of an answer that any target of the service may send. */
   checkService(origin: AnswerOrigin): boolean {
     const isOwnService = origin.service === this.context.service;
     if (!isOwnService) {
@@ -35,7 +35,7 @@
     return isOwnService;
   }
 
-  /** A flow without a host-bound answer counts as opened with its first whole answer. */
+  /** Counts a flow without answers bound to a host as opened at its first complete answer. */
   markOpened(): void {
     if (!this.firstOrigin) {
       this.firstOrigin = { service: this.context.service, target: '', run: 0 };
@@ -55,7 +55,7 @@
     }
   }
 
-  /** The caller begins a new flow. */
+  /** Resets the state for a new flow. */
   reset(): void {
     this.firstOrigin = undefined;
     this.isBroken = false;
--- a/src/standins/object-store.ts
+++ b/src/standins/object-store.ts
@@ -1,10 +1,9 @@
 /**
- * The objects behind the platform stand-in: versions, compare-and-set, a bounded
- * history for watches, and a machine list that lags. Pure state, used by the HTTP
- * stand-in and by the simulator alike.
+ * In-memory objects of the platform stand-in: versions, compare-and-set and a bounded
+ * history for watches. Without I/O, so that the simulator can use it too.
  */
 
-/** A stored object in the form of the Kubernetes API conventions. */
+/** A stored object, after the Kubernetes API conventions. */
 export interface StoredObject {
   readonly metadata: {
     readonly name: string;
@@ -14,14 +13,14 @@
   readonly spec: unknown;
 }
 
-/** A change as a watch reports it. */
+/** A change, as sent to watches. */
 export interface StoreEvent {
   readonly type: 'ADDED' | 'MODIFIED';
   readonly revision: number;
   readonly object: StoredObject;
 }
 
-/** How a write ended. */
+/** Outcome of a write. */
 export type WriteResult =
   | { readonly outcome: 'written'; readonly object: StoredObject }
   | { readonly outcome: 'conflict' }
@@ -36,7 +35,7 @@
   private readonly listeners = new Set<(event: StoreEvent) => void>();
   private currentRevision = 1;
 
-  /** The global revision: that of the last write. */
+  /** Revision of the last write. */
   get revision(): number {
     return this.currentRevision;
   }
@@ -49,7 +48,7 @@
     return this.objects.get(name);
   }
 
-  /** Creates an object, which must not exist. */
+  /** Creates an object; a conflict if it exists. */
   create(name: string, draft: Omit<StoredObject, 'metadata'> & Partial<StoredObject>): WriteResult {
     if (this.objects.has(name)) {
       return { outcome: 'conflict' };
@@ -73,19 +72,19 @@
     return this.writeObject('MODIFIED', name, draft);
   }
 
-  /** Changes after a revision; undefined when that is too long ago. */
+  /** Changes after a revision; undefined if the history no longer covers them. */
   listChangesSince(revision: number): StoreEvent[] | undefined {
     const oldest = this.history[0]?.revision ?? this.currentRevision + 1;
     const complete = revision >= oldest - 1 || revision >= this.currentRevision;
     return complete ? this.history.filter((event) => event.revision > revision) : undefined;
   }
 
-  /** Forgets the history, as a store does that compacts: older watches expire. */
+  /** Discards the history, so that watches from older revisions expire. */
   compactHistory(): void {
     this.history = [];
   }
 
-  /** Calls `listener` on every write; returns the way to stop that. */
+  /** Calls `listener` on every write; returns the function that unsubscribes it. */
   subscribe(listener: (event: StoreEvent) => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/src/standins/platform-server.ts
+++ b/src/standins/platform-server.ts
@@ -1,21 +1,21 @@
-/** The platform stand-in: an object store over HTTP and JSON, with a machine list that lags. */
+/** Stand-in for the platform: an object store over HTTP and JSON, and a delayed machine list. */
 import Fastify, { type FastifyInstance, type FastifyReply, type FastifyRequest } from 'fastify';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import { NODES_PATH, TABLES_PATH } from '../table-store/store-resources';
 import { ObjectStore, type StoredObject, type StoreEvent, type WriteResult } from './object-store';
 
-/** Ways in which the stand-in misbehaves. */
+/** Injected faults, set by `PUT /standin/faults`. */
 export interface PlatformFaults {
-  /** Refuses every call with 503 and breaks watches. */
+  /** Refuse every call with 503 and close watches. */
   down: boolean;
-  /** Delays every answer, in milliseconds. */
+  /** Delay of every answer in milliseconds. */
   delay: number;
-  /** Carries writes out but breaks the connection before answering. */
+  /** Perform writes, but close the connection without an answer. */
   loseWriteAnswers: boolean;
 }
 
-/** A machine as an operator of the stand-in sets it. */
+/** A machine, set by `PUT /standin/machines`. */
 export interface StandinMachine {
   readonly address: string;
   readonly leaving: boolean;
@@ -24,7 +24,7 @@
 /** Options of the stand-in. */
 export interface PlatformOptions {
   readonly listen: Endpoint;
-  /** Milliseconds by which the machine list is behind. */
+  /** Delay of changes of the machine list in milliseconds. */
   readonly machineLag: number;
 }
 
@@ -36,7 +36,7 @@
 const HTTP_GONE = 410;
 const HTTP_UNAVAILABLE = 503;
 
-/** The stand-in's HTTP server. */
+/** HTTP server of the platform stand-in. */
 export class PlatformServer {
   readonly store = new ObjectStore();
   readonly faults: PlatformFaults = { down: false, delay: 0, loseWriteAnswers: false };
@@ -52,7 +52,7 @@
     this.server.put('/standin/faults', (request) => this.setFaults(request.body));
   }
 
-  /** Starts to listen and returns the base URL. */
+  /** Starts to listen; returns the base URL. */
   async start(): Promise<string> {
     const { listen } = this.options;
     return this.server.listen({ host: getEndpointAddress(listen), port: getEndpointPort(listen) });
@@ -63,7 +63,7 @@
     await this.server.close();
   }
 
-  /** Sets a machine's entry; the list shows it after the lag. */
+  /** Sets a machine's entry; the list shows it after `machineLag`. */
   setMachine(machine: StandinMachine): void {
     setTimeout(() => this.machines.set(machine.address, machine), this.options.machineLag).unref();
   }
--- a/src/standins/record-server.ts
+++ b/src/standins/record-server.ts
@@ -1,10 +1,10 @@
-/** Serves a back end stand-in's run record over HTTP, for tests with separate processes. */
+/** Serves a back-end stand-in's run record over HTTP, for tests with separate processes. */
 import Fastify, { type FastifyInstance } from 'fastify';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
 import type { Endpoint } from '../environment';
 import type { RunRecord } from './run-record';
 
-/** Starts serving `GET /runs`. */
+/** Serves `GET /runs`: the attempts that ran, as `{ attempts: string[] }`. */
 export async function startRecordServer(
   listen: Endpoint,
   record: RunRecord,
--- a/src/standins/report-caller.ts
+++ b/src/standins/report-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that sends requests which may not be repeated: staff reports, port orders. */
+/** Caller of non-idempotent requests, such as staff reports and port orders. */
 import { CoapCode, CoapOption, findOption, type CoapMessage } from '../coap/coap-message';
 import {
   recordFailure,
@@ -11,13 +11,13 @@
 
 const MAXIMUM_PERMIT_RETRIES = 4;
 
-/** Sends reports that may not be repeated, one after the other. */
+/** Sends non-idempotent reports, one after the other. */
 export class ReportCaller extends CoapCaller {
   private echo: Buffer | undefined;
   private reportNumber = 0;
 
   /**
-   * @param name unique among callers; goes into every report's id
+   * @param name unique among callers; prefix of every report id
    * @param meanIntervalMs mean milliseconds between reports
    */
   constructor(
--- a/src/standins/run-record.ts
+++ b/src/standins/run-record.ts
@@ -1,18 +1,18 @@
 /**
- * What back ends ran and what callers were told, side by side.
+ * Records the attempts that back ends ran and those that callers saw refused.
  *
- * A report's payload is "REPORT#ATTEMPT": a caller that is told "not run" may send
- * the same report as another attempt.
+ * A report's payload is "REPORT#ATTEMPT": a caller whose attempt was refused as not run
+ * may send the same report as another attempt.
  */
 export class RunRecord {
-  /** @param writeTrace receives a line for each note, for traces */
+  /** @param writeTrace receives a trace line for each record */
   constructor(private readonly writeTrace: (line: string) => void = () => undefined) {}
 
   private readonly runsByReport = new Map<string, number>();
   private readonly attemptsRun = new Set<string>();
   private readonly attemptsRefused = new Set<string>();
 
-  /** A back end begins to run an attempt. */
+  /** Records that a back end started to run an attempt. */
   recordRun(attempt: string): void {
     this.writeTrace(`run ${attempt}`);
     const report = attempt.split('#')[0]!;
@@ -20,7 +20,7 @@
     this.attemptsRun.add(attempt);
   }
 
-  /** A caller was told that an attempt did not run. */
+  /** Records that a caller's attempt was refused as not run. */
   recordRefused(attempt: string): void {
     this.writeTrace(`refused ${attempt}`);
     this.attemptsRefused.add(attempt);
@@ -31,17 +31,17 @@
     return [...this.runsByReport].filter(([, runs]) => runs > 1).map(([report]) => report);
   }
 
-  /** Attempts said not to have run that did. */
+  /** Attempts that ran although refused as not run. */
   listFalselyRefused(): string[] {
     return [...this.attemptsRefused].filter((attempt) => this.attemptsRun.has(attempt));
   }
 
-  /** Every attempt that ran, in order of first run. */
+  /** All attempts that ran, in order of their first run. */
   listAttemptsRun(): string[] {
     return [...this.attemptsRun];
   }
 
-  /** Every attempt that callers were told did not run. */
+  /** All attempts refused as not run. */
   listAttemptsRefused(): string[] {
     return [...this.attemptsRefused];
   }
--- a/src/standins/transfer-caller.ts
+++ b/src/standins/transfer-caller.ts
@@ -1,4 +1,4 @@
-/** A caller that fetches content block by block: tiles, the routing snapshot. */
+/** Caller of block-wise transfers (RFC 7959), such as tiles and the routing snapshot. */
 import {
   CoapCode,
   CoapOption,
@@ -22,7 +22,7 @@
 
   /**
    * @param intervalMs milliseconds between transfers
-   * @param tileBytes size of each transfer
+   * @param tileBytes size of each transfer in bytes
    */
   constructor(
     context: CallerContext,
@@ -119,7 +119,7 @@
       return;
     }
     if (content.subarray(0, service.length + 1).toString() === `${service}:`) {
-      statistics.recordWrongAnswer(`transfer ${path} got ${content.length} bytes of another`);
+      statistics.recordWrongAnswer(`transfer ${path} got ${content.length} bytes of other content`);
     } else {
       statistics.misdelivered++;
     }
