--- a/src/standins/embedded-deployment.ts
+++ b/src/standins/embedded-deployment.ts
@@ -315,7 +315,7 @@
   }
 }
 
-/** Address in 127.0.0.0/8; its second and third octets derive from the process id. */
+/** Address in 127.0.0.0/8 with two octets of the process id, to keep processes apart. */
 function createLoopbackAddress(group: number, host: number): string {
   const high = 1 + ((process.pid >> 8) % 120);
   const low = process.pid & 255;
--- a/src/standins/fault-proxy.ts
+++ b/src/standins/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** Fault-injecting proxies for UDP and TCP; the UDP faults are drawn from a seed. */
+/** Fault-injecting proxies for UDP and TCP; the seed makes the UDP faults reproducible. */
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import type { Endpoint } from '../environment';
 import { getEndpointAddress, getEndpointPort } from '../core/endpoint';
